--- a/bench/changes.cpp
+++ b/bench/changes.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-void pass(Changes& fleet, Sec seconds) {
+void pass(Changes& fleet, Seconds seconds) {
   fleet.until(seconds, [] { return false; });
 }
 
@@ -33,7 +33,7 @@
         {.routers = 12,
          .seed = 50000 + seed,
          .sites = 1 + static_cast<int>(seed % 2),
-         .quality = [seed](const std::string&, int n, Sec now) { return Changes::uneven(seed, n, now); },
+         .quality = [seed](const std::string&, int n, Seconds now) { return Changes::uneven(seed, n, now); },
          .pace = 0.1});
     pass(fleet, 15);
     fleet[3].propose(Changes::document(), fleet.now(3));
@@ -65,14 +65,14 @@
       Changes fleet({.routers = routers,
                      .seed = 70000 + seed,
                      .quality =
-                         [&](const std::string& generation, int, Sec) {
+                         [&](const std::string& generation, int, Seconds) {
                            Quality q;
                            if (generation != "g1") f.spoil(q);
                            return q;
                          },
                      .pace = 0.1});
       pass(fleet, 15);
-      const Sec from = fleet.now();
+      const Seconds from = fleet.now();
       fleet[3].propose(Changes::document(), fleet.now(3));
       fleet.until(
           900, [&] { return fleet.done("c1") || (fleet.stopped("c1") && fleet.everywhere("g1")); }, 0.5);
@@ -99,8 +99,8 @@
       : count(routers),
         fleet({.routers = routers, .boxes = 20, .seed = seed, .clients = false, .changes = true}) {}
   // When each log first says it, on the wall clock; 0 where it does not.
-  std::vector<Sec> said(const std::string& words) const {
-    std::vector<Sec> times;
+  std::vector<Seconds> said(const std::string& words) const {
+    std::vector<Seconds> times;
     for (int n = 0; n < count; ++n) {
       const auto log = fleet.log_of(n);
       const auto at = log.find(words);
@@ -116,17 +116,17 @@
     }
     return times;
   }
-  static Sec day_time(Sec now) { return std::fmod(now, 86400); }
+  static Seconds day_time(Seconds now) { return std::fmod(now, 86400); }
   Task play() {
     auto& s = fleet.scheduler();
     Event e(s);
     const auto cpu = [&] {
-      Sec all = 0;
+      Seconds all = 0;
       for (int n = 0; n < count; ++n) all += fleet.cpu_of(n);
       return all;
     };
     co_await e.wait(s.now() + 15);
-    constexpr Sec kCalm = 20;
+    constexpr Seconds kCalm = 20;
     auto bytes = fleet.between_routers();
     auto used = cpu();
     co_await e.wait(s.now() + kCalm);
@@ -148,26 +148,26 @@
     int driver = 0;
     for (int n = 0; n < count; ++n)
       if (drove[static_cast<std::size_t>(n)] > drove[static_cast<std::size_t>(driver)]) driver = n;
-    const Sec killed = day_time(s.now());
+    const Seconds killed = day_time(s.now());
     fleet.kill(driver);
     co_await e.wait(s.now() + 25);
-    Sec again = 0;
+    Seconds again = 0;
     for (int n = 0; n < count; ++n)
       if (const auto t = said("this router drives it")[static_cast<std::size_t>(n)];
           n != driver && t > killed)
         again = t;
     fmt::print("driver killed: another drives after {:.1f} s\n", again - killed);
-    const Sec stop = day_time(s.now());
+    const Seconds stop = day_time(s.now());
     fleet.document(2, "stop", "stop \"c1\" { why = measured }\n");
     co_await e.wait(s.now() + 6);
-    std::vector<Sec> heard, back;
-    Sec first = 1e9;  // the router that was told says it: what the laboratory took to tell it is left out
-    for (const Sec t : said("STOPPED"))
+    std::vector<Seconds> heard, back;
+    Seconds first = 1e9;  // the router that was told says it: what the laboratory took to tell it is left out
+    for (const Seconds t : said("STOPPED"))
       if (t > 0) first = std::min(first, t);
     fmt::print("told after {:.0f} ms; ", (first - stop) * 1e3);
-    for (const Sec t : said("STOPPED"))
+    for (const Seconds t : said("STOPPED"))
       if (t > 0) heard.push_back((t - first) * 1e3);
-    for (const Sec t : said("change c1: this router runs g1"))
+    for (const Seconds t : said("change c1: this router runs g1"))
       if (t > 0) back.push_back((t - first) * 1e3);
     std::ranges::sort(heard), std::ranges::sort(back);
     fmt::print(
--- a/bench/purges.cpp
+++ b/bench/purges.cpp
@@ -9,10 +9,10 @@
 #include <random>
 #include <thread>
 
+#include "config/settings.h"
 #include "fleet/keeper.h"
 #include "fleet/wire.h"
 #include "io/log.h"
-#include "settings.h"
 
 namespace {
 
@@ -33,7 +33,7 @@
   fleet::Purges purges(setup(200'000), 1e9);
   const auto count = static_cast<std::uint64_t>(state.range(0));
   for (std::uint64_t n = 0; n < count; ++n) {
-    const Sec now = 1e9 + static_cast<Sec>(n) * 1e-3;
+    const Seconds now = 1e9 + static_cast<Seconds>(n) * 1e-3;
     if (n % std::max<std::uint64_t>(1, count / 60) == 7)
       purges.issue(Kind::pattern, fmt::format("{:02x}.*{:02x}", n % 251, n % 13), now);
     else if (n % 10 == 0)
@@ -102,7 +102,7 @@
     auto s = setup(65536);
     fleet::Purges purges(s, 1e9);
     std::vector<std::uint64_t> hashes(kObjects);
-    std::vector<Sec> made(kObjects, 0);
+    std::vector<Seconds> made(kObjects, 0);
     for (int n = 0; n < kObjects; ++n) {
       hashes[n] = stable_hash(object_name(static_cast<std::uint64_t>(n)));
       const std::uint64_t tags[] = {stable_hash(fmt::format("t{}", n % kTags)),
@@ -112,11 +112,11 @@
     for (int second = 0; second < kSeconds; ++second) {
       purges.issue(Kind::tag, fmt::format("t{}", chance() % kTags), 1e9 + second);
       for (int t = 0; t < kTxns; ++t, ++asked) {
-        const Sec now = 1e9 + second + static_cast<Sec>(t) / kTxns;
+        const Seconds now = 1e9 + second + static_cast<Seconds>(t) / kTxns;
         const double u = roll(chance);
         const int n = static_cast<int>(kObjects * u * u * u);
-        const Sec limit = static_cast<Sec>(state.range(1)) / 1e3;
-        const Sec least = std::max(purges.since(hashes[n], 0, {}, now), limit > 0 ? now - limit : 0);
+        const Seconds limit = static_cast<Seconds>(state.range(1)) / 1e3;
+        const Seconds least = std::max(purges.since(hashes[n], 0, {}, now), limit > 0 ? now - limit : 0);
         if (made[n] == 0 || made[n] < least) made[n] = now, ++filled;
       }
     }
--- a/bench/replication.cpp
+++ b/bench/replication.cpp
@@ -21,7 +21,7 @@
 
 struct Sizes {
   int routers = 10, servers = 40;
-  Sec away = 10, calm = 10, lossy = 0;
+  Seconds away = 10, calm = 10, lossy = 0;
 };
 
 struct Play {
@@ -41,9 +41,9 @@
     auto& s = fleet.scheduler();
     Event e(s);
     const auto line = fmt::format("s-{:08x}: draining as the fleet has it", 0xb0 + box);
-    const Sec told = s.now();
+    const Seconds told = s.now();
     fleet.says(from, box, lab::Fleet::Says::draining);
-    std::vector<Sec> took(static_cast<std::size_t>(sizes.routers), -1);
+    std::vector<Seconds> took(static_cast<std::size_t>(sizes.routers), -1);
     took[static_cast<std::size_t>(from)] = 0;
     while (std::ranges::count(took, -1) > 0 && s.now() < told + 10) {
       co_await e.wait(s.now() + 0.002);
@@ -83,8 +83,8 @@
   Task play() {
     auto& s = fleet.scheduler();
     Event e(s);
-    const auto pause = [&](Sec t) { return e.wait(s.now() + t); };
-    const Sec from = s.now();
+    const auto pause = [&](Seconds t) { return e.wait(s.now() + t); };
+    const Seconds from = s.now();
     // All see all: the last line of each router's log of members.
     const auto together = [&] {
       for (int n = 0; n < sizes.routers; n += std::max(1, sizes.routers / 10))
@@ -101,12 +101,12 @@
     const auto at_start = suspicions();
     co_await pause(1);
     const auto before = fleet.between_routers();
-    std::vector<Sec> cpu;
+    std::vector<Seconds> cpu;
     for (int n = 0; n < sizes.routers; ++n) cpu.push_back(fleet.cpu_of(n));
-    const Sec calm = s.now();
+    const Seconds calm = s.now();
     co_await pause(sizes.calm);
-    const Sec over = s.now() - calm;
-    Sec used = 0;
+    const Seconds over = s.now() - calm;
+    Seconds used = 0;
     for (int n = 0; n < sizes.routers; ++n) used += fleet.cpu_of(n) - cpu[static_cast<std::size_t>(n)];
     fmt::print("  calm: {:.0f} bytes a second sent by a router, {:.2f}% of a core\n",
                static_cast<double>(fleet.between_routers() - before) / over / sizes.routers,
@@ -148,10 +148,10 @@
     co_await pause(sizes.away);
     const int caught = times(1, "caught up");
     const auto bytes = fleet.between_routers();
-    const Sec started = s.now();
+    const Seconds started = s.now();
     fleet.start(1);
     while (times(1, "caught up") == caught && s.now() < started + 20) co_await e.wait(s.now() + 0.002);
-    const Sec took = s.now() - started;
+    const Seconds took = s.now() - started;
     const auto passed = static_cast<double>(fleet.between_routers() - bytes);
     const auto log = fleet.log_of(1);
     const auto at = std::min(log.size(), log.rfind("caught up"));
--- a/bench/returner.cpp
+++ b/bench/returner.cpp
@@ -19,11 +19,11 @@
   fleet.clients(1, rate);
   co_await e.wait(s.now() + 20);
   const auto start = fleet.counts(1);
-  const Sec used = fleet.cpu_of(1);
+  const Seconds used = fleet.cpu_of(1);
   co_await e.wait(s.now() + 10);
   fmt::print("{}: {:.0f} us of processor a txn in calm\n", what,
              1e6 * (fleet.cpu_of(1) - used) / std::max(1, fleet.counts(1).answered - start.answered));
-  for (const Sec away : {1.0, 10.0}) {
+  for (const Seconds away : {1.0, 10.0}) {
     co_await e.wait(s.now() + 15);
     fleet.kill(1);
     co_await e.wait(s.now() + away);
@@ -51,7 +51,7 @@
 int main(int argc, char** argv) {
   ::signal(SIGPIPE, SIG_IGN);
   const double rate = argc > 1 ? std::atof(argv[1]) : 1200;
-  const Sec hit = (argc > 2 ? std::atof(argv[2]) : 100) / 1e3;
+  const Seconds hit = (argc > 2 ? std::atof(argv[2]) : 100) / 1e3;
   for (const bool share : {false, true}) {
     lab::Fleet fleet({.routers = 4,
                       .boxes = 6,
--- a/lab/changes.cpp
+++ b/lab/changes.cpp
@@ -9,8 +9,8 @@
 
 Changes::Changes(const Setup& setup)
     : memory(0, setup.seed, setup.net,
-             {.furnish = [this](Memory::Router& r, Sec now) { furnish(r, now); },
-              .step = [this](Memory::Router& r, Sec now) { step(r, now); }},
+             {.furnish = [this](Memory::Router& r, Seconds now) { furnish(r, now); },
+              .step = [this](Memory::Router& r, Seconds now) { step(r, now); }},
              setup.now, setup.routers),
       setup_(setup),
       chance_(setup.seed + 17),
@@ -35,14 +35,14 @@
           .warm_up = 4};
 }
 
-Changes::Quality Changes::uneven(unsigned seed, int n, Sec now) {
+Changes::Quality Changes::uneven(unsigned seed, int n, Seconds now) {
   Quality q;
   q.refused = 0.004 * (1 + (n + static_cast<int>(seed)) % 4) * (1.5 + std::sin(now / 20));
   q.late = 0.02 * (1.5 + std::sin(now / 33));
   return q;
 }
 
-Changes::Quality Changes::quality(const std::string& generation, int n, Sec now) const {
+Changes::Quality Changes::quality(const std::string& generation, int n, Seconds now) const {
   return setup_.quality ? setup_.quality(generation, n, now) : Quality{};
 }
 
@@ -53,7 +53,7 @@
   memory.start(n);
 }
 
-void Changes::furnish(Memory::Router& r, Sec now) {
+void Changes::furnish(Memory::Router& r, Seconds now) {
   auto& m = machines_[static_cast<std::size_t>(r.number)];
   auto calendar = std::make_unique<freeze::Calendar>(
       Memory::Router::name(r.number), Memory::Router::all(setup_.routers), freeze::Calendar::Bounds{});
@@ -89,7 +89,7 @@
   r.kinds.push_back(std::move(rollout));
 }
 
-void Changes::traffic(Machine& m, const std::string& generation, int n, Sec now) {
+void Changes::traffic(Machine& m, const std::string& generation, int n, Seconds now) {
   const auto q = quality(generation, n, now);
   const auto roll = [&] { return std::uniform_real_distribution<>(0, 1)(chance_); };
   const int count = std::poisson_distribution<>(setup_.rate * m.share * setup_.pace)(chance_);
@@ -98,7 +98,7 @@
     const auto end = fate < q.refused              ? Tally::End::rejected
                      : fate < q.refused + q.failed ? Tally::End::aborted
                                                    : Tally::End::completed;
-    const Sec took = roll() < q.late ? 1.5 : -q.time * std::log(std::max(1e-9, roll()));
+    const Seconds took = roll() < q.late ? 1.5 : -q.time * std::log(std::max(1e-9, roll()));
     const int hops = 1 + (roll() < q.hops);
     m.tally.txn(end, took, 1, hops, now);
     m.tally.hop(roll() < q.fills, false, now);
@@ -110,7 +110,7 @@
   m.tally.load(q.memory, m.cpu, now);
 }
 
-void Changes::step(Memory::Router& r, Sec now) {
+void Changes::step(Memory::Router& r, Seconds now) {
   auto& m = machines_[static_cast<std::size_t>(r.number)];
   auto& calendar = static_cast<freeze::Calendar&>(*r.kinds[0]);
   auto& rollout = static_cast<Rollout&>(*r.kinds[1]);
@@ -133,7 +133,7 @@
 }
 
 // Settings at once; a program by an end and a start, back to the earlier one if it does not become ready.
-void Changes::carry_out(Memory::Router& r, const Rollout::Move& move, Sec now) {
+void Changes::carry_out(Memory::Router& r, const Rollout::Move& move, Seconds now) {
   auto& m = machines_[static_cast<std::size_t>(r.number)];
   auto& rollout = static_cast<Rollout&>(*r.kinds[1]);
   ++moves;
@@ -165,8 +165,8 @@
   most_moving = std::max(most_moving, moving);
 }
 
-bool Changes::until(Sec most, const std::function<bool()>& holds, Sec look) {
-  for (const Sec end = memory.now + most; memory.now < end;) {
+bool Changes::until(Seconds most, const std::function<bool()>& holds, Seconds look) {
+  for (const Seconds end = memory.now + most; memory.now < end;) {
     if (holds()) return true;
     go(look);
     for (int n = 0; n < setup_.routers; ++n) {
--- a/lab/changes.h
+++ b/lab/changes.h
@@ -23,8 +23,8 @@
     double time = 0.05;               // mean answer, s
     double hops = 0.05, fills = 0.2;  // past the first; a txn
     double memory = 40, cpu = 0.01;
-    bool ready = true;   // a start of it becomes so
-    Sec dies_after = 0;  // of a start; 0: never
+    bool ready = true;       // a start of it becomes so
+    Seconds dies_after = 0;  // of a start; 0: never
     bool breaks_rule = false;
   };
   struct Setup {
@@ -34,16 +34,16 @@
     double rate = 20;  // txns a second of the mean router; some see several times that
     bool store = true;
     int sites = 1;
-    Sec now = 1'780'000'000;
-    std::function<Quality(const std::string& generation, int router, Sec now)> quality{};
+    Seconds now = 1'780'000'000;
+    std::function<Quality(const std::string& generation, int router, Seconds now)> quality{};
     std::function<std::string(const change::Document&)> refuses{};
-    Sec pace = 0.05;
+    Seconds pace = 0.05;
   };
   explicit Changes(const Setup& setup);
   static change::Document document(const char* name = "c1", const char* before = "g1",
                                    const char* after = "g2");
   // No generation differs, but routers do, and the day goes up and down.
-  static Quality uneven(unsigned seed, int n, Sec now);
+  static Quality uneven(unsigned seed, int n, Seconds now);
   static std::string site_of(int n, int sites) { return sites > 1 && n % sites == 1 ? "west" : "east"; }
 
   change::Rollout& operator[](int n) {
@@ -52,10 +52,10 @@
   freeze::Calendar& calendar(int n) {
     return *static_cast<freeze::Calendar*>(memory.operator[](n).kinds[0].get());
   }
-  Sec now(int n = 0) { return memory.now + memory[n].skew; }
-  void go(Sec seconds) { memory.go(seconds); }
+  Seconds now(int n = 0) { return memory.now + memory[n].skew; }
+  void go(Seconds seconds) { memory.go(seconds); }
   // Until it holds, `most` seconds at most; whether it came to hold.
-  bool until(Sec most, const std::function<bool()>& holds, Sec look = 0.25);
+  bool until(Seconds most, const std::function<bool()>& holds, Seconds look = 0.25);
   void crash(int n);
   void start(int n);
   void forget(int n) { machines_[static_cast<std::size_t>(n)].store.clear(); }
@@ -85,15 +85,15 @@
     std::vector<std::string> said;
     change::Tally tally;
     double share = 1;  // of the mean router's traffic
-    Sec started = 0, back_at = 0, dies_at = 0, fails_at = 0, cpu = 0;
+    Seconds started = 0, back_at = 0, dies_at = 0, fails_at = 0, cpu = 0;
     std::string trying;  // a program that is being started for the first time; the earlier one if it fails
     std::string earlier;
   };
-  void furnish(Memory::Router& r, Sec now);
-  void step(Memory::Router& r, Sec now);
-  void traffic(Machine& m, const std::string& generation, int n, Sec now);
-  void carry_out(Memory::Router& r, const change::Rollout::Move& move, Sec now);
-  Quality quality(const std::string& generation, int n, Sec now) const;
+  void furnish(Memory::Router& r, Seconds now);
+  void step(Memory::Router& r, Seconds now);
+  void traffic(Machine& m, const std::string& generation, int n, Seconds now);
+  void carry_out(Memory::Router& r, const change::Rollout::Move& move, Seconds now);
+  Quality quality(const std::string& generation, int n, Seconds now) const;
   void supervise();
 
   const Setup setup_;
--- a/lab/faulty.cpp
+++ b/lab/faulty.cpp
@@ -22,12 +22,13 @@
   }
   Task work() {
     Event wait(parts.scheduler);
-    const Sec started = parts.scheduler.now();
+    const Seconds started = parts.scheduler.now();
     for (;;) {
       co_await wait.wait(parts.scheduler.now() + 0.1);
       if (kind == "fall" && parts.scheduler.now() > started + 5) std::abort();
       if (kind == "leak") held.emplace_back(3 << 20, 'x');
-      if (kind == "refuse") parts.desk.input().list_begin(true), parts.desk.input().list_end();
+      if (kind == "refuse")
+        parts.dispatcher.input().begin_endpoint_list(true), parts.dispatcher.input().end_endpoint_list();
     }
   }
   const net::Router::Parts parts;
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -15,9 +15,9 @@
 #include <system_error>
 #include <unordered_map>
 
-#include "net/resp.h"
+#include "base/text.h"
+#include "net/resp_parser.h"
 #include "tests/platform.h"
-#include "text.h"
 
 namespace walkpaddle::lab {
 
@@ -67,7 +67,7 @@
   std::filesystem::remove_all(folder_);
 }
 
-std::string Fleet::member(int box, Says state, Sec started) const {
+std::string Fleet::member(int box, Says state, Seconds started) const {
   const auto& s = *boxes_[static_cast<std::size_t>(box)];
   const bool edge = box < setup_.boxes;
   return standins::member_record(std::stoul(s.id().substr(2), nullptr, 16), s.port(), state, edge ? 1 : 0,
@@ -191,9 +191,9 @@
     ::kill(pid, stalled ? SIGSTOP : SIGCONT);
 }
 
-void Fleet::cut(int a, int b, Sec until) { switch_.cut(a, b, until), switch_.cut(b, a, until); }
+void Fleet::cut(int a, int b, Seconds until) { switch_.cut(a, b, until), switch_.cut(b, a, until); }
 
-void Fleet::says(int router, int box, Says state, Sec started) {
+void Fleet::says(int router, int box, Says state, Seconds started) {
   frame(router, 2, member(box, state, started));
 }
 
@@ -214,13 +214,13 @@
   return text;
 }
 
-Sec Fleet::cpu_of(int n) const {
+Seconds Fleet::cpu_of(int n) const {
   std::ifstream in(fmt::format("/proc/{}/stat", routers_[static_cast<std::size_t>(n)].pid));
   std::string word;
-  Sec ticks = 0;
+  Seconds ticks = 0;
   for (int field = 1; field <= 15 && in >> word; ++field)
     if (field >= 14) ticks += std::stod(word);  // user, system
-  return ticks / static_cast<Sec>(::sysconf(_SC_CLK_TCK));
+  return ticks / static_cast<Seconds>(::sysconf(_SC_CLK_TCK));
 }
 
 std::string Fleet::log_of(int n) const {
@@ -238,7 +238,7 @@
   for (;;) {
     if (Fd fd{::accept4(bus.listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)}) {
       auto stream = std::make_unique<Stream>(scheduler_, outbox_, std::move(fd));
-      const Sec until = scheduler_.now() + 2;
+      const Seconds until = scheduler_.now() + 2;
       while (stream->in().size() < 8 && scheduler_.now() < until) {
         if (stream->read() == Stream::Came::end) break;
         if (stream->in().size() < 8) co_await stream->readable(until);
@@ -278,9 +278,9 @@
     }
     Stream stream(scheduler_, outbox_, std::move(fd));
     co_await stream.writable(scheduler_.now() + 0.5);
-    std::unordered_map<std::string, Sec> open;
+    std::unordered_map<std::string, Seconds> open;
     int tag = 0;
-    for (Sec next = scheduler_.now(); r.pid > 0;) {
+    for (Seconds next = scheduler_.now(); r.pid > 0;) {
       const auto came = stream.read();
       if (came == Stream::Came::end) break;
       if (came == Stream::Came::bytes) {
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -56,11 +56,11 @@
     routers_[static_cast<std::size_t>(router)].program = std::move(path);
   }
   int starts(int router) const { return routers_[static_cast<std::size_t>(router)].starts; }
-  void cut(int a, int b, Sec until);  // both ways between two routers; 0 heals it
+  void cut(int a, int b, Seconds until);  // both ways between two routers; 0 heals it
   Switch& links() { return switch_; }
   // What one router's bus says: a box drains, is ready, is gone, or started anew at `started` (Unix time).
   using Says = standins::Says;
-  void says(int router, int box, Says state, Sec started = 0);
+  void says(int router, int box, Says state, Seconds started = 0);
 
   int served(int box) const { return boxes_[static_cast<std::size_t>(box)]->counts().served; }
   void clients(int router, double rate);  // more of them
@@ -69,7 +69,7 @@
   std::string log_of(int router) const;                               // its standard error, as far as it came
   std::string word_of(int router) const;                              // what `walkpaddle fleet` says of it
   std::uint64_t between_routers() const { return switch_.passed(); }  // bytes
-  Sec cpu_of(int router) const;                                       // processor time of its present process
+  Seconds cpu_of(int router) const;                                   // processor time of its present process
 
  private:
   struct Bus {
@@ -89,7 +89,7 @@
   void write_files(int n);
   std::string site_of(int n) const;
   void frame(int router, int kind, const std::string& payload);
-  std::string member(int box, Says state, Sec started) const;
+  std::string member(int box, Says state, Seconds started) const;
   Task follow(int router);
   Task supervise();
   Task clients_of(int router, double rate);
--- a/lab/memory.cpp
+++ b/lab/memory.cpp
@@ -9,7 +9,7 @@
 using namespace fleet;
 using replica::Health;
 
-Memory::Router::Router(int n, int routers, Sec now, unsigned seed, Sec skew)
+Memory::Router::Router(int n, int routers, Seconds now, unsigned seed, Seconds skew)
     : number(n),
       skew(skew),
       watch(name(n), routers, {}, {}, 1.0, seed),
@@ -33,12 +33,12 @@
   return names;
 }
 
-Health Memory::Router::takes_for(Sec now, std::uint64_t server) const {
+Health Memory::Router::takes_for(Seconds now, std::uint64_t server) const {
   const auto view = watch.facts().view(server, {static_cast<std::int64_t>(now * 1e6), 0});
   return view ? view->health : Health::ready;
 }
 
-Memory::Memory(int routers, unsigned seed, Net net, Hooks hooks, Sec now, int size)
+Memory::Memory(int routers, unsigned seed, Net net, Hooks hooks, Seconds now, int size)
     : net(net), chance(seed), count(std::max(routers, size)), now(now), hooks_(std::move(hooks)) {
   routers_.resize(static_cast<std::size_t>(count));
   for (int n = 0; n < routers; ++n) start(n);
@@ -46,7 +46,7 @@
 
 void Memory::start(int n) {
   const auto it = skews_.find(n);
-  const Sec skew = it != skews_.end() ? it->second : 0.05 * (n % 3 - 1);
+  const Seconds skew = it != skews_.end() ? it->second : 0.05 * (n % 3 - 1);
   auto& r = routers_[static_cast<std::size_t>(n)];
   r = std::make_unique<Router>(n, count, now + skew, chance(), skew);
   if (hooks_.furnish) hooks_.furnish(*r, now + skew);
@@ -64,9 +64,9 @@
       if (b < first || b > last) cut(a, b);
 }
 
-void Memory::skew(int n, Sec by) { skews_[n] = by; }
+void Memory::skew(int n, Seconds by) { skews_[n] = by; }
 
-void Memory::bus(int n, Listed state, Sec started) {
+void Memory::bus(int n, EndpointState state, Seconds started) {
   (*this)[n].watch.listed(0, {.hash = kServer, .state = state, .started = started}, now + (*this)[n].skew);
 }
 
@@ -78,8 +78,8 @@
   return b;
 }
 
-void Memory::go(Sec seconds) {
-  for (const Sec until = now + seconds; now < until; now += pace) {
+void Memory::go(Seconds seconds) {
+  for (const Seconds until = now + seconds; now < until; now += pace) {
     while (!flying.empty() && flying.begin()->first <= now) {
       const auto [from, to, bytes] = flying.begin()->second;
       flying.erase(flying.begin());
@@ -93,7 +93,7 @@
     for (int n = 0; n < count; ++n) {
       if (!up(n) || (*this)[n].stalled) continue;
       auto& r = (*this)[n];
-      const Sec own = now + r.skew;
+      const Seconds own = now + r.skew;
       for (const auto& [from, bytes] : std::exchange(r.held, {})) take(r, bytes);
       if (r.bus) r.watch.list_heard(own);
       while (const auto packet = r.gossip.next(own))
--- a/lab/memory.h
+++ b/lab/memory.h
@@ -23,20 +23,20 @@
 
 struct MemoryNet {
   double lost = 0, twice = 0;
-  Sec delay = 0.002;
+  Seconds delay = 0.002;
 };
 
 class Memory {
  public:
   using Net = MemoryNet;
   struct Router {
-    Router(int n, int routers, Sec now, unsigned seed, Sec skew);
+    Router(int n, int routers, Seconds now, unsigned seed, Seconds skew);
     static std::uint64_t name(int n) { return 1000 + static_cast<std::uint64_t>(n); }
     static std::vector<std::uint64_t> others(int n, int routers);
     static std::vector<std::uint64_t> all(int routers);
-    replica::Health takes_for(Sec now, std::uint64_t server = kServer) const;
+    replica::Health takes_for(Seconds now, std::uint64_t server = kServer) const;
     const int number;
-    Sec skew;  // of its clock
+    Seconds skew;  // of its clock
     replica::Watch watch;
     fleet::Members members;
     fleet::Keepers keepers;
@@ -48,13 +48,13 @@
   };
   // What a test's routers have beside the rest, and what they do at each step.
   struct Hooks {
-    std::function<void(Router&, Sec now)>
-        furnish;                                 // at a start: kinds are made; gossip carries them afterwards
-    std::function<void(Router&, Sec now)> step;  // on the router's own clock
+    std::function<void(Router&, Seconds now)>
+        furnish;  // at a start: kinds are made; gossip carries them afterwards
+    std::function<void(Router&, Seconds now)> step;  // on the router's own clock
   };
   Memory(int routers, unsigned seed, Net net = {}) : Memory(routers, seed, net, Hooks(), 1000) {}
   // size: of the fleet, where fewer than that start at once.
-  Memory(int routers, unsigned seed, Net net, Hooks hooks, Sec now, int size = 0);
+  Memory(int routers, unsigned seed, Net net, Hooks hooks, Seconds now, int size = 0);
   Router& operator[](int n) { return *routers_[static_cast<std::size_t>(n)]; }
   bool up(int n) const { return routers_[static_cast<std::size_t>(n)] != nullptr; }
   int size() const { return count; }
@@ -62,11 +62,11 @@
   void crash(int n) { routers_[static_cast<std::size_t>(n)].reset(); }
   void cut(int a, int b, bool both = true);
   void cut_off(int first, int last);  // these from all others
-  void skew(int n, Sec by);           // of its clock, from its next start on
+  void skew(int n, Seconds by);       // of its clock, from its next start on
   // What one router's bus says of the first server.
-  void bus(int n, Listed state, Sec started = 0);
+  void bus(int n, EndpointState state, Seconds started = 0);
   static fleet::Belief learnt_by(int n);
-  void go(Sec seconds);
+  void go(Seconds seconds);
   template <class F>
   bool all(F&& holds) {
     for (int n = 0; n < count; ++n)
@@ -81,9 +81,9 @@
   Net net;
   std::mt19937 chance;
   const int count;
-  Sec now;
-  Sec pace = 0.005;  // of a step
-  std::multimap<Sec, std::tuple<int, int, std::string>> flying;
+  Seconds now;
+  Seconds pace = 0.005;  // of a step
+  std::multimap<Seconds, std::tuple<int, int, std::string>> flying;
   std::set<std::pair<int, int>> cuts;
   std::uint64_t sent = 0, facts_sent = 0;
   std::size_t largest = 0;
@@ -92,7 +92,7 @@
  private:
   void send(int from, const std::string& bytes, const fleet::Gossip::Packet& packet);
   const Hooks hooks_;
-  std::map<int, Sec> skews_;
+  std::map<int, Seconds> skews_;
   std::vector<std::unique_ptr<Router>> routers_;
 };
 
--- a/lab/switch.cpp
+++ b/lab/switch.cpp
@@ -54,7 +54,7 @@
   faults_ = faults;
 }
 
-void Switch::cut(int from, int to, Sec until) {
+void Switch::cut(int from, int to, Seconds until) {
   const std::lock_guard lock(told_);
   cut_[{from, to}] = until;
 }
--- a/lab/switch.h
+++ b/lab/switch.h
@@ -23,7 +23,7 @@
  public:
   struct Faults {
     double lost = 0, twice = 0;  // shares of all datagrams
-    Sec delay = 0;               // by chance up to this: so that they overtake each other
+    Seconds delay = 0;           // by chance up to this: so that they overtake each other
   };
   explicit Switch(unsigned seed);
   ~Switch();
@@ -32,7 +32,7 @@
   int add(int router_port);  // before start(); the port that others send to for this router
   void start();
   void faults(const Faults& faults);
-  void cut(int from, int to, Sec until);            // one way, until this Unix time
+  void cut(int from, int to, Seconds until);        // one way, until this Unix time
   std::uint64_t passed() const { return passed_; }  // bytes
 
  private:
@@ -42,7 +42,7 @@
     int port = 0;
   };
   struct Late {
-    Sec at;
+    Seconds at;
     int to;
     std::string bytes;
     bool operator<(const Late& other) const { return at > other.at; }
@@ -57,7 +57,7 @@
   std::mt19937 chance_;
   std::mutex told_;  // guards what others set: faults and cuts
   Faults faults_;
-  std::map<std::pair<int, int>, Sec> cut_;
+  std::map<std::pair<int, int>, Seconds> cut_;
   std::vector<std::unique_ptr<Router>> routers_;
   std::map<int, int> by_port_;
   std::priority_queue<Late> late_;
--- a/soak/clients.cpp
+++ b/soak/clients.cpp
@@ -5,18 +5,19 @@
 #include <algorithm>
 #include <cmath>
 
-#include "net/resp.h"
-#include "settings.h"
-#include "text.h"
+#include "base/text.h"
+#include "config/settings.h"
+#include "net/resp_parser.h"
 
 namespace walkpaddle::soak {
 
 namespace {
 
 constexpr std::uint32_t kLoopback = 0x7f000001;
-constexpr Sec kCrossing = 0.05;       // a request that crosses an idle close within that is sent again, once
-constexpr Sec kIdleClose = 4;         // clients close connections that rest so long
-constexpr Sec kLongestWrite = 0.2;    // of a request that trickles: it was begun so long before its last byte
+constexpr Seconds kCrossing = 0.05;  // a request that crosses an idle close within that is sent again, once
+constexpr Seconds kIdleClose = 4;    // clients close connections that rest so long
+constexpr Seconds kLongestWrite =
+    0.2;                              // of a request that trickles: it was begun so long before its last byte
 constexpr double kImpatient = 0.005;  // of the looks at what is open
 constexpr int kLeastConnections = 4;
 constexpr double kEachConnection = 8;  // requests a second: many rest, or ask a few times
@@ -27,7 +28,7 @@
 struct Clients::Conversation {
   std::shared_ptr<Link> link;
   int start = 0;  // of the process that it reached
-  Sec connected = 0, quiet_since = 0;
+  Seconds connected = 0, quiet_since = 0;
   int answers = 0, tag = 0;
   std::map<std::string, Oracle::Request> open;  // by tag
 };
@@ -53,7 +54,7 @@
   for (int n = 0; n < connections(); ++n) scheduler_.start(connection());
 }
 
-void Clients::trouble(const Trouble& trouble, Sec until) {
+void Clients::trouble(const Trouble& trouble, Seconds until) {
   active_[static_cast<int>(trouble.kind)] = {until, trouble.size};
   if (trouble.kind == Kind::clients_crowd) scheduler_.start(crowd(static_cast<int>(trouble.size), until));
   if (trouble.kind == Kind::clients_spoil) scheduler_.start(spoil());
@@ -66,7 +67,7 @@
 
 // Asks a router that starts whether it is ready.
 Task Clients::front() {
-  constexpr Sec kAsk = 0.02, kAnswer = 0.5;
+  constexpr Seconds kAsk = 0.02, kAnswer = 0.5;
   Event pause(scheduler_);
   for (;;) {
     co_await pause.wait(scheduler_.now() + kAsk);
@@ -76,7 +77,7 @@
     co_await link->stream().writable(scheduler_.now() + kAnswer);
     if (link->stream().error() != 0) continue;
     link->write(net::words_text({"ALIVE", "1", ""}));
-    const Sec until = scheduler_.now() + kAnswer;
+    const Seconds until = scheduler_.now() + kAnswer;
     while (scheduler_.now() < until && link->stream().read() == Stream::Came::nothing)
       co_await link->stream().readable(until);
     if (link->stream().in().find("\r\nREADY\r\n") != std::string_view::npos) process_.is_ready();
@@ -88,15 +89,15 @@
   r.id = ++next_id_;
   r.router = process_.number(), r.start = process_.start_count();
   const double kind = roll();
-  r.effect = kind < 0.08 ? Effect::single_shot : kind < 0.2 ? Effect::guarded : Effect::free;
+  r.effect = kind < 0.08 ? Idempotency::single_shot : kind < 0.2 ? Idempotency::guarded : Idempotency::free;
   r.item = item(static_cast<int>(setup_.objects * roll() * roll()));
   r.group = group(r.item);
-  r.part = r.effect == Effect::free ? static_cast<int>(3 * roll()) : 0;
-  if (r.effect == Effect::guarded) r.key = fmt::format("{:016x}", r.id);
-  r.limit = r.effect == Effect::free ? 0.6 + 1.4 * roll() : 1 + 2 * roll();
+  r.part = r.effect == Idempotency::free ? static_cast<int>(3 * roll()) : 0;
+  if (r.effect == Idempotency::guarded) r.key = fmt::format("{:016x}", r.id);
+  r.limit = r.effect == Idempotency::free ? 0.6 + 1.4 * roll() : 1 + 2 * roll();
   if (drawn(Kind::clients_short_limits)) r.limit = 0.005 + 0.045 * roll();
   r.limit = std::floor(r.limit * 1e3) / 1e3;
-  if (r.effect == Effect::free && roll() < 0.3)
+  if (r.effect == Idempotency::free && roll() < 0.3)
     if (const auto it = tags_.find(fmt::format("{}.{}", r.item, r.part)); it != tags_.end())
       r.etag = it->second;
   return r;
@@ -109,7 +110,7 @@
   if (!r.key.empty()) fields += ",unique=" + r.key;
   if (!r.etag.empty()) fields += ",etag=" + r.etag;
   return net::words_text({"EXEC", tag, kClasses[static_cast<int>(r.effect)], fields,
-                          r.effect == Effect::free ? "" : "some bytes"});
+                          r.effect == Idempotency::free ? "" : "some bytes"});
 }
 
 void Clients::take_answers(Conversation& c) {
@@ -123,7 +124,7 @@
       const auto& r = it->second;
       const auto fields = w.size() > 2 ? w[2] : std::string_view();
       oracle_.answered(r.id, w[1], fields, w.size() > 3 ? w[3] : std::string_view());
-      if (const auto tag = net::field(fields, "etag"); tag && r.effect == Effect::free)
+      if (const auto tag = net::field(fields, "etag"); tag && r.effect == Idempotency::free)
         tags_[fmt::format("{}.{}", r.item, r.part)] = *tag;
       c.open.erase(it), --open_;
       c.quiet_since = scheduler_.now(), ++c.answers;
@@ -135,7 +136,7 @@
 // The other side ended the connection: which of the requests on it were lost, by the protocol page.
 void Clients::at_end(Conversation& c) {
   // A request crosses an idle close if nothing older was open: the connection rested until then.
-  const Sec now = real_now();
+  const Seconds now = real_now();
   const bool rested = std::ranges::all_of(
       c.open, [&](const auto& o) { return now < o.second.sent + kCrossing + oracle_.worst_lag(); });
   for (const auto& [tag, r] : c.open) {
@@ -192,7 +193,7 @@
     // Some ask a few times and rest until somebody ends the connection.
     int left = 3 + static_cast<int>(40 * roll());
     const bool rests = roll() < 0.3;
-    for (Sec next = scheduler_.now();;) {
+    for (Seconds next = scheduler_.now();;) {
       const auto came = stream.read();
       if (came == Stream::Came::end) {
         take_answers(c);
@@ -207,7 +208,7 @@
         take_answers(c);
         continue;
       }
-      const Sec now = scheduler_.now();
+      const Seconds now = scheduler_.now();
       const bool idle = c.open.empty();
       if (idle && (over_ || (left <= 0 && !rests) || now > c.quiet_since + kIdleClose)) break;
       // Some give up what they wait for; where clients leave, many do, and some close at once.
@@ -226,7 +227,7 @@
         break;
       }
       if (active(Kind::clients_read_slowly) && !idle && roll() < 0.1) {
-        const Sec away = 0.1 + 0.4 * roll();
+        const Seconds away = 0.1 + 0.4 * roll();
         for (const auto& [tag, request] : c.open) oracle_.reads_late(request.id, away);
         co_await pause.wait(scheduler_.now() + away);
         continue;
@@ -268,7 +269,7 @@
 }
 
 // Idle clients that fill the descriptors.
-Task Clients::crowd(int connections, Sec until) {
+Task Clients::crowd(int connections, Seconds until) {
   std::vector<std::shared_ptr<Link>> idle;
   Event pause(scheduler_);
   for (int n = 0; n < connections; ++n)
--- a/soak/clients.h
+++ b/soak/clients.h
@@ -26,7 +26,7 @@
   void start();
   void finish() { over_ = true; }  // nothing new is asked
   std::size_t open() const { return open_; }
-  void trouble(const Trouble& trouble, Sec until);
+  void trouble(const Trouble& trouble, Seconds until);
   static std::string item(int object);
   static int group(const std::string& item);
 
@@ -35,7 +35,7 @@
   int connections() const;
   Task front();
   Task connection();
-  Task crowd(int connections, Sec until);
+  Task crowd(int connections, Seconds until);
   Task spoil();
   std::shared_ptr<Link> call();
   Oracle::Request draw_request();
@@ -60,7 +60,7 @@
   bool over_ = false;
   std::size_t open_ = 0;  // requests without an answer
   struct Active {
-    Sec until = 0;
+    Seconds until = 0;
     double size = 0;
   };
   Active active_[kKinds];
--- a/soak/discovery.cpp
+++ b/soak/discovery.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::uint32_t kLoopback = 0x7f000001;
-constexpr Sec kToldAtLatest = 7;  // whether or not it arrived, by the protocol page
+constexpr Seconds kToldAtLatest = 7;  // whether or not it arrived, by the protocol page
 constexpr std::string_view kZones[] = {"hub", "edge"};
 constexpr std::string_view kModels[] = {"cache", "parent", "origin"};
 
@@ -51,7 +51,7 @@
 }
 
 void Discovery::purge(const std::string& item, int group) {
-  const Sec now = real_now();
+  const Seconds now = real_now();
   const auto stamp = standins::big_end(static_cast<std::uint64_t>(now * 1e3), 8);
   purges_.entries.push_back({now, item, group});
   const auto payload = item.empty() ? standins::big_end(static_cast<std::uint64_t>(group), 2) + stamp
@@ -60,7 +60,7 @@
       {.at = now, .kind = item.empty() ? 4 : 3, .payload = payload, .item = item, .group = group});
 }
 
-void Discovery::tell(Watch& w, const Change& e, Sec at) {
+void Discovery::tell(Watch& w, const Change& e, Seconds at) {
   if (e.kind >= 3) return oracle_.told_purge(w.router, w.start, e.group, e.item, e.at, at);
   if (e.state == standins::Says::ready) {
     oracle_.told_ready(w.router, w.start, e.server);
@@ -99,7 +99,7 @@
       offset, members, purges);
 }
 
-void Discovery::trouble(const Trouble& t, Sec until) {
+void Discovery::trouble(const Trouble& t, Seconds until) {
   for (auto& w : watches_) {
     if (t.target >= 0 && w->router != t.target) continue;
     if (t.kind == Kind::discovery_down) {
@@ -129,8 +129,8 @@
 
 // Events older than the page's bound count as told, unless no watch could have told them.
 void Discovery::count_as_told(Watch& w) {
-  constexpr Sec kToFollowAgain = 3;  // a silent watch is left, a new one dialled
-  const Sec now = scheduler_.now();
+  constexpr Seconds kToFollowAgain = 3;  // a silent watch is left, a new one dialled
+  const Seconds now = scheduler_.now();
   if (now < w.down.until || now < w.silent.until || now < w.trickles.until || now < w.late.until)
     w.up_since = now;
   for (; w.told < events_.size(); ++w.told) {
@@ -153,12 +153,12 @@
   for (; !w.on_their_way.empty() && w.on_their_way.front().end <= w.link->written();
        w.on_their_way.pop_front())
     tell_up_to(w, w.on_their_way.front().change);
-  const Sec now = scheduler_.now();
+  const Seconds now = scheduler_.now();
   if (now < w.silent.until) return;
   std::string text;
   for (auto& next = *w.next; next < events_.size(); ++next) {
     const auto& e = events_[next];
-    const Sec usual = std::uniform_real_distribution<>(0.03, 0.2)(chance_);
+    const Seconds usual = std::uniform_real_distribution<>(0.03, 0.2)(chance_);
     if (real_now() < e.at + usual + (now < w.late.until ? w.late.size * 10 : 0)) break;
     text += standins::frame_text(next + 2, e.kind, e.payload);
     w.on_their_way.push_back({w.link->queued() + text.size(), next});
@@ -175,7 +175,7 @@
 }
 
 Task Discovery::follow(Watch& w) {
-  constexpr Sec kLook = 0.02;
+  constexpr Seconds kLook = 0.02;
   Event pause(scheduler_);
   for (;;) {
     accept(w);
--- a/soak/discovery.h
+++ b/soak/discovery.h
@@ -28,16 +28,16 @@
   std::string known(int router, int start, const std::vector<std::unique_ptr<Endpoint>>& endpoints);
   int port(int router) const { return watches_[static_cast<std::size_t>(router)]->port; }
   void move(int router);  // to another port; the old one is closed
-  void trouble(const Trouble& trouble, Sec until);
+  void trouble(const Trouble& trouble, Seconds until);
 
  private:
   struct Change {
-    Sec at;
+    Seconds at;
     int kind;  // of its frame
     std::string payload;
     int server = -1;
     standins::Says state = standins::Says::ready;
-    Sec started = 0;
+    Seconds started = 0;
     std::string item;
     int group = 0;
   };
@@ -52,18 +52,18 @@
     };
     std::deque<OnItsWay> on_their_way;
     std::size_t told = 0;  // events that count as told to this start
-    Sec due = 0;           // when the next one leaves
-    Sec beat = 0;          // when the last frame was written
-    Sec up_since = 0;      // not down or silent since
+    Seconds due = 0;       // when the next one leaves
+    Seconds beat = 0;      // when the last frame was written
+    Seconds up_since = 0;  // not down or silent since
     struct Active {
-      Sec until = 0;
+      Seconds until = 0;
       double size = 0;
     } down, silent, trickles, late;
   };
   Task follow(Watch& watch);
   void accept(Watch& watch);
   void write_due(Watch& watch);
-  void tell(Watch& watch, const Change& event, Sec at);
+  void tell(Watch& watch, const Change& event, Seconds at);
   void tell_up_to(Watch& watch, std::size_t change);
   void count_as_told(Watch& watch);
 
--- a/soak/endpoint.cpp
+++ b/soak/endpoint.cpp
@@ -5,28 +5,28 @@
 
 #include <algorithm>
 
-#include "net/resp.h"
-#include "settings.h"
-#include "text.h"
+#include "base/text.h"
+#include "config/settings.h"
+#include "net/resp_parser.h"
 
 namespace walkpaddle::soak {
 
 namespace {
 
 constexpr std::uint32_t kLoopback = 0x7f000001;
-constexpr Sec kWork = 0.004;      // to answer from a copy
-constexpr Sec kFetch = 0.008;     // from a source
-constexpr Sec kIdle = 0.05;       // quiet for so long, a connection is idle
-constexpr Sec kPurgeSettles = 6;  // as the settings say: by then no server has an older copy
+constexpr Seconds kWork = 0.004;      // to answer from a copy
+constexpr Seconds kFetch = 0.008;     // from a source
+constexpr Seconds kIdle = 0.05;       // quiet for so long, a connection is idle
+constexpr Seconds kPurgeSettles = 6;  // as the settings say: by then no server has an older copy
 
-std::string version_tag(std::string_view item, Sec newest_purge) {
+std::string version_tag(std::string_view item, Seconds newest_purge) {
   return fmt::format("{:016x}", stable_hash(fmt::format("{} {:.3f}", item, newest_purge)));
 }
 
 }  // namespace
 
-Sec PurgeHistory::newest(std::string_view item, int group, Sec known_before) const {
-  Sec newest = 0;
+Seconds PurgeHistory::newest(std::string_view item, int group, Seconds known_before) const {
+  Seconds newest = 0;
   for (const auto& e : entries)
     if (e.at <= known_before && (e.item.empty() ? e.group == group : e.item == item))
       newest = std::max(newest, e.at);
@@ -72,7 +72,7 @@
          std::uniform_real_distribution<>(0, 1)(chance_) < active_[static_cast<int>(kind)].size;
 }
 
-void Endpoint::trouble(const Trouble& trouble, Sec until) {
+void Endpoint::trouble(const Trouble& trouble, Seconds until) {
   active_[static_cast<int>(trouble.kind)] = {until, trouble.size};
   const bool closes = trouble.kind == Kind::server_closes_idle || trouble.kind == Kind::server_resets_idle ||
                       trouble.kind == Kind::server_forgets_idle;
@@ -94,7 +94,7 @@
 }
 
 Task Endpoint::accept_all(std::shared_ptr<Listener> listener) {
-  constexpr Sec kPause = 0.02;
+  constexpr Seconds kPause = 0.02;
   Event pause(scheduler_);
   while (listener->open()) {
     if (active(Kind::server_late_accept) || active(Kind::server_vanishes)) {
@@ -115,12 +115,12 @@
 }
 
 Task Endpoint::connection(Fd fd) {
-  constexpr Sec kLook = 0.02;
+  constexpr Seconds kLook = 0.02;
   auto link = std::make_shared<Link>(scheduler_, outbox_, std::move(fd));
   auto& open = open_[link];
   open.used = scheduler_.now();
   auto& stream = link->stream();
-  constexpr Sec kQueued = 0.1;
+  constexpr Seconds kQueued = 0.1;
   bool exact = scheduler_.now() > not_accepting_at_ + kQueued;  // what is read next has just come
   for (;;) {
     if (active(Kind::server_hangs) || active(Kind::server_vanishes) || open.forgotten) {
@@ -141,7 +141,7 @@
     open.used = scheduler_.now();
     try {
       take(link, exact);
-    } catch (const Malformed& e) {
+    } catch (const InputError& e) {
       oracle_.violated(Invariant::stays_up, -1, 0, fmt::format("server {} got {}", setup_.number, e.what()));
       break;
     }
@@ -176,15 +176,15 @@
   }
 }
 
-bool Endpoint::usable(const Copy& copy, std::string_view item, int group, Sec oldest) const {
-  const Sec now = real_now();
+bool Endpoint::usable(const Copy& copy, std::string_view item, int group, Seconds oldest) const {
+  const Seconds now = real_now();
   if (oldest > 0 && now - copy.made > oldest) return false;
   return copy.made >= purges_.newest(item, group, now - purge_delay_);
 }
 
 // From a parent that holds it, else from the origin. Gives when the origin read it.
-Sec Endpoint::fetch(std::string_view source, const std::string& key, std::string_view item, int group,
-                    Sec oldest) {
+Seconds Endpoint::fetch(std::string_view source, const std::string& key, std::string_view item, int group,
+                        Seconds oldest) {
   for (const auto& endpoint : *all_) {
     if (endpoint->id() != source || endpoint->role() != Role::parent) continue;
     const auto it = endpoint->copies_.find(key);
@@ -195,7 +195,7 @@
   return real_now();
 }
 
-std::string Endpoint::answer_for(std::uint64_t id, std::string_view fields, bool& ran, Sec& made,
+std::string Endpoint::answer_for(std::uint64_t id, std::string_view fields, bool& ran, Seconds& made,
                                  std::string& named) {
   const auto id_text = fmt::format("{:016x}", id);
   const auto cls = net::field(fields, "cls").value_or("");
@@ -204,7 +204,7 @@
       chunk(net::field(fields, "chunk").value_or(""));
   const auto key = item + "." + chunk;
   const int group = static_cast<int>(stable_hash(item) % 8);
-  const Sec oldest = parse_or(net::field(fields, "maxage").value_or(""), 0.0) / 1e3;
+  const Seconds oldest = parse_or(net::field(fields, "maxage").value_or(""), 0.0) / 1e3;
   std::string_view tell = "mem";
   if (setup_.role == Role::origin) {
     made = real_now(), tell = "origin";
@@ -235,7 +235,7 @@
 Task Endpoint::serve(std::shared_ptr<Link> link, std::uint64_t id, std::string fields, std::size_t attempt,
                      std::uint64_t start) {
   // Little time left: dropped without a word, as a server may.
-  constexpr Sec kTooLittle = 0.02;
+  constexpr Seconds kTooLittle = 0.02;
   if (parse_or(net::field(fields, "limit").value_or(""), 0.0) / 1e3 < kTooLittle) co_return;
   const double slower = active(Kind::server_slow) ? active_[static_cast<int>(Kind::server_slow)].size : 1;
   const bool fills = net::field(fields, "src").has_value();
@@ -253,7 +253,7 @@
     co_return;
   }
   bool ran = true;
-  Sec made = 0;
+  Seconds made = 0;
   std::string named;
   open->second.used = scheduler_.now();
   const auto answer = answer_for(id, fields, ran, made, named);
--- a/soak/link.cpp
+++ b/soak/link.cpp
@@ -19,14 +19,14 @@
     stream_.write(bytes);
 }
 
-void Link::trickle(const std::string& bytes, std::size_t piece, Sec between) {
+void Link::trickle(const std::string& bytes, std::size_t piece, Seconds between) {
   if (scheduler_.now() < lost_until_) return;
   queued_ += bytes.size();
   pieces_ += bytes;
   if (!std::exchange(trickles_, true)) scheduler_.start(write_pieces(shared_from_this(), piece, between));
 }
 
-Task Link::write_pieces(std::shared_ptr<Link> self, std::size_t piece, Sec between) {
+Task Link::write_pieces(std::shared_ptr<Link> self, std::size_t piece, Seconds between) {
   Event pause(scheduler_);
   while (!self->pieces_.empty() && !self->stream_.broken()) {
     const auto size = std::min(piece, self->pieces_.size());
--- a/soak/link.h
+++ b/soak/link.h
@@ -17,8 +17,8 @@
 
   Stream& stream() { return stream_; }
   void write(std::string_view bytes);  // as the faults have it
-  void trickle(const std::string& bytes, std::size_t piece, Sec between);
-  void lose_writes(Sec until) { lost_until_ = until; }
+  void trickle(const std::string& bytes, std::size_t piece, Seconds between);
+  void lose_writes(Seconds until) { lost_until_ = until; }
   void reset();                                     // the other side gets RST
   std::uint64_t queued() const { return queued_; }  // bytes given to be written so far
   std::uint64_t written() const {
@@ -28,12 +28,12 @@
   bool is_reset() const { return reset_; }
 
  private:
-  Task write_pieces(std::shared_ptr<Link> self, std::size_t piece, Sec between);
+  Task write_pieces(std::shared_ptr<Link> self, std::size_t piece, Seconds between);
 
   Scheduler& scheduler_;
   const int fd_;
   Stream stream_;
-  Sec lost_until_ = 0;
+  Seconds lost_until_ = 0;
   std::uint64_t queued_ = 0;
   std::string pieces_;  // what trickles, with all that was written behind it
   bool trickles_ = false, reset_ = false;
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -6,8 +6,8 @@
 #include <filesystem>
 #include <map>
 
+#include "base/text.h"
 #include "soak/soak.h"
-#include "text.h"
 
 using namespace walkpaddle;
 
@@ -67,7 +67,7 @@
           : folder;
   int failed = 0, played = 0;
   try {
-    const Sec began = soak::real_now();
+    const Seconds began = soak::real_now();
     for (;;) {
       const auto plan =
           plan_file.empty() ? soak::random_plan(seed, seconds, processes) : soak::read_plan(plan_file);
--- a/soak/oracle.cpp
+++ b/soak/oracle.cpp
@@ -6,8 +6,8 @@
 #include <chrono>
 #include <cmath>
 
-#include "net/resp.h"
-#include "text.h"
+#include "base/text.h"
+#include "net/resp_parser.h"
 
 namespace walkpaddle::soak {
 
@@ -19,16 +19,16 @@
     "copy_named",      "refusal_harmless",    "attempt_after_end", "ends_in_time",
     "stays_up",        "connections_bounded", "refused_bounded",   "guard"};
 
-constexpr Sec kPageSlack = 0.05;  // of every time limit on sockets
-constexpr Sec kLateWorth = 0.5;   // an answer so late is not lost yet
-constexpr Sec kAfterLeave = 0.1;  // an attempt may begin so long after its client left
-constexpr Sec kDeadlineSlack = 0.15;
+constexpr Seconds kPageSlack = 0.05;  // of every time limit on sockets
+constexpr Seconds kLateWorth = 0.5;   // an answer so late is not lost yet
+constexpr Seconds kAfterLeave = 0.1;  // an attempt may begin so long after its client left
+constexpr Seconds kDeadlineSlack = 0.15;
 constexpr std::size_t kMostViolations = 200;
 
 }  // namespace
 
-Sec real_now() {
-  return std::chrono::duration<Sec>(std::chrono::system_clock::now().time_since_epoch()).count();
+Seconds real_now() {
+  return std::chrono::duration<Seconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
 std::string_view name_of(Invariant invariant) { return kNames[static_cast<int>(invariant)]; }
@@ -38,26 +38,26 @@
     violations_.push_back({invariant, real_now() - began_, router, request, std::move(what)});
 }
 
-void Oracle::lagged(Sec lag) {
-  constexpr Sec kRemembered = 2;
-  const Sec now = real_now();
+void Oracle::lagged(Seconds lag) {
+  constexpr Seconds kRemembered = 2;
+  const Seconds now = real_now();
   worst_lag_ = std::max(worst_lag_, lag);
   lags_.emplace_back(now, lag);
   while (lags_.front().first < now - kRemembered) lags_.pop_front();
 }
 
-Sec Oracle::slack() const {
-  Sec worst = 0;
+Seconds Oracle::slack() const {
+  Seconds worst = 0;
   for (const auto& [at, lag] : lags_) worst = std::max(worst, lag);
   return kPageSlack + 2 * worst;
 }
 
-void Oracle::stood_still(int router, Sec from, Sec to) { stalls_[router].emplace_back(from, to); }
+void Oracle::stood_still(int router, Seconds from, Seconds to) { stalls_[router].emplace_back(from, to); }
 
-Sec Oracle::still(int router, Sec from, Sec to) const {
+Seconds Oracle::still(int router, Seconds from, Seconds to) const {
   const auto it = stalls_.find(router);
   if (it == stalls_.end()) return 0;
-  Sec sum = 0;
+  Seconds sum = 0;
   for (const auto& [begin, end] : it->second) sum += std::max(0.0, std::min(end, to) - std::max(begin, from));
   return sum;
 }
@@ -77,7 +77,7 @@
   if (r.answered >= 0)
     return violated(Invariant::answer_once, request.router, id, fmt::format("a second answer, {}", word));
   r.answered = real_now();
-  const Sec allowed = request.sent + request.limit + request.reads_late + kLateWorth + slack();
+  const Seconds allowed = request.sent + request.limit + request.reads_late + kLateWorth + slack();
   ++counts_.checked[static_cast<int>(Invariant::answer_in_time)];
   if (r.left < 0 && r.answered > allowed + still(request.router, request.sent, r.answered))
     violated(Invariant::answer_in_time, request.router, id,
@@ -85,14 +85,14 @@
   const bool ran = std::ranges::any_of(r.attempts, &Attempt::ran);
   if (word == "REJECT") {
     ++counts_.refused, ++counts_.checked[static_cast<int>(Invariant::refusal_harmless)];
-    if (ran && request.effect == Effect::single_shot)
+    if (ran && request.effect == Idempotency::single_shot)
       violated(Invariant::refusal_harmless, request.router, id, "refused though an attempt of it ran");
     return;
   }
   if (word != "RESULT") return void(++counts_.failed);
   ++counts_.served;
   took_.push_back(r.answered - request.sent);
-  if (request.effect != Effect::free) {
+  if (request.effect != Idempotency::free) {
     if (r.attempts.empty() || !body.starts_with("done"))
       violated(Invariant::answer_once, request.router, id, "served with what no server made for it");
     return;
@@ -144,7 +144,7 @@
   it->second.excused = true, ++counts_.excused;
 }
 
-void Oracle::reads_late(std::uint64_t id, Sec by) {
+void Oracle::reads_late(std::uint64_t id, Seconds by) {
   if (const auto it = records_.find(id); it != records_.end()) it->second.request.reads_late += by;
 }
 
@@ -191,8 +191,8 @@
   };
   checked(Invariant::effect_once);
   for (const auto& earlier : r.attempts) {
-    if (!earlier.ran || request.effect == Effect::free) continue;
-    if (request.effect == Effect::single_shot) {
+    if (!earlier.ran || request.effect == Idempotency::free) continue;
+    if (request.effect == Idempotency::single_shot) {
       broken("a second attempt though one may have run");
       break;
     }
@@ -203,13 +203,13 @@
     }
   }
   if (!a.exact) return;
-  const Sec late = slack();
+  const Seconds late = slack();
   checked(Invariant::attempt_after_leave);
   if (r.left >= 0 && a.at > r.left + kAfterLeave + late + still(request.router, r.left, a.at))
     violated(Invariant::attempt_after_leave, request.router, request.id,
              fmt::format("begins {:.3f} s after its client left", a.at - r.left));
   checked(Invariant::deadline_passed);
-  const Sec has = request.sent + request.limit - a.at;
+  const Seconds has = request.sent + request.limit - a.at;
   if (a.limit > has + kDeadlineSlack + late)
     violated(Invariant::deadline_passed, request.router, request.id,
              fmt::format("says {:.3f} s, its client has {:.3f} s", a.limit, has));
@@ -250,27 +250,28 @@
   }
 }
 
-void Oracle::attempt_over(std::uint64_t id, std::size_t number, bool ran, Sec made, std::string_view named) {
+void Oracle::attempt_over(std::uint64_t id, std::size_t number, bool ran, Seconds made,
+                          std::string_view named) {
   const auto it = records_.find(id);
   if (it == records_.end() || number >= it->second.attempts.size()) return;
   auto& a = it->second.attempts[number];
   a.ran = ran, a.over = true, a.made = made, a.named = named;
 }
 
-void Oracle::told_start(int router, int start, int server, Sec at) {
+void Oracle::told_start(int router, int start, int server, Seconds at) {
   told(router, start).starts[server] = at;
 }
-void Oracle::told_drain(int router, int start, int server, Sec at) {
+void Oracle::told_drain(int router, int start, int server, Seconds at) {
   told(router, start).drains.emplace(server, at);
 }
 void Oracle::told_ready(int router, int start, int server) { told(router, start).drains.erase(server); }
-void Oracle::told_purge(int router, int start, int group, std::string_view item, Sec purged, Sec at) {
+void Oracle::told_purge(int router, int start, int group, std::string_view item, Seconds purged, Seconds at) {
   auto& all = told(router, start).purges[item.empty() ? fmt::format("#{}", group) : std::string(item)];
   all.push_back({purged, at});
 }
 
 void Oracle::finish() {
-  const Sec now = real_now();
+  const Seconds now = real_now();
   for (const auto& [id, r] : records_) {
     if (r.answered >= 0 || r.left >= 0 || r.excused || r.crossed || r.closed) continue;
     violated(Invariant::answer_once, r.request.router, id,
--- a/soak/plan.cpp
+++ b/soak/plan.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <random>
 
+#include "base/text.h"
 #include "control/confuse.h"
-#include "text.h"
 
 namespace walkpaddle::soak {
 
@@ -18,7 +18,7 @@
 struct Range {
   std::string_view name;
   At at;
-  Sec shortest, longest;
+  Seconds shortest, longest;
   double least, most;
 };
 
@@ -75,7 +75,7 @@
 
 const Range& range_of(Kind kind) { return kRanges[static_cast<int>(kind)]; }
 
-Trouble draw(std::mt19937_64& chance, const Plan& plan, Sec at) {
+Trouble draw(std::mt19937_64& chance, const Plan& plan, Seconds at) {
   const auto kind = static_cast<Kind>(std::uniform_int_distribution<>(0, kKinds - 1)(chance));
   const auto& range = range_of(kind);
   const auto between = [&](double least, double most) {
@@ -105,8 +105,8 @@
 
 std::string_view name_of(Kind kind) { return range_of(kind).name; }
 
-Plan random_plan(std::uint64_t seed, Sec seconds, int processes) {
-  constexpr Sec kQuietEnd = 3;  // what is open then has its time
+Plan random_plan(std::uint64_t seed, Seconds seconds, int processes) {
+  constexpr Seconds kQuietEnd = 3;  // what is open then has its time
   Plan plan{.seed = seed, .seconds = seconds, .processes = processes};
   std::mt19937_64 chance(seed);
   std::uniform_real_distribution<> roll(0, 1);
@@ -118,13 +118,13 @@
                              .at = -1,
                              .target = static_cast<int>(processes * roll(chance)),
                              .size = 7200 * (roll(chance) - 0.5)});
-  for (Sec at = 0.5 + roll(chance); at < seconds - kQuietEnd;) {
+  for (Seconds at = 0.5 + roll(chance); at < seconds - kQuietEnd;) {
     // Each router sees several of these; at the same moment, or within a second of each other.
     const int together = 2 + static_cast<int>(3 * roll(chance)) + processes / 8;
     const int router = static_cast<int>(processes * roll(chance));
     // What else may happen to a process while it ends.
     if (roll(chance) < 0.2) {
-      constexpr Sec kEnds = 1;
+      constexpr Seconds kEnds = 1;
       for (const auto kind : {Kind::terminate, Kind::terminate, Kind::reload, Kind::stall})
         plan.troubles.push_back({.kind = kind,
                                  .at = at + kEnds * roll(chance),
@@ -173,7 +173,7 @@
   constexpr int kMostProcesses = 60, kMostServers = 200;
   if (plan.processes < 1 || plan.processes > kMostProcesses || plan.servers < 1 ||
       plan.servers > kMostServers || plan.parents < 0 || plan.seconds <= 0 || plan.rate <= 0)
-    throw Malformed(path + ": processes, servers, seconds or rate are out of range");
+    throw InputError(path + ": processes, servers, seconds or rate are out of range");
   for (unsigned n = 0; n < cfg_size(all, "trouble"); ++n) {
     auto* section = cfg_getnsec(all, "trouble", n);
     const auto name = control::text_of(section, "kind");
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::soak {
 
@@ -71,14 +71,14 @@
 
 struct Trouble {
   Kind kind = Kind::count;
-  Sec at = 0, lasts = 0;  // since the soak's traffic began
-  int target = 0;         // which router or server; -1: all of them
-  double size = 0;        // as the kind says; 0 where it needs none
+  Seconds at = 0, lasts = 0;  // since the soak's traffic began
+  int target = 0;             // which router or server; -1: all of them
+  double size = 0;            // as the kind says; 0 where it needs none
 };
 
 struct Plan {
   std::uint64_t seed = 1;
-  Sec seconds = 20;
+  Seconds seconds = 20;
   int processes = 12, servers = 8, parents = 2;
   double rate = 25;          // requests a second at each router
   int sockets = 256;         // descriptors that a router may hold
@@ -89,8 +89,8 @@
 };
 
 // Two or three troubles at a time, some after a quiet time, until shortly before the end.
-Plan random_plan(std::uint64_t seed, Sec seconds, int processes);
-Plan read_plan(const std::string& path);  // Malformed with file and line
+Plan random_plan(std::uint64_t seed, Seconds seconds, int processes);
+Plan read_plan(const std::string& path);  // InputError with file and line
 std::string text_of(const Plan& plan);    // as read_plan reads it
 
 }  // namespace walkpaddle::soak
--- a/soak/process.cpp
+++ b/soak/process.cpp
@@ -11,27 +11,27 @@
 #include <cerrno>
 #include <filesystem>
 #include <fstream>
-#include <system_error>
 #include <vector>
 
+#include "base/error.h"
+
 namespace walkpaddle::soak {
 
 namespace {
 
-constexpr Sec kLongestLimit = 3, kKill = 0.7;  // the platform kills so long after SIGTERM
-constexpr Sec kBusy = 0.5;                     // what a busy machine may take on top
-constexpr Sec kReadyWithin = 10;
+constexpr Seconds kLongestLimit = 3, kKill = 0.7;  // the platform kills so long after SIGTERM
+constexpr Seconds kBusy = 0.5;                     // what a busy machine may take on top
+constexpr Seconds kReadyWithin = 10;
 
 }  // namespace
 
 Process::Process(Oracle& oracle, Setup setup) : oracle_(oracle), setup_(std::move(setup)) {
   std::filesystem::create_directories(setup_.folder);
   const int fd = ::open((setup_.folder + "/faults").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (fd < 0 || ::ftruncate(fd, sizeof(FaultControl)) != 0)
-    throw std::system_error(errno, std::generic_category(), "fault control");
+  if (fd < 0 || ::ftruncate(fd, sizeof(FaultControl)) != 0) throw SystemError("fault control", errno);
   void* page = ::mmap(nullptr, sizeof(FaultControl), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
   ::close(fd);
-  if (page == MAP_FAILED) throw std::system_error(errno, std::generic_category(), "fault control");
+  if (page == MAP_FAILED) throw SystemError("fault control", errno);
   control_ = static_cast<FaultControl*>(page);
 }
 
@@ -116,7 +116,7 @@
   if (pid_ <= 0) return false;
   int status = 0;
   if (::waitpid(pid_, &status, WNOHANG) != pid_) {
-    const Sec most = asked_at_ + kLongestLimit + kKill + kBusy + still_;
+    const Seconds most = asked_at_ + kLongestLimit + kKill + kBusy + still_;
     if (phase_ == Phase::ending && asked_at_ > 0 && real_now() > most) {
       oracle_.violated(Invariant::ends_in_time, number(), 0,
                        fmt::format("runs {:.1f} s after SIGTERM", real_now() - asked_at_));
@@ -166,13 +166,13 @@
 }
 
 bool Process::takes_connections() const {
-  constexpr Sec kComing = 0.3;
+  constexpr Seconds kComing = 0.3;
   return phase_ == Phase::serving ||
          (phase_ == Phase::ending && asked_at_ > 0 && real_now() < asked_at_ + kComing);
 }
 
 bool Process::takes_requests() const {
-  constexpr Sec kAsking = 0.5;
+  constexpr Seconds kAsking = 0.5;
   return phase_ == Phase::serving ||
          (phase_ == Phase::ending && asked_at_ > 0 && real_now() < asked_at_ + kAsking);
 }
--- a/soak/process.h
+++ b/soak/process.h
@@ -43,13 +43,13 @@
   double memory_mb() const;  // its peak
   FaultControl& faults() { return *control_; }
   // Connections that it broke itself, by a failing call, until then.
-  void breaks_connections_until(Sec until) { breaks_until_ = until; }
+  void breaks_connections_until(Seconds until) { breaks_until_ = until; }
   bool breaks_connections() const { return real_now() < breaks_until_; }
   // As the front does: new connections for 0.3 s after the end was asked for, requests for 0.2 s more.
   bool takes_connections() const;
   bool takes_requests() const;
-  Sec ended_at() const { return ended_at_; }
-  Sec killed_at() const { return killed_at_; }  // the last time, 0 if never
+  Seconds ended_at() const { return ended_at_; }
+  Seconds killed_at() const { return killed_at_; }  // the last time, 0 if never
   std::string log_path() const { return setup_.folder + "/log"; }
 
  private:
@@ -60,8 +60,8 @@
   Phase phase_ = Phase::down;
   int starts_ = 0;
   bool killed_ = false;
-  Sec asked_at_ = 0, stopped_at_ = 0, ended_at_ = 0, began_ = 0, breaks_until_ = 0, still_ = 0,
-      killed_at_ = 0;
+  Seconds asked_at_ = 0, stopped_at_ = 0, ended_at_ = 0, began_ = 0, breaks_until_ = 0, still_ = 0,
+          killed_at_ = 0;
 };
 
 }  // namespace walkpaddle::soak
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -23,7 +23,7 @@
 
 std::string settings_text(const Plan& plan, const Rules& rules) {
   const int fleet = plan.fleet > 0 ? plan.fleet : plan.processes;
-  const auto ms = [](Sec time) { return static_cast<int>(time * 1e3); };
+  const auto ms = [](Seconds time) { return static_cast<int>(time * 1e3); };
   return fmt::format(
       R"({{"allowed":{{"cancel":true,"dial_timeout":1000,"idle_close":8000,"max_attempts":4,"max_retry_after":500,
 "retry_after":true,"streams_per_conn":16}},"categories":[
@@ -139,10 +139,10 @@
 
   // How late this thread runs what is due: all that it sees may be as late.
   Task watch_lag() {
-    constexpr Sec kBeat = 0.005;
+    constexpr Seconds kBeat = 0.005;
     Event beat(scheduler_);
     for (;;) {
-      const Sec due = real_now() + kBeat;
+      const Seconds due = real_now() + kBeat;
       co_await beat.wait(scheduler_.now() + kBeat);
       oracle_.lagged(std::max(0.0, real_now() - due));
     }
@@ -150,7 +150,7 @@
 
   // What a machine's own keeper does: who ended is started again.
   Task supervise() {
-    constexpr Sec kLook = 0.02;
+    constexpr Seconds kLook = 0.02;
     Event pause(scheduler_);
     for (int looks = 0;; ++looks) {
       co_await pause.wait(scheduler_.now() + kLook);
@@ -180,7 +180,7 @@
   }
 
   void strike(const Trouble& t) {
-    const Sec until = scheduler_.now() + t.lasts;
+    const Seconds until = scheduler_.now() + t.lasts;
     if (t.kind >= Kind::clients_leave) {
       for (int n = 0; n < plan_.processes; ++n)
         if (t.target < 0 || t.target == n) clients_[static_cast<std::size_t>(n)]->trouble(t, until);
@@ -195,7 +195,7 @@
     }
   }
 
-  Task strike_server(int n, Trouble t, Sec until) {
+  Task strike_server(int n, Trouble t, Seconds until) {
     using standins::Says;
     auto& s = *servers_[static_cast<std::size_t>(n)];
     const bool lifecycle =
@@ -206,7 +206,7 @@
     }
     auto& busy_until = lifecycle_until_[static_cast<std::size_t>(n)];
     if (scheduler_.now() < busy_until || s.role() == Endpoint::Role::origin) co_return;
-    constexpr Sec kNoticed = 0.3;
+    constexpr Seconds kNoticed = 0.3;
     busy_until = until + kNoticed;
     Event wait(scheduler_);
     if (t.kind == Kind::server_drains) {
@@ -235,7 +235,7 @@
     return static_cast<Call>(static_cast<int>(kind) - kFirst);
   }
 
-  Task strike_router(int n, Trouble t, Sec until) {
+  Task strike_router(int n, Trouble t, Seconds until) {
     auto& p = *processes_[static_cast<std::size_t>(n)];
     Event wait(scheduler_);
     switch (t.kind) {
@@ -279,12 +279,12 @@
   }
 
   Task end() {
-    constexpr Sec kLast = 4;  // the longest limit, and a second
+    constexpr Seconds kLast = 4;  // the longest limit, and a second
     Event wait(scheduler_);
     co_await wait.wait(started_ + plan_.seconds);
     over_ = true;
     for (auto& c : clients_) c->finish();
-    const Sec until = scheduler_.now() + kLast;
+    const Seconds until = scheduler_.now() + kLast;
     const auto open = [&] {
       return std::ranges::any_of(clients_, [](const auto& c) { return c->open() > 0; });
     };
@@ -326,13 +326,13 @@
   standins::Ports ports_;
   Scheduler scheduler_;
   Outbox outbox_;
-  const Sec began_, started_ = scheduler_.now() + 0.5;
+  const Seconds began_, started_ = scheduler_.now() + 0.5;
   Oracle oracle_;
   PurgeHistory purges_;
   Discovery discovery_;
   std::mt19937_64 chance_;
   std::vector<std::unique_ptr<Endpoint>> servers_;
-  std::vector<Sec> lifecycle_until_;
+  std::vector<Seconds> lifecycle_until_;
   std::vector<std::unique_ptr<Process>> processes_;
   std::vector<std::unique_ptr<Clients>> clients_;
   bool over_ = false;
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -18,11 +18,11 @@
   std::vector<Violation> violations;
   std::vector<std::string> traces;  // by violation: the routers' log lines that name its request
   Oracle::Counts counts;
-  Sec worst_lag = 0;
+  Seconds worst_lag = 0;
   std::uint64_t connections = 0;  // that servers accepted
   double cpu = 0;                 // seconds, of the routers that still ran at the end, since their start
   double memory_mb = 0;           // the most that one of them held
-  std::vector<Sec> took;          // from request to answer, of those that were served
+  std::vector<Seconds> took;      // from request to answer, of those that were served
 };
 
 Result play(const Plan& plan, const Programs& programs);
--- a/src/change/document.cpp
+++ b/src/change/document.cpp
@@ -37,7 +37,7 @@
   }
   if (d.stages.back() != 1) return "the last stage has to be the whole fleet";
   if (d.txns < 1 || d.txns > 1'000'000'000) return "txns is out of range, 1 to 1000000000";
-  constexpr Sec kDay = 86400;
+  constexpr Seconds kDay = 86400;
   if (!within(d.least, 0, kDay)) return "least is out of range, 0 to 86400 s";
   if (!within(d.longest, 1, 7 * kDay) || d.longest <= d.least)
     return "longest is out of range, over least and up to 7 days";
@@ -82,18 +82,18 @@
   return std::max<std::size_t>(1, static_cast<std::size_t>(d.at_once * static_cast<double>(of_site)));
 }
 
-Sec back_pace(const Document& d) {
+Seconds back_pace(const Document& d) {
   // Settings come back within one turn; a program is gone for as long as it takes to be ready.
   return d.work == freeze::kSettings ? 0.2 : std::min(d.ready_in, 2.0);
 }
 
-Sec way_back(const Document& d, std::size_t fleet) {
+Seconds way_back(const Document& d, std::size_t fleet) {
   const auto groups = (fleet + at_once(d, fleet) - 1) / at_once(d, fleet);
-  return static_cast<Sec>(groups) * back_pace(d) + d.ready_in;
+  return static_cast<Seconds>(groups) * back_pace(d) + d.ready_in;
 }
 
-Sec worst(const Document& d, std::size_t fleet) {
-  return static_cast<Sec>(stage_sizes(d, fleet).size()) * d.longest + way_back(d, fleet);
+Seconds worst(const Document& d, std::size_t fleet) {
+  return static_cast<Seconds>(stage_sizes(d, fleet).size()) * d.longest + way_back(d, fleet);
 }
 
 }  // namespace walkpaddle::change
--- a/src/change/document.h
+++ b/src/change/document.h
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <vector>
 
+#include "base/time.h"
 #include "freeze/window.h"
-#include "sec.h"
 
 namespace walkpaddle::change {
 
@@ -24,16 +24,16 @@
   // Shares of the fleet, each stage holding the one before; 0: one router, the canary.
   std::vector<double> stages{0, 0.01, 0.05, 0.25, 1};
   std::uint64_t txns = 200;  // least of each side, seen in a stage
-  Sec least = 10;            // a stage lasts so long at least
+  Seconds least = 10;        // a stage lasts so long at least
   // Then a stage that has not gone on stops the change: too little was seen.
-  Sec longest = 600;
+  Seconds longest = 600;
   // After a move a router's counts are left out so long: its caches of connections and its limits are a
   // newcomer's. The laboratory's routers come to their limits within some seconds.
-  Sec warm_up = 5;
-  Sec ready_in = 10;     // a generation that is not ready by then goes back by itself
-  double at_once = 0.1;  // most of a site's routers that move at a time, one at least
-  double harm = 0.005;   // share of txns worse off under which nothing is stopped
-  double ratio = 1.2;    // up to so many times as much as before is no harm
+  Seconds warm_up = 5;
+  Seconds ready_in = 10;  // a generation that is not ready by then goes back by itself
+  double at_once = 0.1;   // most of a site's routers that move at a time, one at least
+  double harm = 0.005;    // share of txns worse off under which nothing is stopped
+  double ratio = 1.2;     // up to so many times as much as before is no harm
   auto operator<=>(const Document&) const = default;
 };
 
@@ -53,8 +53,8 @@
 std::size_t at_once(const Document& document, std::size_t of_site);
 
 // Between two groups of a return, and the longest time that it takes; the longest time of the whole change.
-Sec back_pace(const Document& document);
-Sec way_back(const Document& document, std::size_t fleet);
-Sec worst(const Document& document, std::size_t fleet);
+Seconds back_pace(const Document& document);
+Seconds way_back(const Document& document, std::size_t fleet);
+Seconds worst(const Document& document, std::size_t fleet);
 
 }  // namespace walkpaddle::change
--- a/src/change/evidence.h
+++ b/src/change/evidence.h
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <cstdint>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::change {
 
@@ -23,7 +23,7 @@
   double memory_mb = 0, cpu = 0;  // cpu: seconds since the epoch began
   bool operator==(const Counters&) const = default;
 
-  static int time_of(Sec took) {
+  static int time_of(Seconds took) {
     const int n = took <= 0.001 ? 0 : static_cast<int>(std::ceil(std::log2(took / 0.001)));
     return n < kTimes ? n : kTimes - 1;
   }
@@ -44,11 +44,11 @@
 class Tally {
  public:
   // epoch: a time in microseconds does; quiet_until: what ends before is not counted.
-  void begin(std::uint64_t epoch, Sec quiet_until) {
+  void begin(std::uint64_t epoch, Seconds quiet_until) {
     counters_ = {.epoch = epoch}, quiet_until_ = quiet_until;
   }
   enum class End : std::uint8_t { completed, rejected, aborted };
-  void txn(End end, Sec took, Sec sla, int hops, Sec now) {
+  void txn(End end, Seconds took, Seconds sla, int hops, Seconds now) {
     if (now < quiet_until_) return;
     ++counters_.txns;
     counters_.refused += end == End::rejected;
@@ -57,13 +57,13 @@
     counters_.hops += static_cast<std::uint64_t>(hops);
     if (end == End::completed) ++counters_.took[static_cast<std::size_t>(Counters::time_of(took))];
   }
-  void hop(bool filled, bool turned_away, Sec now) {
+  void hop(bool filled, bool turned_away, Seconds now) {
     if (now < quiet_until_) return;
     counters_.fills += filled, counters_.turned_away += turned_away;
   }
   void breach() { ++counters_.breaches; }  // counts in the warm-up too
   // cpu: of the process since its start.
-  void load(double memory_mb, Sec cpu, Sec now) {
+  void load(double memory_mb, Seconds cpu, Seconds now) {
     if (now < quiet_until_) cpu_before_ = cpu;
     counters_.memory_mb = memory_mb, counters_.cpu = cpu - cpu_before_;
   }
@@ -71,7 +71,7 @@
 
  private:
   Counters counters_;
-  Sec quiet_until_ = 0, cpu_before_ = 0;
+  Seconds quiet_until_ = 0, cpu_before_ = 0;
 };
 
 }  // namespace walkpaddle::change
--- a/src/change/rollout.cpp
+++ b/src/change/rollout.cpp
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <cmath>
 
+#include "base/text.h"
 #include "change/change.capnp.h"
 #include "replica/flat.h"
-#include "text.h"
 
 namespace walkpaddle::change {
 
@@ -18,7 +18,7 @@
 
 constexpr std::size_t kLongestName = 64, kLongestWhy = 200, kMostSaid = 64;
 constexpr std::uint64_t kRouters = 1024;  // a term is a count and who asks: no two ask for the same
-constexpr Sec kNever = 1e15;
+constexpr Seconds kNever = 1e15;
 
 std::uint64_t hash_of(std::string_view text) { return XXH3_64bits(text.data(), text.size()) | 1; }
 
@@ -51,7 +51,7 @@
              .harm = b.getHarm(),
              .ratio = b.getRatio()};
   for (const double s : b.getStages()) d.stages.push_back(s);
-  if (const auto why = refusal(d); !why.empty()) throw Malformed("a change: " + why);
+  if (const auto why = refusal(d); !why.empty()) throw InputError("a change: " + why);
   return d;
 }
 
@@ -75,7 +75,7 @@
              .breaches = b.getBreaches(),
              .memory_mb = b.getMemoryMb(),
              .cpu = replica::time_of(b.getCpuS())};
-  if (!(c.memory_mb >= 0 && c.memory_mb < 1e9)) bad("memory", std::to_string(c.memory_mb));
+  if (!(c.memory_mb >= 0 && c.memory_mb < 1e9)) throw_bad_value("memory", std::to_string(c.memory_mb));
   const auto took = b.getTook();
   for (unsigned n = 0; n < std::min<unsigned>(took.size(), Counters::kTimes); ++n) c.took[n] = took[n];
   return c;
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-Rollout::Rollout(const Setup& setup, freeze::Calendar& calendar, const Bounds& bounds, Sec now)
+Rollout::Rollout(const Setup& setup, freeze::Calendar& calendar, const Bounds& bounds, Seconds now)
     : setup_(setup),
       bounds_(bounds),
       calendar_(calendar),
@@ -121,7 +121,7 @@
   return it == courses_.end() ? nullptr : &it->second;
 }
 
-void Rollout::set_document(const Document& d, Sec now) {
+void Rollout::set_document(const Document& d, Seconds now) {
   auto* c = course(d.name);
   if (c != nullptr && c->document == d) return;
   if (c != nullptr) {
@@ -178,7 +178,7 @@
 }
 
 // Of two stops the first in order stays, so that all hold the same words; that it stands does not change.
-bool Rollout::set_stop(Course& c, const Stop& s, Sec now) {
+bool Rollout::set_stop(Course& c, const Stop& s, Seconds now) {
   if (c.stop && !(s < *c.stop)) return false;
   if (!c.stop) {
     c.stop_heard = now;
@@ -193,7 +193,7 @@
   return true;
 }
 
-bool Rollout::propose(const Document& d, Sec now) {
+bool Rollout::propose(const Document& d, Seconds now) {
   const auto why = [&]() -> std::string {
     if (auto text = refusal(d); !text.empty()) return text;
     if (item_of(d).size() > kLargestItem) return "its document is too long";
@@ -209,7 +209,7 @@
   return course(d.name) != nullptr;
 }
 
-bool Rollout::stop(const std::string& name, const std::string& why, Sec now) {
+bool Rollout::stop(const std::string& name, const std::string& why, Seconds now) {
   const Stop s{setup_.self.router, now, why.substr(0, kLongestWhy)};
   auto* c = course(name);
   if (c == nullptr && early_.size() < bounds_.changes && name.size() <= kLongestName)
@@ -222,8 +222,8 @@
   return it == keys_.end() ? 0 : std::string_view("dos").find(it->first.front());
 }
 
-bool Rollout::take(std::string_view bytes, Sec now) {
-  if (bytes.size() > kLargestItem) bad("item of length", std::to_string(bytes.size()));
+bool Rollout::take(std::string_view bytes, Seconds now) {
+  if (bytes.size() > kLargestItem) throw_bad_value("item of length", std::to_string(bytes.size()));
   const auto before = news();
   replica::reading<schema::Item>(bytes, kLargestItem, [&](const schema::Item::Reader& item) {
     switch (item.which()) {
@@ -282,7 +282,7 @@
 
 // Of the sites that are not frozen now: a frozen one holds its own routers, and the others go on without it.
 // Where all are, all are asked for.
-freeze::Calendar::Plan Rollout::plan(const Course& c, Sec worst, Sec now) const {
+freeze::Calendar::Plan Rollout::plan(const Course& c, Seconds worst, Seconds now) const {
   std::vector<std::string> open;
   for (const auto& site : sites_)
     if (!calendar_.site_frozen(site, c.document.work, now)) open.push_back(site);
@@ -299,7 +299,7 @@
   return c.waits.empty() ? Phase::old : Phase::held;
 }
 
-std::optional<Rollout::Move> Rollout::next_move(Sec now) {
+std::optional<Rollout::Move> Rollout::next_move(Seconds now) {
   if (moving_) return std::nullopt;
   // A release is tried once while it is under way; one that this machine came to run and the fleet has is
   // taken again whenever its keeper starts the program before.
@@ -317,8 +317,8 @@
       const auto through =
           std::max<std::size_t>(c.turn, c.decided.stage > 0 ? c.sizes[c.decided.stage - 1] : 1);
       const auto after_me = through > c.place ? through - 1 - c.place : 0;
-      const Sec at =
-          c.stop_heard + static_cast<Sec>(after_me / at_once(c.document, fleet())) * back_pace(c.document);
+      const Seconds at = c.stop_heard + static_cast<Seconds>(after_me / at_once(c.document, fleet())) *
+                                            back_pace(c.document);
       if (now >= at) return move(c, true);
       due_ = std::min(due_, at);
     }
@@ -339,7 +339,7 @@
   return std::nullopt;
 }
 
-void Rollout::moved(Sec) {
+void Rollout::moved(Seconds) {
   if (!moving_) return;
   running_ = moving_->to;
   counters_ = {};  // those of before are not of this generation
@@ -348,7 +348,7 @@
   due_ = 0;
 }
 
-void Rollout::move_failed(const std::string& why, Sec) {
+void Rollout::move_failed(const std::string& why, Seconds) {
   if (!moving_) return;
   say("change " + moving_->document.name + ": " + moving_->to +
       " did not become ready: " + why.substr(0, kLongestWhy));
@@ -364,7 +364,7 @@
 }
 
 // Whether this router lets the change go on to `wanted`, asked under a term that it promised.
-bool Rollout::agree(Course& c, std::uint64_t term, std::uint32_t wanted, Sec now) {
+bool Rollout::agree(Course& c, std::uint64_t term, std::uint32_t wanted, Seconds now) {
   if (term != promised_ || c.stop || wanted == 0 || wanted > c.decided.stage + 1) return false;
   if (now < started_ + (setup_.lasting ? 0 : bounds_.lease)) return false;  // it may have forgotten a promise
   if (!calendar_.not_current(now).empty()) return false;
@@ -373,12 +373,13 @@
   return true;
 }
 
-void Rollout::letter(int from, std::string_view bytes, Sec now) {
-  if (bytes.size() > kLargestItem) bad("letter of length", std::to_string(bytes.size()));
+void Rollout::letter(int from, std::string_view bytes, Seconds now) {
+  if (bytes.size() > kLargestItem) throw_bad_value("letter of length", std::to_string(bytes.size()));
   replica::reading<schema::Letter>(bytes, kLargestItem, [&](const schema::Letter::Reader& l) {
     if (l.which() == schema::Letter::REPORT) {
       const auto b = l.getReport();
-      if (b.getPhase() > static_cast<int>(Phase::held)) bad("phase", std::to_string(b.getPhase()));
+      if (b.getPhase() > static_cast<int>(Phase::held))
+        throw_bad_value("phase", std::to_string(b.getPhase()));
       if (drive_ && hash_of(drive_->change) == b.getChange())
         heard(from,
               {b.getTerm(), b.getGranted(), b.getAcked(), b.getAckedUnder(), static_cast<Phase>(b.getPhase()),
@@ -429,7 +430,7 @@
     if (alive(p) && letters_.size() < 2 * fleet()) letters_.push_back({p, bytes});
 }
 
-std::optional<replica::Kind::Letter> Rollout::next_letter(Sec now) {
+std::optional<replica::Kind::Letter> Rollout::next_letter(Seconds now) {
   step(now);
   if (letters_.empty()) return std::nullopt;
   auto letter = std::move(letters_.front());
@@ -445,13 +446,13 @@
 }
 
 void Rollout::own_back(std::string_view bytes) {
-  promised_ = std::max(promised_, parse<std::uint64_t>(cut(bytes, ' '), "term"));
+  promised_ = std::max(promised_, parse<std::uint64_t>(take_field(bytes, ' '), "term"));
   tried_ = bytes.substr(0, kLongestName);
 }
 
 // ---- the driver --------------------------------------------------------------------------------
 
-void Rollout::step(Sec now) {
+void Rollout::step(Seconds now) {
   // One that stood still drives no more, and lets the others' driver speak first.
   if (now - stepped_at_ > bounds_.lease / 2) drive_.reset(), driver_heard_ = now;
   stepped_at_ = now;
@@ -468,10 +469,10 @@
 }
 
 // The last in the order to change asks first: while it lives it drives to the end, as an old router.
-void Rollout::elect(Course& c, Sec now) {
+void Rollout::elect(Course& c, Seconds now) {
   std::size_t after_me = 0;
   for (std::size_t n = c.place + 1; n < c.order.size(); ++n) after_me += alive(static_cast<int>(c.order[n]));
-  const Sec wait = bounds_.lease * (1 + 0.5 * static_cast<double>(std::min<std::size_t>(after_me, 8)));
+  const Seconds wait = bounds_.lease * (1 + 0.5 * static_cast<double>(std::min<std::size_t>(after_me, 8)));
   const bool fresh = c.decided.stage == 0 && promised_ == 0 && after_me == 0;  // nobody has driven yet
   if ((now - driver_heard_ < wait && !fresh) || now < elect_at_) return;
   if (!calendar_.not_current(now).empty()) return;
@@ -484,7 +485,7 @@
   drive(c, now);
 }
 
-void Rollout::heard(int from, const Report& r, Sec now) {
+void Rollout::heard(int from, const Report& r, Seconds now) {
   auto& d = *drive_;
   if (r.term > promised_) {  // another was promised more
     elect_at_ = now + bounds_.lease;
@@ -506,7 +507,7 @@
 }
 
 // Who has moved, and who started anew soon after: that is a crash of the new generation.
-void Rollout::note(int from, const Report& r, Sec now) {
+void Rollout::note(int from, const Report& r, Seconds now) {
   auto& d = *drive_;
   auto& last = d.phases.try_emplace(from, r.phase).first->second;
   // One that went to move and is as before did not come up, though it remembers nothing of it.
@@ -522,12 +523,12 @@
 
 // Failed, or dead soon after their move. Where the old ones die as much it is a cut or another trouble of
 // all.
-std::size_t Rollout::did_not_start(Sec now) const {
+std::size_t Rollout::did_not_start(Seconds now) const {
   const auto& d = *drive_;
   std::size_t died = 0, dead_old = 0, old_ones = 0;
   for (const auto& [n, moved] : d.moved)
     died += !alive(n) && now - moved.at < bounds_.watch + 2 * bounds_.lease;
-  const Sec patience = courses_.at(d.change).document.ready_in + bounds_.lease;
+  const Seconds patience = courses_.at(d.change).document.ready_in + bounds_.lease;
   for (const auto& [n, at] : d.given) died += !alive(n) && !d.moved.contains(n) && now > at + patience;
   for (int n = 0; n < static_cast<int>(fleet()); ++n)
     if (!d.moved.contains(n) && !d.given.contains(n)) ++old_ones, dead_old += !alive(n);
@@ -536,7 +537,7 @@
   return d.failed.size() + (common ? 0 : died);
 }
 
-void Rollout::drive(Course& c, Sec now) {
+void Rollout::drive(Course& c, Seconds now) {
   auto& d = *drive_;
   d.reports[self()] = {report(c, true), now};
   note(self(), d.reports[self()].first, now);
@@ -596,7 +597,7 @@
 
 // In the order, at most a share of each site moving at a time; who is down or held is passed over and takes
 // its turn when it can.
-void Rollout::give_turns(Course& c, Sec now) {
+void Rollout::give_turns(Course& c, Seconds now) {
   auto& d = *drive_;
   const auto last = c.decided.stage == c.sizes.size();
   // A stage is so many that can move: those that are down or held do not stand for it.
@@ -640,7 +641,7 @@
 }
 
 // Those of the stage that hold the new generation past its warm-up, or cannot.
-std::size_t Rollout::settled(const Course& c, Sec now) const {
+std::size_t Rollout::settled(const Course& c, Seconds now) const {
   const auto& d = *drive_;
   std::size_t count = 0;
   for (std::size_t n = 0; n < d.turn; ++n) {
@@ -658,7 +659,7 @@
   return count;
 }
 
-void Rollout::judge(Course& c, Sec now) {
+void Rollout::judge(Course& c, Seconds now) {
   auto& d = *drive_;
   d.tick_at = now + bounds_.beat;
   const auto rest = worst(c.document, fleet()) - c.document.longest * c.decided.stage;
@@ -709,7 +710,7 @@
 }
 
 // Goes on, waits or stops: past what a stage needs, with leave of the calendar, and no doubt left.
-void Rollout::go_on(Course& c, Sec now) {
+void Rollout::go_on(Course& c, Seconds now) {
   auto& d = *drive_;
   const auto stages = c.sizes.size();
   const auto& doc = c.document;
@@ -773,7 +774,7 @@
        now);
 }
 
-std::vector<Rollout::Standing> Rollout::standing(Sec now) const {
+std::vector<Rollout::Standing> Rollout::standing(Seconds now) const {
   std::vector<Standing> all;
   for (const auto& [name, c] : courses_) {
     Standing s{.document = c.document,
--- a/src/change/rollout.h
+++ b/src/change/rollout.h
@@ -37,12 +37,12 @@
 class Rollout : public replica::Kind {
  public:
   struct Bounds {
-    Sec beat = 2;         // between a driver's questions: 300 answers of 200 bytes each
-    Sec ask_again = 0.5;  // for a vote, or for leave to go on
-    Sec lease = 6;        // three questions lost
+    Seconds beat = 2;         // between a driver's questions: 300 answers of 200 bytes each
+    Seconds ask_again = 0.5;  // for a vote, or for leave to go on
+    Seconds lease = 6;        // three questions lost
     std::size_t changes = 32;
     double failed = 0.02;  // share of those moved that may fail to start past the first stage
-    Sec watch = 30;        // a router that dies so soon after its move failed to start
+    Seconds watch = 30;    // a router that dies so soon after its move failed to start
   };
   struct Setup {
     Placed self;
@@ -53,14 +53,14 @@
     std::function<bool(int)> alive;                       // a peer, as members know it
     std::function<std::string(const Document&)> refuses;  // why a change may not start here; empty: it may
   };
-  Rollout(const Setup& setup, freeze::Calendar& calendar, const Bounds& bounds, Sec now);
+  Rollout(const Setup& setup, freeze::Calendar& calendar, const Bounds& bounds, Seconds now);
 
   // Inputs from the host.
-  bool propose(const Document& document, Sec now);  // false: it is known, or refused (said)
-  bool stop(const std::string& change, const std::string& why, Sec now);
+  bool propose(const Document& document, Seconds now);  // false: it is known, or refused (said)
+  bool stop(const std::string& change, const std::string& why, Seconds now);
   void counted(const Counters& counters) { counters_ = counters; }
-  void moved(Sec now);  // what next_move() gave is ready
-  void move_failed(const std::string& why, Sec now);
+  void moved(Seconds now);  // what next_move() gave is ready
+  void move_failed(const std::string& why, Seconds now);
 
   // What the host is to do: run this generation from now on. Asked for after each input and at next_due().
   struct Move {
@@ -68,7 +68,7 @@
     Document document;
     bool back = false;
   };
-  std::optional<Move> next_move(Sec now);
+  std::optional<Move> next_move(Seconds now);
   std::vector<std::string> take_said() { return std::exchange(said_, {}); }  // for the log, once
 
   enum class Phase : std::uint8_t { old, moving, anew, failed, held };
@@ -81,7 +81,7 @@
     std::size_t through = 0, fleet = 0;  // so many hold the new generation by the order; of so many
     std::uint64_t txns[2] = {0, 0};      // seen in the stage by the driver: old, new
   };
-  std::vector<Standing> standing(Sec now) const;
+  std::vector<Standing> standing(Seconds now) const;
   const std::string& running() const { return running_; }
   std::string fleets_generation() const;  // what the fleet stands at, as far as it is known here
   bool driving() const { return drive_ && drive_->phase != Driving::electing; }
@@ -90,10 +90,10 @@
   // As a kind of replicated state.
   std::uint8_t number() const override { return 1; }
   std::size_t place_of(std::uint64_t id) const override;
-  bool take(std::string_view bytes, Sec now) override;
-  std::optional<Letter> next_letter(Sec now) override;
-  void letter(int from, std::string_view bytes, Sec now) override;
-  Sec next_due() const override { return due_; }
+  bool take(std::string_view bytes, Seconds now) override;
+  std::optional<Letter> next_letter(Seconds now) override;
+  void letter(int from, std::string_view bytes, Seconds now) override;
+  Seconds next_due() const override { return due_; }
   std::string own() const override;
   void own_back(std::string_view bytes) override;
 
@@ -105,7 +105,7 @@
   };
   struct Stop {
     std::uint64_t by = 0;
-    Sec at = 0;
+    Seconds at = 0;
     std::string why;
     auto operator<=>(const Stop&) const = default;
   };
@@ -116,7 +116,7 @@
     std::size_t place = 0;  // of this router in the order
     Order decided{};
     std::optional<Stop> stop{};
-    Sec stop_heard = 0;
+    Seconds stop_heard = 0;
     std::uint32_t acked = 0;  // the stage that this router agreed to last, and under which term
     std::uint64_t acked_under = 0;
     std::size_t turn = 0;  // so many of the order may have moved, as the driver last said
@@ -141,16 +141,16 @@
   struct Drive {
     std::string change;
     Driving phase = Driving::electing;
-    Sec since = 0, ask_at = 0, tick_at = 0, stage_at = 0;
-    std::map<int, std::pair<Report, Sec>> reports{};  // by number in the fleet
-    std::map<int, Counters> judged{};                 // as the judge last had them
+    Seconds since = 0, ask_at = 0, tick_at = 0, stage_at = 0;
+    std::map<int, std::pair<Report, Seconds>> reports{};  // by number in the fleet
+    std::map<int, Counters> judged{};                     // as the judge last had them
     struct Moved {
-      Sec at = 0;               // first seen in the new generation
+      Seconds at = 0;           // first seen in the new generation
       std::uint64_t epoch = 0;  // then: another one since is another start
     };
     std::map<int, Moved> moved{};
-    std::map<int, Phase> phases{};  // as last told
-    std::map<int, Sec> given{};     // when its turn came to one that was alive
+    std::map<int, Phase> phases{};   // as last told
+    std::map<int, Seconds> given{};  // when its turn came to one that was alive
     std::set<int> failed{};
     std::size_t turn = 0;
     bool held_back = true;  // the last of the last stage wait for the judge
@@ -161,9 +161,9 @@
   Course* course(const std::string& name);
   const Course* active() const;
   Course* active() { return const_cast<Course*>(std::as_const(*this).active()); }
-  void set_document(const Document& document, Sec now);
+  void set_document(const Document& document, Seconds now);
   bool set_order(Course& c, const Order& order);
-  bool set_stop(Course& c, const Stop& stop, Sec now);
+  bool set_stop(Course& c, const Stop& stop, Seconds now);
   void publish(const std::string& key, const std::string& item);
   void say(std::string line);
 
@@ -171,7 +171,7 @@
   int self() const { return static_cast<int>(fleet_.size()) - 1; }
   std::size_t majority() const { return fleet_.size() / 2 + 1; }
   bool alive(int n) const { return n == self() || setup_.alive(n); }
-  freeze::Calendar::Plan plan(const Course& c, Sec worst, Sec now) const;
+  freeze::Calendar::Plan plan(const Course& c, Seconds worst, Seconds now) const;
   Phase phase(const Course& c) const;
   // This router's move did; of a release its machine remembers that it was tried.
   bool failed(const Course& c) const {
@@ -179,19 +179,19 @@
   }
   Report report(const Course& c, bool granted) const;
 
-  void step(Sec now);
-  void elect(Course& c, Sec now);
-  void drive(Course& c, Sec now);
+  void step(Seconds now);
+  void elect(Course& c, Seconds now);
+  void drive(Course& c, Seconds now);
   void ask_all(Course& c, bool vote, std::uint32_t wanted);
-  void heard(int from, const Report& report, Sec now);
-  void note(int from, const Report& report, Sec now);
-  std::size_t did_not_start(Sec now) const;
-  bool agree(Course& c, std::uint64_t term, std::uint32_t wanted, Sec now);
-  void give_turns(Course& c, Sec now);
-  void judge(Course& c, Sec now);
-  void go_on(Course& c, Sec now);
-  std::size_t settled(const Course& c, Sec now) const;
-  Sec fresh_within() const { return bounds_.lease; }
+  void heard(int from, const Report& report, Seconds now);
+  void note(int from, const Report& report, Seconds now);
+  std::size_t did_not_start(Seconds now) const;
+  bool agree(Course& c, std::uint64_t term, std::uint32_t wanted, Seconds now);
+  void give_turns(Course& c, Seconds now);
+  void judge(Course& c, Seconds now);
+  void go_on(Course& c, Seconds now);
+  std::size_t settled(const Course& c, Seconds now) const;
+  Seconds fresh_within() const { return bounds_.lease; }
 
   const Setup setup_;
   const Bounds bounds_;
@@ -199,7 +199,7 @@
   std::mt19937 chance_;
   std::vector<Placed> fleet_;  // the peers, then this router
   std::vector<std::string> sites_;
-  const Sec started_;
+  const Seconds started_;
   std::string running_;
   std::optional<Move> moving_;
   std::map<std::string, Course> courses_;
@@ -212,7 +212,7 @@
   std::uint64_t promised_ = 0;
   int promised_to_ = -1;
   std::uint64_t sent_ = 0;  // of the last report
-  Sec driver_heard_, stepped_at_, due_, elect_at_;
+  Seconds driver_heard_, stepped_at_, due_, elect_at_;
   std::optional<Drive> drive_;
 };
 
--- a/src/compat/release.cpp
+++ b/src/compat/release.cpp
@@ -6,8 +6,8 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
+#include "base/text.h"
 #include "replica/flat.h"
-#include "text.h"
 
 namespace walkpaddle::compat {
 
@@ -132,9 +132,9 @@
                     .largest = c.at("largest").get<std::size_t>(),
                     .passed_over = c.value("unknown", std::string()) == "passed over"};
     if (channel.version < 1 || channel.version > 255)
-      throw Malformed("channel " + name + ": a version past 255");
+      throw InputError("channel " + name + ": a version past 255");
     if (!to.structs.contains(channel.root))
-      throw Malformed("channel " + name + ": no schema has its root " + channel.root);
+      throw InputError("channel " + name + ": no schema has its root " + channel.root);
     to.channels[name] = channel;
   }
   const json none = json::object();
@@ -146,11 +146,11 @@
     if (it != to.structs.end())
       for (auto& [number, f] : it->second)
         if (f.name == path.substr(dot + 1)) field = &f;
-    if (field == nullptr) throw Malformed("rule for " + path + ": no schema has that field");
+    if (field == nullptr) throw InputError("rule for " + path + ": no schema has that field");
     static const std::set<std::string> known{"unit",    "least", "most",   "values", "unknown", "absent",
                                              "retired", "was",   "alters", "gated",  "plain"};
     for (const auto& [word, value] : r.items())
-      if (!known.contains(word)) throw Malformed("rule for " + path + ": unknown word " + word);
+      if (!known.contains(word)) throw InputError("rule for " + path + ": unknown word " + word);
     field->unit = r.value("unit", ""), field->was = r.value("was", ""), field->alters = r.value("alters", "");
     if (r.contains("least")) field->least = r["least"].get<double>();
     if (r.contains("most")) field->most = r["most"].get<double>();
@@ -193,7 +193,7 @@
   try {
     read_rules(json::parse(rules), release);
   } catch (const json::exception& e) {
-    throw Malformed(std::string("rules that cannot be read: ") + e.what());
+    throw InputError(std::string("rules that cannot be read: ") + e.what());
   }
   return release;
 }
@@ -206,7 +206,7 @@
   try {
     for (const auto& bytes : requests) {
       if (bytes.size() > kMost || bytes.size() % sizeof(capnp::word) != 0 || bytes.empty())
-        bad("schema of length", std::to_string(bytes.size()));
+        throw_bad_value("schema of length", std::to_string(bytes.size()));
       auto& words = held.emplace_back(bytes.size() / sizeof(capnp::word));
       std::memcpy(static_cast<void*>(words.data()), bytes.data(), bytes.size());
       messages.push_back(std::make_unique<capnp::FlatArrayMessageReader>(
@@ -218,7 +218,7 @@
     }
     return read_release(nodes, rules);
   } catch (const kj::Exception& e) {
-    throw Malformed(std::string("a schema that cannot be read: ") + e.getDescription().cStr());
+    throw InputError(std::string("a schema that cannot be read: ") + e.getDescription().cStr());
   }
 }
 
--- a/src/compat/release.h
+++ b/src/compat/release.h
@@ -51,7 +51,7 @@
   std::vector<std::string> reached(const std::string& root) const;
 };
 
-// Both throw Malformed with what is wrong; a rule for a field that no schema has is wrong as well.
+// Both throw InputError with what is wrong; a rule for a field that no schema has is wrong as well.
 Release read_release(const std::vector<std::string>& requests, std::string_view rules);
 Release read_release(const std::vector<capnp::schema::Node::Reader>& nodes, std::string_view rules);
 
--- a/src/net/config.cpp
+++ b/src/config/platform_config.cpp
@@ -1,9 +1,9 @@
-#include "net/config.h"
+#include "config/platform_config.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "text.h"
+#include "base/text.h"
 
 namespace walkpaddle::net {
 
@@ -45,8 +45,8 @@
 int place_of(std::string_view name, const Settings& settings, const std::string& list) {
   auto rest = settings.text(list);
   for (int n = 0; !rest.empty(); ++n)
-    if (cut(rest, ',') == in_list(std::string(name))) return n;
-  throw Malformed("'" + std::string(name) + "' is not in the settings' " + list);
+    if (take_field(rest, ',') == in_list(std::string(name))) return n;
+  throw InputError("'" + std::string(name) + "' is not in the settings' " + list);
 }
 
 template <class F>
@@ -54,23 +54,23 @@
   try {
     return read();
   } catch (const json::exception& e) {
-    throw Malformed(std::string("configuration: ") + e.what());
+    throw InputError(std::string("configuration: ") + e.what());
   }
 }
 
-void hand_member(const json& m, const Settings& settings, ListEvents& events) {
+void hand_member(const json& m, const Settings& settings, DiscoveryEvents& events) {
   const auto word = m.at("phase").get<std::string>();
-  const auto state = choose<int>(word, {{"ready", 0}, {"draining", 1}, {"gone", 2}}, 3);
-  if (state > 2) bad("phase", word);
-  constexpr Listed kStates[] = {Listed::ready, Listed::draining, Listed::gone};
-  events.list_member(m.at("id").get<std::string>(), parse_address(m.at("host_port").get<std::string>()),
-                     place_of(m.at("locality").get<std::string>(), settings, "failure_domains"),
-                     place_of(m.at("flavor").get<std::string>(), settings, "models"), m.value("cell", 0),
-                     kStates[state], m.value("size", 1.0), m.value("up_since_ms", 0.0) / 1e3);
+  const auto state = value_of_name<int>(word, {{"ready", 0}, {"draining", 1}, {"gone", 2}}, 3);
+  if (state > 2) throw_bad_value("phase", word);
+  constexpr EndpointState kStates[] = {EndpointState::ready, EndpointState::draining, EndpointState::gone};
+  events.update_endpoint(m.at("id").get<std::string>(), parse_address(m.at("host_port").get<std::string>()),
+                         place_of(m.at("locality").get<std::string>(), settings, "failure_domains"),
+                         place_of(m.at("flavor").get<std::string>(), settings, "models"), m.value("cell", 0),
+                         kStates[state], m.value("size", 1.0), m.value("up_since_ms", 0.0) / 1e3);
 }
 
 // The newest stamp of discovery among the events, 0 for none.
-Sec newest_stamp(const json& batch) {
+Seconds newest_stamp(const json& batch) {
   double newest = 0;
   for (const auto& e : batch) {
     if (e.contains("ban")) newest = std::max(newest, e["ban"].at("ts").get<double>());
@@ -97,26 +97,26 @@
     }
     flatten(j.at("settings"), "", c.settings);
     if (c.settings.whole("categories.count") <= 0)
-      throw Malformed("configuration: settings without categories");
+      throw InputError("configuration: settings without categories");
     check(c.settings);
     c.known = j.at("known").dump();
     return c;
   });
 }
 
-std::uint64_t hand_known(const std::string& known, const Settings& settings, ListEvents& events) {
+std::uint64_t hand_known(const std::string& known, const Settings& settings, DiscoveryEvents& events) {
   return reading([&] {
     const auto j = json::parse(known);
     events.known_begin(newest_stamp(j.at("batch")));
     for (const auto& e : j.at("batch")) {
       if (e.contains("topology")) {
         const auto& list = e["topology"];
-        events.list_begin(list.at("complete").get<bool>());
+        events.begin_endpoint_list(list.at("complete").get<bool>());
         for (const auto& m : list.at("members")) hand_member(m, settings, events);
-        events.list_end();
+        events.end_endpoint_list();
       } else if (e.contains("ban")) {
         const auto& purge = e["ban"];
-        const Sec at = purge.at("ts").get<double>() / 1e3;
+        const Seconds at = purge.at("ts").get<double>() / 1e3;
         if (purge.contains("url"))
           events.purged(purge["url"].get<std::string>(), at);
         else
@@ -128,8 +128,8 @@
   });
 }
 
-std::vector<RuleName> rule_names(const Settings& settings) {
-  std::vector<RuleName> names;
+std::vector<RequestClassName> request_class_names(const Settings& settings) {
+  std::vector<RequestClassName> names;
   for (int n = 0; n < settings.whole("categories.count"); ++n) {
     const auto at = "categories." + std::to_string(n) + ".";
     names.push_back({std::string(settings.text(at + "name")), settings.text(at + "effect") == "guarded",
--- a/src/net/config.h
+++ b/src/config/platform_config.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
+#include "config/settings.h"
 #include "io/stream.h"
-#include "net/frames.h"
-#include "settings.h"
+#include "net/discovery_codec.h"
 
 namespace walkpaddle::net {
 
@@ -23,17 +23,17 @@
   int listening = -1;  // a listener that an earlier program left open, -1 for none
 };
 
-Config parse_config(const std::string& text);  // Malformed names what is missing or wrong
+Config parse_config(const std::string& text);  // InputError names what is missing or wrong
 
 // The events that were known at the start, in order; gives the number of the last.
-std::uint64_t hand_known(const std::string& known, const Settings& settings, ListEvents& events);
+std::uint64_t hand_known(const std::string& known, const Settings& settings, DiscoveryEvents& events);
 
-struct RuleName {
+struct RequestClassName {
   std::string name;
   bool keyed = false;
   bool uncacheable = false;
   bool effect = false;  // may not simply run again
 };
-std::vector<RuleName> rule_names(const Settings& settings);
+std::vector<RequestClassName> request_class_names(const Settings& settings);
 
 }  // namespace walkpaddle::net
--- a/src/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,18 +1,11 @@
-#include "settings.h"
+#include "config/settings.h"
 
 #include <algorithm>
 
-#include "text.h"
+#include "base/text.h"
 
 namespace walkpaddle {
 
-std::uint64_t stable_hash(std::string_view text) {
-  std::uint64_t h = 14695981039346656037u;
-  for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 1099511628211u;
-  h = (h ^ (h >> 33)) * 0xff51afd7ed558ccdu;
-  return h ^ (h >> 33);
-}
-
 std::string_view Settings::text(const std::string& path, std::string_view absent) const {
   const auto it = values_.find(path);
   return it == values_.end() || it->second == "-" ? absent : std::string_view(it->second);
@@ -20,8 +13,8 @@
 
 void Settings::put_lines(std::string_view lines) {
   while (!lines.empty()) {
-    auto line = cut(lines, '\n');
-    const auto path = cut(line, '=');
+    auto line = take_field(lines, '\n');
+    const auto path = take_field(line, '=');
     put(std::string(path), std::string(line));
   }
 }
@@ -38,8 +31,8 @@
 
 std::string_view Settings::item(const std::string& path, std::size_t at) const {
   auto rest = text(path);
-  for (; at > 0 && !rest.empty(); --at) cut(rest, ',');
-  return cut(rest, ',');
+  for (; at > 0 && !rest.empty(); --at) take_field(rest, ',');
+  return take_field(rest, ',');
 }
 
 double Settings::item_number(const std::string& path, std::size_t at) const {
@@ -49,18 +42,21 @@
 
 namespace {
 
-RemapRule rule_of(const Settings& s, std::size_t n) {
+RequestClass rule_of(const Settings& s, std::size_t n) {
   const std::string at = "categories." + std::to_string(n) + ".";
-  RemapRule r;
-  r.effect = choose(s.text(at + "effect"), {{"free", Effect::repeatable}, {"guarded", Effect::keyed}},
-                    Effect::unrepeatable);
-  r.group = choose(s.text(at + "group"), {{"zone", Group::location}, {"cell", Group::cell}}, Group::all);
-  r.window = s.ms(at + "window");
-  r.sla_time = s.ms(at + "aim");
-  r.sla_stretch = s.number(at + "aim_stretch");
-  r.time_limit = s.ms(at + "deadline");
-  r.importance = s.number(at + "gain", 1);
-  r.fresh = s.item_number("specifics.class_fresh", n) / 1e3;
+  RequestClass r;
+  r.idempotency = value_of_name(s.text(at + "effect"),
+                                {{"free", Idempotency::idempotent}, {"guarded", Idempotency::with_key}},
+                                Idempotency::non_idempotent);
+  r.deduplication = value_of_name(
+      s.text(at + "group"), {{"zone", DeduplicationScope::location}, {"cell", DeduplicationScope::cell}},
+      DeduplicationScope::all);
+  r.deduplication_window = s.ms(at + "window");
+  r.latency_objective = s.ms(at + "aim");
+  r.latency_objective_stretch = s.number(at + "aim_stretch");
+  r.deadline = s.ms(at + "deadline");
+  r.priority = s.number(at + "gain", 1);
+  r.max_age = s.item_number("specifics.class_fresh", n) / 1e3;
   r.in_parts = s.item("specifics.in_parts", n) == "true";
   r.uncacheable = s.item("specifics.pass_on", n) == "true";
   return r;
@@ -77,8 +73,8 @@
 }
 
 [[noreturn]] void refuse(const std::string& key, std::string_view got, const std::string& expected) {
-  throw Malformed("configuration: settings." + key + " is '" + std::string(got.substr(0, 40)) +
-                  "', expected " + expected);
+  throw InputError("configuration: settings." + key + " is '" + std::string(got.substr(0, 40)) +
+                   "', expected " + expected);
 }
 
 void number_within(const Settings& s, const std::string& key, double least, double most) {
@@ -162,47 +158,48 @@
     refuse("report.names", "", "the names of the values, as report.source is 'answers'");
 }
 
-std::vector<RemapRule> remap_rules(const Settings& s) {
-  std::vector<RemapRule> rules;
+std::vector<RequestClass> request_classes(const Settings& s) {
+  std::vector<RequestClass> rules;
   const auto count = static_cast<std::size_t>(s.number("categories.count"));
   for (std::size_t n = 0; n < count; ++n) rules.push_back(rule_of(s, n));
   return rules;
 }
 
-void hand_over(const Settings& s, Brain& b) {
+void apply_settings(const Settings& s, RoutingPolicy& b) {
   const int here = s.whole("locality");
-  b.set_place({here, std::max(1, static_cast<int>(s.item_number("specifics.seats_by_zone", here))),
-               std::max(1, s.whole("fleet_size", 1))});
+  b.set_placement({here, std::max(1, static_cast<int>(s.item_number("specifics.seats_by_zone", here))),
+                   std::max(1, s.whole("fleet_size", 1))});
   b.set_roles({s.whole("specifics.second_tier_kind", -1), s.whole("specifics.origin_kind", -1),
                s.flag("specifics.direct")});
-  for (const auto& rule : remap_rules(s)) b.add_rule(rule);
-  b.set_cold({s.number("rules.cold_from", 1), s.number("rules.fall_multiple", 1), s.ms("rules.warm_after"),
-              s.ms("rules.overload_for")},
-             {s.number("specifics.upper_cold_from", 1), s.number("specifics.upper_fall_multiple", 1),
-              s.ms("specifics.parent_warms_in"), s.ms("rules.overload_for")});
+  for (const auto& rule : request_classes(s)) b.add_request_class(rule);
+  b.set_slow_start({s.number("rules.cold_from", 1), s.number("rules.fall_multiple", 1),
+                    s.ms("rules.warm_after"), s.ms("rules.overload_for")},
+                   {s.number("specifics.upper_cold_from", 1), s.number("specifics.upper_fall_multiple", 1),
+                    s.ms("specifics.parent_warms_in"), s.ms("rules.overload_for")});
   const auto weights = s.text("weights");
-  b.set_weights(weights == "nominal" || weights == "rough");
-  b.set_list(s.text("registry_mode") == "ask");
-  hand_over_again(s, b);
+  b.set_weight_meaning(weights == "nominal" || weights == "rough");
+  b.set_discovery_polling(s.text("registry_mode") == "ask");
+  apply_live_settings(s, b);
 }
 
-bool changes_live(std::string_view path) {
+bool is_live_setting(std::string_view path) {
   static constexpr std::string_view kLive[] = {
       "allowed.max_attempts", "allowed.cancel",         "allowed.retry_after",   "allowed.max_retry_after",
       "specifics.peers_fill", "specifics.merges_fills", "specifics.notes_given", "client_habits.marks_retry"};
   return std::ranges::find(kLive, path) != std::end(kLive);
 }
 
-void hand_over_again(const Settings& s, Brain& b) {
-  b.set_hopping({s.whole("allowed.max_attempts", 1), s.flag("allowed.cancel")});
-  b.set_filling(
-      {choose(s.text("specifics.peers_fill"), {{"location", Siblings::location}, {"any", Siblings::any}},
-              Siblings::none),
+void apply_live_settings(const Settings& s, RoutingPolicy& b) {
+  b.set_retries({s.whole("allowed.max_attempts", 1), s.flag("allowed.cancel")});
+  b.set_fills(
+      {value_of_name(s.text("specifics.peers_fill"),
+                     {{"location", SiblingFills::location}, {"any", SiblingFills::any}}, SiblingFills::none),
        s.flag("specifics.merges_fills"),
-       choose(s.text("specifics.notes_given"), {{"all", Notes::all}, {"hit", Notes::hit}}, Notes::none),
+       value_of_name(s.text("specifics.notes_given"),
+                     {{"all", FillReporting::all}, {"hit", FillReporting::hit}}, FillReporting::none),
        s.number("specifics.client_kb_per_s")});
-  b.set_clients({s.flag("client_habits.marks_retry"),
-                 s.flag("allowed.retry_after") ? s.ms("allowed.max_retry_after") : 0});
+  b.set_client_habits({s.flag("client_habits.marks_retry"),
+                       s.flag("allowed.retry_after") ? s.ms("allowed.max_retry_after") : 0});
 }
 
 }  // namespace walkpaddle
--- a/src/settings.h
+++ b/src/config/settings.h
@@ -7,18 +7,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "brain.h"
+#include "base/hash.h"
+#include "routing/policy.h"
 
 namespace walkpaddle {
 
-// FNV-1a with a final mix: small, and the same at every router and on every machine.
-std::uint64_t stable_hash(std::string_view text);
-
-// The module's seed is 32 bits; hosts are handed 64.
-constexpr std::uint32_t fold_seed(std::uint64_t seed) {
-  return static_cast<std::uint32_t>(seed ^ (seed >> 32));
-}
-
 // What is absent reads as the value given. Lists of plain values are joined by commas; lists of objects have
 // their length under .count and their items under .0, .1 and so on.
 class Settings {
@@ -27,7 +20,7 @@
   void put_lines(std::string_view lines);  // "path=value" each
   std::string_view text(const std::string& path, std::string_view absent = "") const;
   double number(const std::string& path, double absent = 0) const;
-  Sec ms(const std::string& path) const { return number(path) / 1e3; }
+  Seconds ms(const std::string& path) const { return number(path) / 1e3; }
   int whole(const std::string& path, int absent = 0) const { return static_cast<int>(number(path, absent)); }
   bool flag(const std::string& path, bool absent = false) const;
   std::string_view item(const std::string& path, std::size_t at) const;
@@ -38,16 +31,16 @@
 };
 
 // Refuses what the module could not use: a value of the wrong kind or out of range, words it does not know,
-// and settings that contradict each other. Malformed names the key. What is absent keeps its default.
+// and settings that contradict each other. InputError names the key. What is absent keeps its default.
 void check(const Settings& settings);
 
-std::vector<RemapRule> remap_rules(const Settings& settings);  // by class
+std::vector<RequestClass> request_classes(const Settings& settings);  // by class
 
 // Hands the module its settings, each part its own few.
-void hand_over(const Settings& settings, Brain& brain);
+void apply_settings(const Settings& settings, RoutingPolicy& brain);
 // Again, while it serves: only what the module reads anew at each decision. Paths that change so are live;
 // the rules' bounds (rules.*, times of classes), places and roles are the platform's and need a restart.
-void hand_over_again(const Settings& settings, Brain& brain);
-bool changes_live(std::string_view path);
+void apply_live_settings(const Settings& settings, RoutingPolicy& brain);
+bool is_live_setting(std::string_view path);
 
 }  // namespace walkpaddle
--- a/src/control/command.h
+++ b/src/control/command.h
@@ -4,14 +4,14 @@
 
 #include <string>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::control {
 
 struct PurgeAsked {
   std::string kind, what;
   bool wait = false;  // until every router holds it and every box has confirmed it
-  Sec within = 10;
+  Seconds within = 10;
 };
 int purge(const std::string& socket, const PurgeAsked& asked);
 int purge_status(const std::string& socket, const std::string& number);  // empty: of the router
--- a/src/control/confuse.cpp
+++ b/src/control/confuse.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "text.h"
+#include "base/text.h"
 
 namespace walkpaddle::control {
 
@@ -36,14 +36,14 @@
 void parse(cfg_t* cfg, const std::string& path) {
   std::ifstream in(path);
   const std::string text{std::istreambuf_iterator<char>(in), {}};
-  if (!in.is_open() || in.bad()) throw Malformed("cannot read " + path);
+  if (!in.is_open() || in.bad()) throw InputError("cannot read " + path);
   reading_from = path;
   if (cfg_parse_buf(cfg, (text + "\n" + kEnd + " = 1\n").c_str()) != CFG_SUCCESS)
-    throw Malformed(first_error.empty() ? path + ": cannot be read" : first_error);
+    throw InputError(first_error.empty() ? path + ": cannot be read" : first_error);
 }
 
 void refuse(const std::string& path, cfg_t* section, const std::string& why) {
-  throw Malformed(path + ":" + std::to_string(section->line) + ": " + why);
+  throw InputError(path + ":" + std::to_string(section->line) + ": " + why);
 }
 
 std::string text_of(cfg_t* cfg, const char* name) {
--- a/src/control/confuse.h
+++ b/src/control/confuse.h
@@ -15,7 +15,7 @@
 constexpr const char* kEnd = "end_of_file";  // an option that every document's list ends with
 
 Cfg begin(cfg_opt_t* all);
-void parse(cfg_t* cfg, const std::string& path);  // Malformed with file and line
+void parse(cfg_t* cfg, const std::string& path);  // InputError with file and line
 [[noreturn]] void refuse(const std::string& path, cfg_t* section, const std::string& why);
 std::string text_of(cfg_t* cfg, const char* name);
 std::vector<std::string> texts_of(cfg_t* cfg, const char* name);
--- a/src/control/documents.cpp
+++ b/src/control/documents.cpp
@@ -4,9 +4,9 @@
 #include <filesystem>
 #include <system_error>
 
+#include "base/text.h"
+#include "config/settings.h"
 #include "control/confuse.h"
-#include "settings.h"
-#include "text.h"
 
 namespace walkpaddle::control {
 
@@ -38,7 +38,7 @@
                    .from = local_of(path, s, "from"),
                    .until = local_of(path, s, "until"),
                    .blocks = 0,
-                   .lead = static_cast<Sec>(cfg_getint(s, "lead")),
+                   .lead = static_cast<Seconds>(cfg_getint(s, "lead")),
                    .by = text_of(s, "by")};
   std::ranges::sort(w.sites);
   for (const auto& word : texts_of(s, "blocks")) w.blocks |= work_of(path, s, word);
@@ -46,7 +46,7 @@
   return w;
 }
 
-freeze::Exception exception_of(const std::string& path, cfg_t* s, Sec now) {
+freeze::Exception exception_of(const std::string& path, cfg_t* s, Seconds now) {
   const auto approvers = texts_of(s, "approvers");
   if (approvers.size() != 2) refuse(path, s, "an exception has two approvers");
   const auto until = local_of(path, s, "until");
@@ -81,8 +81,8 @@
   d.body = program;
   for (const auto& line : settings) {
     std::string_view rest = line;
-    const auto key = cut(rest, '=');
-    if (!changes_live(key))
+    const auto key = take_field(rest, '=');
+    if (!is_live_setting(key))
       refuse(path, s,
              "change " + d.name + ": '" + std::string(key) +
                  "' does not change while a router serves; it takes a release or a restart");
@@ -103,7 +103,7 @@
   return d;
 }
 
-void read_one(const std::string& path, Sec now, Documents& to) {
+void read_one(const std::string& path, Seconds now, Documents& to) {
   const change::Document usual;
   cfg_opt_t window[] = {CFG_INT("version", 1, CFGF_NONE),
                         CFG_STR_LIST("sites", nullptr, CFGF_NONE),
@@ -167,13 +167,13 @@
 
 }  // namespace
 
-Documents read_documents(const std::string& folder, Sec now) {
+Documents read_documents(const std::string& folder, Seconds now) {
   std::vector<std::string> paths;
   std::error_code error;
   for (const auto& entry : fs::directory_iterator(folder, error))
     if (entry.path().extension() == ".conf") paths.push_back(entry.path().string());
-  if (error) throw Malformed("cannot read the folder " + folder + ": " + error.message());
-  if (paths.size() > kMostFiles) throw Malformed(folder + ": more than 256 documents");
+  if (error) throw InputError("cannot read the folder " + folder + ": " + error.message());
+  if (paths.size() > kMostFiles) throw InputError(folder + ": more than 256 documents");
   std::ranges::sort(paths);
   Documents documents;
   for (const auto& path : paths) read_one(path, now, documents);
--- a/src/control/documents.h
+++ b/src/control/documents.h
@@ -1,5 +1,5 @@
 // The documents of changes and freezes: files that end in .conf in the folder that the operator's file names.
-// Read whole and checked whole, or not at all: Malformed with file and line. The form is the operator's
+// Read whole and checked whole, or not at all: InputError with file and line. The form is the operator's
 // file's, by the same library: one form for operators to know, and it tells the line of each section, which
 // JSON does not.
 #pragma once
@@ -21,6 +21,6 @@
   std::vector<std::pair<std::string, std::string>> stops;  // change, why
 };
 
-Documents read_documents(const std::string& folder, Sec now);
+Documents read_documents(const std::string& folder, Seconds now);
 
 }  // namespace walkpaddle::control
--- a/src/control/file.cpp
+++ b/src/control/file.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <set>
 
+#include "base/text.h"
 #include "control/confuse.h"
 #include "io/stream.h"
-#include "text.h"
 
 namespace walkpaddle::control {
 
@@ -34,7 +34,7 @@
   try {
     parse_address(cfg_opt_getnstr(opt, 0));
     return 0;
-  } catch (const Malformed&) {
+  } catch (const InputError&) {
     cfg_error(cfg, "%s is '%s', expected a.b.c.d:port", opt->name, cfg_opt_getnstr(opt, 0));
     return -1;
   }
@@ -57,7 +57,7 @@
   constexpr std::size_t kLongestName = 200, kLongestLabel = 63;  // labels of ours stand before it
   if (name.empty() || name.size() > kLongestName) return false;
   while (!name.empty()) {
-    const auto label = cut(name, '.');
+    const auto label = take_field(name, '.');
     const auto stands = [](char c) { return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-'; };
     if (label.empty() || label.size() > kLongestLabel || !std::ranges::all_of(label, stands)) return false;
   }
@@ -136,7 +136,7 @@
     to.beat = cfg_getfloat(s, "beat") > 0 ? cfg_getfloat(s, "beat") : to.lease / 5;
     if (to.beat > to.lease / 2)
       refuse(path, s, "beat is more than half of lease: each lost one would cost trust");
-    to.copy_life = static_cast<Sec>(cfg_getint(s, "copy_life"));
+    to.copy_life = static_cast<Seconds>(cfg_getint(s, "copy_life"));
     to.entries = static_cast<int>(cfg_getint(s, "entries")),
     to.objects = static_cast<int>(cfg_getint(s, "objects"));
     std::set<std::string> names{to.name}, addresses{to.listen};
@@ -180,7 +180,7 @@
     auto& to = f.dns;
     to.on = true;
     to.listen = text_of(s, "listen"), to.zone = text_of(s, "zone"), to.server = text_of(s, "server");
-    to.use = static_cast<Sec>(cfg_getint(s, "use")), to.txns = cfg_getfloat(s, "txns");
+    to.use = static_cast<Seconds>(cfg_getint(s, "use")), to.txns = cfg_getfloat(s, "txns");
     for (const auto& [name, value] :
          {std::pair{"listen", to.listen}, {"zone", to.zone}, {"server", to.server}})
       if (value.empty()) refuse(path, s, std::string("dns without ") + name);
--- a/src/control/file.h
+++ b/src/control/file.h
@@ -1,12 +1,12 @@
 // The operator's file: what an installation permits and the platform's configuration does not tell. Read
-// whole and checked whole; a file that cannot be used is Malformed with its name, line and what was expected.
-// An absent section is switched off.
+// whole and checked whole; a file that cannot be used is InputError with its name, line and what was
+// expected. An absent section is switched off.
 #pragma once
 
 #include <string>
 #include <vector>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::control {
 
@@ -18,7 +18,7 @@
     bool on = false;
     std::string name, listen;
     std::vector<Peer> peers;
-    Sec lease = 2, beat = 0.4, copy_life = 86400;
+    Seconds lease = 2, beat = 0.4, copy_life = 86400;
     bool purges = true;  // go between routers, over a link to each
     bool share = false;  // what is known of the cache servers goes between routers too, by datagrams
     int entries = 65536, objects = 16384;
@@ -26,7 +26,7 @@
   struct Dns {
     bool on = false;
     std::string listen, zone, server;
-    Sec use = 1;      // how long a client uses an answer
+    Seconds use = 1;  // how long a client uses an answer
     double txns = 1;  // that one answer leads to meanwhile
   } dns;
   struct Changes {
--- a/src/control/operators.cpp
+++ b/src/control/operators.cpp
@@ -8,8 +8,8 @@
 #include <nlohmann/json.hpp>
 #include <system_error>
 
-#include "settings.h"
-#include "text.h"
+#include "base/text.h"
+#include "config/settings.h"
 
 namespace walkpaddle::control {
 
@@ -41,7 +41,7 @@
 
 Task Operators::accept_all() {
   constexpr std::size_t kMost = 8;  // operators at once; another is closed unheard
-  constexpr Sec kPause = 0.1;
+  constexpr Seconds kPause = 0.1;
   while (listener_.open()) {
     Fd fd = listener_.accept();
     if (fd) {
@@ -49,14 +49,14 @@
       continue;
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
-    const Sec until = errno == EAGAIN ? kNoTime : scheduler_.now() + kPause;
+    const Seconds until = errno == EAGAIN ? kNoTime : scheduler_.now() + kPause;
     co_await listener_.came.wait(until);
   }
 }
 
 Task Operators::session(Fd fd) {
   constexpr std::size_t kLongestLine = 4096;
-  constexpr Sec kIdle = 60;
+  constexpr Seconds kIdle = 60;
   struct Count {
     std::size_t& count;
     ~Count() { --count; }
@@ -85,7 +85,8 @@
   auto rest = std::string_view(number);
   auto issuer = purges_.setup().self;
   if (number.find(':') != std::string::npos)
-    if (const auto who = cut(rest, ':'); who != names_.self) issuer = parse<std::uint64_t>(who, "issuer", 16);
+    if (const auto who = take_field(rest, ':'); who != names_.self)
+      issuer = parse<std::uint64_t>(who, "issuer", 16);
   return purges_.book().find(issuer, parse<std::uint64_t>(rest, "number of a purge"));
 }
 
@@ -93,7 +94,7 @@
 std::string Operators::fleet_answer() const {
   constexpr std::string_view kHealths[] = {"ready", "slow", "cold", "draining", "gone"};
   constexpr std::size_t kMostFacts = 500;  // of a reply; the count tells that there are more
-  const Sec now = scheduler_.now();
+  const Seconds now = scheduler_.now();
   const auto& share = *share_;
   json members = json::array(), facts = json::array();
   const auto& peers = share.members().peers();
@@ -145,7 +146,7 @@
   json counters = json::object();
   for (const auto& [name, count] : names_.counts()) counters[name] = count;
   const auto& counts = share.counts();
-  const Sec up = std::max(1e-3, now - share.started());
+  const Seconds up = std::max(1e-3, now - share.started());
   return json{
       {"ok", true},
       {"name", names_.self},
@@ -177,7 +178,7 @@
 }
 
 std::string Operators::answer(const std::string& line) {
-  const Sec now = scheduler_.now();
+  const Seconds now = scheduler_.now();
   const auto standing = [&](const purge::Entry& e) {
     const auto s = purges_.standing(e);
     json lacking = json::array(), unconfirmed = json::array();
@@ -226,7 +227,7 @@
       return reply.dump();
     }
     if (what == "status") {
-      const Sec at = sync->trusted_at(now);
+      const Seconds at = sync->trusted_at(now);
       json latest = json::array(), peers = json::array();
       constexpr std::size_t kLatest = 20;
       const auto& entries = purges_.book().entries();
@@ -253,7 +254,7 @@
   } catch (const json::exception& e) {
     return refused(std::string("a request that cannot be read: ") + e.what())
         .dump(-1, ' ', false, json::error_handler_t::replace);
-  } catch (const Malformed& e) {
+  } catch (const InputError& e) {
     return refused(e.what()).dump(-1, ' ', false, json::error_handler_t::replace);
   }
 }
--- a/src/control/operators.h
+++ b/src/control/operators.h
@@ -24,7 +24,7 @@
     std::function<int()> boxes;                                                  // so many are known
     std::function<std::vector<std::pair<std::string, std::uint64_t>>()> counts;  // by name, since the start
   };
-  // Throws std::system_error if the socket cannot be made. One that a dead router left is replaced; one that
+  // Throws SystemError if the socket cannot be made. One that a dead router left is replaced; one that
   // answers is another router's and is not.
   Operators(Scheduler& scheduler, Outbox& outbox, Log& log, fleet::Purges& purges, std::string path,
             Names names, const fleet::Share* share);
--- a/src/dns/front.cpp
+++ b/src/dns/front.cpp
@@ -5,7 +5,7 @@
 
 #include <cerrno>
 
-#include "settings.h"
+#include "config/settings.h"
 
 namespace walkpaddle::dns {
 
@@ -23,13 +23,13 @@
 
 Front::Socket::~Socket() { scheduler.forget(fd.get(), *this); }
 
-Front::Front(Scheduler& scheduler, Outbox& outbox, Log& log, net::Desk& desk, net::Caches& caches, Zone zone,
-             const Address& listen)
+Front::Front(Scheduler& scheduler, Outbox& outbox, Log& log, net::RequestDispatcher& dispatcher,
+             net::UpstreamPool& caches, Zone zone, const Address& listen)
     : scheduler_(scheduler),
       outbox_(outbox),
       log_(log),
-      desk_(desk),
-      caches_(caches),
+      dispatcher_(dispatcher),
+      upstream_(caches),
       zone_(std::move(zone)),
       socket_(scheduler, datagrams_on(listen)),
       listener_(scheduler, listen_on(listen)) {
@@ -60,7 +60,7 @@
 }
 
 Task Front::accept_all() {
-  constexpr Sec kPause = 0.1;
+  constexpr Seconds kPause = 0.1;
   while (listener_.open()) {
     Fd fd = listener_.accept();
     if (fd) {
@@ -68,7 +68,7 @@
       continue;
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
-    const Sec until = errno == EAGAIN ? kNoTime : scheduler_.now() + kPause;
+    const Seconds until = errno == EAGAIN ? kNoTime : scheduler_.now() + kPause;
     co_await listener_.came.wait(until);
   }
 }
@@ -76,14 +76,14 @@
 // Many queries on one connection, answered as they are decided. One that trickles or idles is closed; one
 // that does not read what it asked for too.
 Task Front::connection(Fd fd) {
-  constexpr Sec kIdle = 5;
+  constexpr Seconds kIdle = 5;
   constexpr std::size_t kUnread = 256 * 1024;
   struct Count {
     std::size_t& count;
     ~Count() { --count; }
   } count{++connections_};
   auto stream = std::make_shared<Stream>(scheduler_, outbox_, std::move(fd));
-  for (Sec whole_at = scheduler_.now();;) {
+  for (Seconds whole_at = scheduler_.now();;) {
     const auto came = stream->read();
     if (came == Stream::Came::end || stream->unsent() > kUnread) break;
     if (came == Stream::Came::bytes) {
@@ -136,9 +136,9 @@
   if (meaning.stands == Stands::apex) return say(zone_.apex(q.type));
   if (meaning.stands == Stands::member) {
     // A member's own name lives while it takes work.
-    const int m = caches_.known(meaning.text);
-    if (m < 0 || !caches_.listed_ready(m)) return say(zone_.none(Code::no_name));
-    return say(zone_.member(q, meaning.text, caches_.address(m).ip, caches_.address(m).port));
+    const int m = upstream_.known(meaning.text);
+    if (m < 0 || !upstream_.listed_ready(m)) return say(zone_.none(Code::no_name));
+    return say(zone_.member(q, meaning.text, upstream_.address(m).ip, upstream_.address(m).port));
   }
   if (q.type != Type::a && q.type != Type::srv) return say(zone_.member(q, "", 0, 0));
   if (open_ >= kMostOpen) return say({Code::refused, {}, {}, {}});
@@ -146,7 +146,7 @@
 }
 
 Task Front::lookup(Question question, Zone::Meaning meaning, Asker asker) {
-  constexpr Sec kPatience = 1;  // resolvers ask again after one to five seconds
+  constexpr Seconds kPatience = 1;  // resolvers ask again after one to five seconds
   struct Count {
     std::size_t& count;
     ~Count() { --count; }
@@ -154,27 +154,28 @@
   const auto& name = meaning.text.empty() ? question.name : meaning.text;
   const auto object = stable_hash(name);
   const auto& setup = zone_.setup();
-  net::Seat seat(desk_, meaning.rule, object, name, 0, 0, scheduler_.now() + kPatience);
+  net::RequestHandle handle(dispatcher_, meaning.rule, object, name, 0, 0, scheduler_.now() + kPatience);
   // In flight: as many at a time as follow within the use, each for a good part of it at most.
-  seat.stands_for(std::max(1.0, setup.txns / std::max(1.0, setup.use)), setup.txns);
+  handle.set_represented_requests(std::max(1.0, setup.txns / std::max(1.0, setup.use)), setup.txns);
   for (;;) {
-    co_await seat.woken();
-    const auto d = seat.decision();
+    co_await handle.timer_fired();
+    const auto d = handle.decision();
     if (!d) continue;
-    if (d->kind == Decision::Kind::abort || d->kind == Decision::Kind::reject) {
-      const auto code = d->kind == Decision::Kind::abort ? Code::failed : Code::refused;
+    if (d->kind == Decision::Kind::fail || d->kind == Decision::Kind::reject) {
+      const auto code = d->kind == Decision::Kind::fail ? Code::failed : Code::refused;
       give(asker, reply_bytes(question, {code, {}, {}, {}}, asker.size));
       co_return;
     }
     // A client brings no age bound: a member that has not confirmed what covers the object is not named.
-    const bool purged = seat.since() > 0 && desk_.purges().sync() != nullptr;
-    if (!caches_.listed_ready(d->member) || (purged && !desk_.purges().confirmed(d->member, seat.since()))) {
-      seat.hop_ended(Verdict::lacking, Note::none, 0, 0, 0, false);
+    const bool purged = handle.since() > 0 && dispatcher_.purges().sync() != nullptr;
+    if (!upstream_.listed_ready(d->endpoint) ||
+        (purged && !dispatcher_.purges().confirmed(d->endpoint, handle.since()))) {
+      handle.attempt_ended(AttemptOutcome::not_cached, FillOutcome::none, 0, 0, 0, false);
       continue;
     }
-    const auto& at = caches_.address(d->member);
-    give(asker,
-         reply_bytes(question, zone_.member(question, caches_.id(d->member), at.ip, at.port), asker.size));
+    const auto& at = upstream_.address(d->endpoint);
+    give(asker, reply_bytes(question, zone_.member(question, upstream_.id(d->endpoint), at.ip, at.port),
+                            asker.size));
     break;
   }
   Event used(scheduler_);
--- a/src/dns/front.h
+++ b/src/dns/front.h
@@ -10,16 +10,16 @@
 #include "io/listener.h"
 #include "io/log.h"
 #include "io/stream.h"
-#include "net/caches.h"
-#include "net/desk.h"
+#include "net/request_dispatcher.h"
+#include "net/upstream_pool.h"
 
 namespace walkpaddle::dns {
 
 class Front {
  public:
-  // Throws std::system_error if the address cannot be had.
-  Front(Scheduler& scheduler, Outbox& outbox, Log& log, net::Desk& desk, net::Caches& caches, Zone zone,
-        const Address& listen);
+  // Throws SystemError if the address cannot be had.
+  Front(Scheduler& scheduler, Outbox& outbox, Log& log, net::RequestDispatcher& dispatcher,
+        net::UpstreamPool& caches, Zone zone, const Address& listen);
 
  private:
   // Where a reply goes: a datagram's sender, or a connection while it stands.
@@ -46,8 +46,8 @@
   Scheduler& scheduler_;
   Outbox& outbox_;
   Log& log_;
-  net::Desk& desk_;
-  net::Caches& caches_;
+  net::RequestDispatcher& dispatcher_;
+  net::UpstreamPool& upstream_;
   const Zone zone_;
   Socket socket_;
   Listener listener_;
--- a/src/dns/zone.cpp
+++ b/src/dns/zone.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "text.h"
+#include "base/text.h"
 
 namespace walkpaddle::dns {
 
--- a/src/dns/zone.h
+++ b/src/dns/zone.h
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
+#include "base/time.h"
 #include "dns/message.h"
-#include "sec.h"
 
 namespace walkpaddle::dns {
 
@@ -18,7 +18,7 @@
   struct Setup {
     std::string name;    // lower case, without the last dot
     std::string server;  // of names, for NS and SOA
-    Sec use = 1;         // how long a client uses what it was told
+    Seconds use = 1;     // how long a client uses what it was told
     double txns = 1;     // that one answer leads to in that time
   };
   enum class Stands {
--- a/src/fleet/changes.cpp
+++ b/src/fleet/changes.cpp
@@ -1,8 +1,8 @@
 #include "fleet/changes.h"
 
+#include "base/text.h"
+#include "config/settings.h"
 #include "fleet/wire.h"
-#include "settings.h"
-#include "text.h"
 
 namespace walkpaddle::fleet {
 
@@ -27,7 +27,7 @@
 }  // namespace
 
 Changes::Changes(Log& log, const Setup& setup, const Members& members, Gossip& gossip, store::Store* store,
-                 Sec now)
+                 Seconds now)
     : log_(log),
       setup_(setup),
       members_(members),
@@ -93,13 +93,13 @@
     }
     const auto verdict = compat::verdict(next, fleet);
     if (!verdict.may_start()) why = verdict.reasons.front().text();
-  } catch (const Malformed& e) {
+  } catch (const InputError& e) {
     why = "what generation " + d.after + " publishes cannot be read: " + e.what();
   }
   return why;
 }
 
-void Changes::restore(std::string_view key, std::string_view value, Sec now) {
+void Changes::restore(std::string_view key, std::string_view value, Seconds now) {
   replica::Kind* kinds[] = {&calendar_, &rollout_};
   for (auto* kind : kinds) {
     const bool own = key == numbered('o', *kind), item = key.starts_with(numbered('k', *kind));
@@ -126,8 +126,8 @@
     it = !now.contains(it->first) && store_->erase(it->first) ? stored_.erase(it) : std::next(it);
 }
 
-void Changes::pull(Sec now) {
-  constexpr Sec kLook = 0.5;
+void Changes::pull(Seconds now) {
+  constexpr Seconds kLook = 0.5;
   const bool look = now >= look_at_;
   if (!gossip_.catching_up() && members_.alive() + 1 >= calendar_.majority()) calendar_.in_contact(now);
   if (look) calendar_.clock_apart(gossip_.clock_apart(now));
@@ -145,6 +145,6 @@
   if (move) setup_.carry_out(*move);
 }
 
-Sec Changes::next_due() const { return std::min(look_at_, rollout_.next_due()); }
+Seconds Changes::next_due() const { return std::min(look_at_, rollout_.next_due()); }
 
 }  // namespace walkpaddle::fleet
--- a/src/fleet/changes.h
+++ b/src/fleet/changes.h
@@ -26,19 +26,21 @@
     };
     std::vector<Peer> peers;  // in the order of Members' numbers
     std::uint32_t seed = 0;
-    // The releases that are kept here, and the one of a generation; throws Malformed where it cannot be read.
+    // The releases that are kept here, and the one of a generation; throws InputError where it cannot be
+    // read.
     std::function<std::vector<compat::Release>()> kept;
     std::function<compat::Release(const std::string& generation)> release;
     // Runs the generation from now on, and says so by moved() or move_failed().
     std::function<void(const change::Rollout::Move&)> carry_out;
     std::function<change::Counters()> counted;
   };
-  Changes(Log& log, const Setup& setup, const Members& members, Gossip& gossip, store::Store* store, Sec now);
+  Changes(Log& log, const Setup& setup, const Members& members, Gossip& gossip, store::Store* store,
+          Seconds now);
 
-  void pull(Sec now);  // at a turn's end
-  Sec next_due() const;
+  void pull(Seconds now);  // at a turn's end
+  Seconds next_due() const;
   void restore(std::string_view key, std::string_view value,
-               Sec now);  // an entry of the store that is its own
+               Seconds now);  // an entry of the store that is its own
   static bool owns(std::string_view key) { return key.starts_with('k') || key.starts_with('o'); }
 
   freeze::Calendar& calendar() { return calendar_; }
@@ -58,7 +60,7 @@
   freeze::Calendar calendar_;
   change::Rollout rollout_;
   std::map<std::string, std::string> stored_;
-  Sec look_at_ = 0;
+  Seconds look_at_ = 0;
   mutable std::map<std::string, std::string> refusals_;  // by change: what was found; the folder is read once
   std::string said_;                                     // why the calendar was last not current
 };
--- a/src/fleet/datagrams.cpp
+++ b/src/fleet/datagrams.cpp
@@ -5,8 +5,8 @@
 
 #include <cerrno>
 
+#include "base/text.h"
 #include "fleet/wire.h"
-#include "text.h"
 
 namespace walkpaddle::fleet {
 
@@ -50,13 +50,13 @@
         bytes, [&](std::uint64_t name) { return members_.peer_named(name); }, gossip_, scheduler_.now());
     if (known) return;
     if (++counts_.strangers == 1) log_("fleet", "datagrams of a router that is not a peer here are dropped");
-  } catch (const Malformed& e) {
+  } catch (const InputError& e) {
     if (++counts_.unreadable == 1) log_("fleet", "datagrams that cannot be read are dropped: {}", e.what());
   }
 }
 
 void Datagrams::pull() {
-  const Sec now = scheduler_.now();
+  const Seconds now = scheduler_.now();
   while (const auto packet = gossip_.next(now)) {
     const auto bytes = packet_bytes(*packet, members_.self());
     sockaddr_in to{};
@@ -69,7 +69,7 @@
     else
       ++counts_.out, counts_.bytes_out += bytes.size();
   }
-  if (const Sec due = gossip_.next_due(now); due < due_at_) due_at_ = due, due_.set();
+  if (const Seconds due = gossip_.next_due(now); due < due_at_) due_at_ = due, due_.set();
 }
 
 // Turns come when something does; the gossip needs one when nothing does.
--- a/src/fleet/datagrams.h
+++ b/src/fleet/datagrams.h
@@ -19,7 +19,7 @@
     std::uint64_t in = 0, out = 0, bytes_in = 0, bytes_out = 0;
     std::uint64_t strangers = 0, unreadable = 0, unsent = 0;  // dropped
   };
-  // Peers in the order of Members' numbers. Throws std::system_error if the address cannot be had.
+  // Peers in the order of Members' numbers. Throws SystemError if the address cannot be had.
   Datagrams(Scheduler& scheduler, Log& log, Members& members, Gossip& gossip, const Address& listen,
             std::vector<Address> peers, std::function<void()> after_input);
   void pull();  // at a turn's end
@@ -38,7 +38,7 @@
   const std::function<void()> after_input_;
   Listener socket_;
   Event due_;
-  Sec due_at_ = kNoTime;
+  Seconds due_at_ = kNoTime;
   Counts counts_;
 };
 
--- a/src/fleet/gossip.cpp
+++ b/src/fleet/gossip.cpp
@@ -7,8 +7,8 @@
 #include <iterator>
 #include <utility>
 
+#include "base/text.h"
 #include "compat/verdict.h"
-#include "text.h"
 
 namespace walkpaddle::fleet {
 
@@ -30,7 +30,7 @@
 }  // namespace
 
 Gossip::Gossip(Members& members, replica::Watch& watch, Keepers& keepers, const Bounds& bounds,
-               std::uint32_t seed, Sec now)
+               std::uint32_t seed, Seconds now)
     : members_(members),
       watch_(watch),
       keepers_(keepers),
@@ -70,14 +70,14 @@
   return it == kinds_.end() ? nullptr : *it;
 }
 
-void Gossip::head(int from, std::uint64_t incarnation, std::uint64_t reads, Sec at, Sec now) {
+void Gossip::head(int from, std::uint64_t incarnation, std::uint64_t reads, Seconds at, Seconds now) {
   members_.heard(from, incarnation, reads, now);
   if (at > 0 && !kinds_.empty()) clocks_[from] = {at - now, now};
 }
 
-Sec Gossip::clock_apart(Sec now) const {
-  constexpr Sec kLately = 60;
-  std::vector<Sec> ahead;
+Seconds Gossip::clock_apart(Seconds now) const {
+  constexpr Seconds kLately = 60;
+  std::vector<Seconds> ahead;
   for (const auto& [peer, clock] : clocks_)
     if (now - clock.heard < kLately) ahead.push_back(clock.ahead);
   if (ahead.size() < 2) return 0;
@@ -87,23 +87,24 @@
 }
 
 // An item that cannot be read costs itself alone; one of a kind that is not known here is passed over.
-void Gossip::item(std::uint8_t number, std::string_view bytes, Sec now) try {
+void Gossip::item(std::uint8_t number, std::string_view bytes, Seconds now) try {
   if (auto* kind = kind_of(number)) kind->take(bytes, now);
-} catch (const Malformed&) {
+} catch (const InputError&) {
   ++unreadable_items_;
 }
 
-void Gossip::letter(int from, const Item& item, Sec now) try {
+void Gossip::letter(int from, const Item& item, Seconds now) try {
   if (auto* kind = kind_of(item.kind)) kind->letter(from, item.bytes, now);
-} catch (const Malformed&) {
+} catch (const InputError&) {
   ++unreadable_items_;
 }
 
-void Gossip::fact(const replica::Fact& f, Sec now) {
+void Gossip::fact(const replica::Fact& f, Seconds now) {
   if (watch_.heard(f, now) == Facts::Took::news) ++facts_heard_;
 }
 
-void Gossip::probe(int from, Members::Probe::Kind kind, std::uint64_t number, std::uint64_t about, Sec now) {
+void Gossip::probe(int from, Members::Probe::Kind kind, std::uint64_t number, std::uint64_t about,
+                   Seconds now) {
   using Probe = Members::Probe::Kind;
   if (kind == Probe::ping) members_.pinged(from, number);
   if (kind == Probe::ack) members_.acked(number);
@@ -111,7 +112,7 @@
   if (kind == Probe::ask) members_.asked(from, number, about, now);
 }
 
-void Gossip::belief(int from, Belief belief, Sec now) {
+void Gossip::belief(int from, Belief belief, Seconds now) {
   keepers_.told(members_.peers()[static_cast<std::size_t>(from)].name, std::move(belief), now);
 }
 
@@ -218,7 +219,7 @@
   return static_cast<std::uint32_t>(waiting_.size() - before);
 }
 
-void Gossip::digest(int from, std::uint64_t number, std::span<const std::uint64_t> theirs, Sec) {
+void Gossip::digest(int from, std::uint64_t number, std::span<const std::uint64_t> theirs, Seconds) {
   if (budget() <= bounds_.fills) return;  // it asks another, or again
   bool more = false;
   const auto fills = send_differing(from, number, theirs, &more);
@@ -237,7 +238,7 @@
 
 // Their copy as it was when they had sent theirs: what still differs they lack, or it was lost on the way.
 void Gossip::answer(int from, std::uint64_t number, std::span<const std::uint64_t> theirs,
-                    std::uint32_t fills, bool more, Sec now) {
+                    std::uint32_t fills, bool more, Seconds now) {
   const auto it = comparisons_.find(from);
   if (it == comparisons_.end() || it->second.number != number) return;
   const bool whole = it->second.fills >= fills && !more;
@@ -252,15 +253,15 @@
   compare_at_ = now + bounds_.compare;
 }
 
-void Gossip::start_catching_up(Sec now) {
+void Gossip::start_catching_up(Seconds now) {
   catching_up_ = true;
   synced_.clear();
   comparisons_.clear();
   caught_from_ = compare_at_ = now, facts_before_ = facts_heard_;
 }
 
-void Gossip::compare(Sec now) {
-  const Sec every = catching_up_ ? bounds_.catch_up : bounds_.compare;
+void Gossip::compare(Seconds now) {
+  const Seconds every = catching_up_ ? bounds_.catch_up : bounds_.compare;
   // Half to one and a half of it: routers that started together drift apart.
   compare_at_ = now + every * std::uniform_real_distribution<>(0.5, 1.5)(chance_);
   int p = members_.some_alive();
@@ -271,7 +272,7 @@
   waiting_.push_back({.kind = Kind::digest, .peer = p, .number = number_, .digests = digests()});
 }
 
-std::optional<Gossip::Packet> Gossip::next(Sec now) {
+std::optional<Gossip::Packet> Gossip::next(Seconds now) {
   for (;;) {
     auto packet = take_next(now);
     if (!packet || kinds_.empty()) return packet;
@@ -283,8 +284,8 @@
   }
 }
 
-std::optional<Gossip::Packet> Gossip::take_next(Sec now) {
-  constexpr Sec kForgotten = 5;  // an answer that has not come by then does not come
+std::optional<Gossip::Packet> Gossip::take_next(Seconds now) {
+  constexpr Seconds kForgotten = 5;  // an answer that has not come by then does not come
   watch_.speak(now);
   const auto probe = members_.next(now);
   if (members_.take_slept()) start_catching_up(now);
@@ -334,9 +335,9 @@
   return packet;
 }
 
-Sec Gossip::next_due(Sec now) const {
+Seconds Gossip::next_due(Seconds now) const {
   if (!waiting_.empty()) return now;
-  Sec due = std::min({members_.next_due(), watch_.next_due(), keepers_.next_due(), compare_at_});
+  Seconds due = std::min({members_.next_due(), watch_.next_due(), keepers_.next_due(), compare_at_});
   for (const auto* kind : kinds_) due = std::min(due, kind->next_due());
   if (rumours() && members_.alive() > 0) due = std::min(due, round_at_);
   return due;
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -25,11 +25,11 @@
 class Gossip {
  public:
   struct Bounds {
-    int fanout = 4;      // of one round: half of 300 know after four rounds, the last after seven
-    Sec round = 0.05;    // between rounds; the first of news goes at once
-    Sec compare = 2;     // with one member, in calm: what pushes missed is found in seconds
-    Sec catch_up = 0.1;  // while this router catches up
-    int synced = 2;      // members that have sent all: one may lag itself
+    int fanout = 4;          // of one round: half of 300 know after four rounds, the last after seven
+    Seconds round = 0.05;    // between rounds; the first of news goes at once
+    Seconds compare = 2;     // with one member, in calm: what pushes missed is found in seconds
+    Seconds catch_up = 0.1;  // while this router catches up
+    int synced = 2;          // members that have sent all: one may lag itself
     std::size_t facts = 16, records = 8;  // of a datagram: with 56 and 32 bytes each within an Ethernet frame
     std::size_t fills = 64;               // datagrams for one digest: some 70 kB, then the next round
     std::size_t waiting = 512;            // datagrams that wait to go out; past it digests are not answered
@@ -54,35 +54,35 @@
     std::vector<std::uint64_t> digests{};
     std::shared_ptr<const Belief> belief{};
     std::vector<Item> items{};  // of a letter: the one that it is
-    Sec at = 0;                 // on the sender's clock
+    Seconds at = 0;             // on the sender's clock
   };
   struct Caught {
-    Sec took = 0;
+    Seconds took = 0;
     int members = 0;  // that sent all; 0: there was none to ask
     std::uint64_t facts = 0;
   };
 
   Gossip(Members& members, replica::Watch& watch, Keepers& keepers, const Bounds& bounds, std::uint32_t seed,
-         Sec now);
+         Seconds now);
   // Beside members and facts; each kind once, before anything is heard.
   void carry(replica::Kind& kind) { kinds_.push_back(&kind); }
 
   // Inputs, in the order of a datagram's parts: its head, its records, facts and items, its kind.
-  void head(int from, std::uint64_t incarnation, std::uint64_t reads, Sec at, Sec now);
-  void item(std::uint8_t kind, std::string_view bytes, Sec now);
-  void letter(int from, const Item& item, Sec now);
-  void record(const Members::Record& record, Sec now) { members_.take(record, now); }
-  void fact(const replica::Fact& fact, Sec now);
-  void probe(int from, Members::Probe::Kind kind, std::uint64_t number, std::uint64_t about, Sec now);
-  void belief(int from, Belief belief, Sec now);
+  void head(int from, std::uint64_t incarnation, std::uint64_t reads, Seconds at, Seconds now);
+  void item(std::uint8_t kind, std::string_view bytes, Seconds now);
+  void letter(int from, const Item& item, Seconds now);
+  void record(const Members::Record& record, Seconds now) { members_.take(record, now); }
+  void fact(const replica::Fact& fact, Seconds now);
+  void probe(int from, Members::Probe::Kind kind, std::uint64_t number, std::uint64_t about, Seconds now);
+  void belief(int from, Belief belief, Seconds now);
   void recall(int from) { keepers_.asked(from); }
   void fill(int from, std::uint64_t number);
-  void digest(int from, std::uint64_t number, std::span<const std::uint64_t> theirs, Sec now);
+  void digest(int from, std::uint64_t number, std::span<const std::uint64_t> theirs, Seconds now);
   void answer(int from, std::uint64_t number, std::span<const std::uint64_t> theirs, std::uint32_t fills,
-              bool more, Sec now);
+              bool more, Seconds now);
 
-  std::optional<Packet> next(Sec now);  // until none
-  Sec next_due(Sec now) const;
+  std::optional<Packet> next(Seconds now);  // until none
+  Seconds next_due(Seconds now) const;
 
   bool catching_up() const { return catching_up_; }
   std::optional<Caught> take_caught() { return std::exchange(caught_, std::nullopt); }  // once each time
@@ -90,7 +90,7 @@
   std::uint64_t unreadable_items() const { return unreadable_items_; }
   // By how much this router's clock is apart from the middle of the others' that lately spoke; 0 where fewer
   // than two did. A datagram's way counts as nothing: it is far under what matters.
-  Sec clock_apart(Sec now) const;
+  Seconds clock_apart(Seconds now) const;
   static constexpr int kMemberRanges = 8;
   // Of the facts' ranges, of the members', then of each kind's in the order of their numbers.
   std::vector<std::uint64_t> digests() const;
@@ -98,18 +98,18 @@
  private:
   struct Comparison {
     std::uint64_t number = 0;
-    Sec at = 0;
+    Seconds at = 0;
     std::uint32_t fills = 0;
   };
-  std::optional<Packet> take_next(Sec now);
+  std::optional<Packet> take_next(Seconds now);
   void collect();
   std::uint32_t send_differing(int peer, std::uint64_t number, std::span<const std::uint64_t> theirs,
                                bool* more);
   void add_news(Packet& packet, bool spend);
   replica::Kind* kind_of(std::uint8_t number) const;
   bool reads_items(int peer) const;
-  void compare(Sec now);
-  void start_catching_up(Sec now);
+  void compare(Seconds now);
+  void start_catching_up(Seconds now);
   int rounds() const;
   bool rumours() const { return !facts_.empty() || !records_.empty() || !items_.empty(); }
   std::size_t budget() const { return bounds_.waiting - std::min(bounds_.waiting, waiting_.size()); }
@@ -124,7 +124,7 @@
   std::map<std::pair<std::uint8_t, std::uint64_t>, int> items_;  // the same of other kinds' items
   std::vector<replica::Kind*> kinds_;
   struct Clock {
-    Sec ahead = 0, heard = -1e9;  // of this router's
+    Seconds ahead = 0, heard = -1e9;  // of this router's
   };
   std::map<int, Clock> clocks_;  // by peer
   std::deque<Packet> waiting_;
@@ -132,7 +132,7 @@
   std::set<int> synced_;
   std::optional<Caught> caught_;
   std::uint64_t number_ = 0, facts_heard_ = 0, facts_before_ = 0, unreadable_items_ = 0;
-  Sec round_at_ = 0, compare_at_, caught_from_;
+  Seconds round_at_ = 0, compare_at_, caught_from_;
   bool catching_up_ = true;
 };
 
--- a/src/fleet/keeper.cpp
+++ b/src/fleet/keeper.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <vector>
 
+#include "base/text.h"
 #include "fleet/wire.h"
-#include "text.h"
 
 namespace walkpaddle::fleet {
 
@@ -16,7 +16,7 @@
 constexpr std::string_view kRun = "r";
 
 std::uint64_t number_of(std::string_view text) {
-  if (text.size() != 8) bad("stored number of length", std::to_string(text.size()));
+  if (text.size() != 8) throw_bad_value("stored number of length", std::to_string(text.size()));
   std::uint64_t value = 0;
   for (const char c : text) value = value << 8 | static_cast<unsigned char>(c);
   return value;
@@ -25,7 +25,7 @@
 std::string key_of(const Stamp& s) { return numbers_text("e", {s.issuer, s.number}); }
 
 // Times in the store in whole microseconds.
-constexpr Sec kMicro = 1e-6;
+constexpr Seconds kMicro = 1e-6;
 
 }  // namespace
 
@@ -41,7 +41,7 @@
 
 Keeper::Keeper(Scheduler& scheduler, Log& log, Purges& purges, store::Store& store)
     : scheduler_(scheduler), log_(log), purges_(purges), store_(store) {
-  const Sec now = scheduler.now();
+  const Seconds now = scheduler.now();
   std::vector<Entry> entries;
   try {
     store_.each([&](std::string_view key, std::string_view value) {
@@ -49,12 +49,12 @@
         entries.push_back(stored_entry(value));
       } else if (key.starts_with('b')) {
         const auto given_up =
-            static_cast<Sec>(number_of(value.substr(std::min<std::size_t>(8, value.size())))) * kMicro;
+            static_cast<Seconds>(number_of(value.substr(std::min<std::size_t>(8, value.size())))) * kMicro;
         purges_.restore_base(number_of(key.substr(1)), number_of(value.substr(0, 8)), given_up, now);
       }
     });
-  } catch (const Malformed& e) {
-    throw store::Unusable(std::string("store: ") + e.what());
+  } catch (const InputError& e) {
+    throw StoreError(std::string("store: ") + e.what());
   }
   std::ranges::sort(entries, {}, &Entry::place);
   for (const auto& e : entries) purges_.restore(e, now);
--- a/src/fleet/keeper.h
+++ b/src/fleet/keeper.h
@@ -16,7 +16,7 @@
 
 class Keeper final : Scheduler::Watcher {
  public:
-  // Reads the whole store into `purges`; store::Unusable if a value cannot be read.
+  // Reads the whole store into `purges`; StoreError if a value cannot be read.
   Keeper(Scheduler& scheduler, Log& log, Purges& purges, store::Store& store);
   ~Keeper();
   void pull();  // at a turn's end
--- a/src/fleet/keepers.cpp
+++ b/src/fleet/keepers.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Keepers::Keepers(const Members& members, const Bounds& bounds, Sec now)
+Keepers::Keepers(const Members& members, const Bounds& bounds, Seconds now)
     : members_(members), bounds_(bounds), started_(now), tell_at_(now + bounds.every), ask_at_(now) {}
 
 // The hash order of both names: the same at the start as before it, while the same are alive.
@@ -32,7 +32,7 @@
   return keepers;
 }
 
-void Keepers::learnt(Belief belief, Sec now) {
+void Keepers::learnt(Belief belief, Seconds now) {
   tell_at_ = now + bounds_.every;
   returned_ = true;  // what was kept from before is past
   std::erase_if(kept_, [&](const auto& of) {
@@ -71,7 +71,7 @@
 
 // Parts of one time, each once; those of an earlier time give way, but what came whole stands until the later
 // is whole too.
-void Keepers::told(std::uint64_t from, Belief belief, Sec now) {
+void Keepers::told(std::uint64_t from, Belief belief, Seconds now) {
   const auto most = static_cast<int>((bounds_.all + bounds_.rooms - 1) / bounds_.rooms);
   if (belief.parts < 1 || belief.parts > most || belief.part < 0 || belief.part >= belief.parts ||
       belief.rooms.size() > bounds_.rooms || belief.objects.size() > bounds_.rooms || belief.at > now + 1)
@@ -113,7 +113,7 @@
 
 // A start asks until its time for that is over, as more of the others turn out to be alive; the newest
 // counts.
-std::optional<Keepers::Send> Keepers::next(Sec now) {
+std::optional<Keepers::Send> Keepers::next(Seconds now) {
   if (!returned_ && now >= started_ + bounds_.ask_for) returned_ = true;
   if (!returned_ && now >= ask_at_) {
     ask_at_ = now + bounds_.ask_again;
@@ -125,7 +125,7 @@
   return send;
 }
 
-Sec Keepers::next_due() const {
+Seconds Keepers::next_due() const {
   return std::min(tell_at_, returned_ ? tell_at_ : std::min(ask_at_, started_ + bounds_.ask_for));
 }
 
--- a/src/fleet/keepers.h
+++ b/src/fleet/keepers.h
@@ -34,7 +34,7 @@
     bool operator==(const Heat&) const = default;
   };
   std::uint64_t router = 0;
-  Sec at = 0;
+  Seconds at = 0;
   int part = 0, parts = 1;
   double link = 0, misses = -1;
   std::vector<Room> rooms{};
@@ -45,31 +45,33 @@
 class Keepers {
  public:
   struct Bounds {
-    int keepers = 3;                    // two may be gone
-    Sec every = 10;                     // a sixth of the minute in which limits count half
-    Sec ask_again = 0.25, ask_for = 5;  // of the start; past it the module has learnt by itself
-    std::size_t rooms = 32;             // of a datagram, and as many objects: 16 bytes each
-    std::size_t objects = 256;          // of one router, those counted highest
-    std::size_t all = 4096;             // of one router
-    Sec keep = 300;                     // five halvings: nothing worth sending
+    int keepers = 3;                        // two may be gone
+    Seconds every = 10;                     // a sixth of the minute in which limits count half
+    Seconds ask_again = 0.25, ask_for = 5;  // of the start; past it the module has learnt by itself
+    std::size_t rooms = 32;                 // of a datagram, and as many objects: 16 bytes each
+    std::size_t objects = 256;              // of one router, those counted highest
+    std::size_t all = 4096;                 // of one router
+    Seconds keep = 300;                     // five halvings: nothing worth sending
   };
   struct Send {
     int peer = -1;
     std::shared_ptr<const Belief> belief;  // null: asks for what is kept of this router
   };
-  Keepers(const Members& members, const Bounds& bounds, Sec now);
+  Keepers(const Members& members, const Bounds& bounds, Seconds now);
 
   // What the module has learnt: kept by the others. Due when wanted() says so.
-  bool wanted(Sec now) const { return now >= tell_at_ && (returned_ || now >= started_ + bounds_.ask_for); }
-  void learnt(Belief belief, Sec now);
+  bool wanted(Seconds now) const {
+    return now >= tell_at_ && (returned_ || now >= started_ + bounds_.ask_for);
+  }
+  void learnt(Belief belief, Seconds now);
   // From others: a part of what one has learnt, or of what was kept for this router; one that asks.
-  void told(std::uint64_t from, Belief belief, Sec now);
+  void told(std::uint64_t from, Belief belief, Seconds now);
   void asked(int from);
   // What this router's own disk kept, before anything is asked.
   void stored(Belief belief) { take_back(std::move(belief)); }
 
-  std::optional<Send> next(Sec now);  // until none
-  Sec next_due() const;
+  std::optional<Send> next(Seconds now);  // until none
+  Seconds next_due() const;
   std::optional<Belief> take_returned();  // whole, the newest so far; once each
   std::size_t kept() const { return kept_.size(); }
 
@@ -80,7 +82,7 @@
 
   const Members& members_;
   const Bounds bounds_;
-  const Sec started_;
+  const Seconds started_;
   struct Kept {
     std::vector<Belief> whole, coming;  // parts: the last that came whole, and a later one until it is
   };
@@ -88,7 +90,7 @@
   std::vector<Belief> own_;             // parts of what comes back
   std::optional<Belief> back_;
   std::deque<Send> to_send_;
-  Sec tell_at_ = 0, ask_at_, newest_ = 0;
+  Seconds tell_at_ = 0, ask_at_, newest_ = 0;
   bool returned_ = false;
 };
 
--- a/src/fleet/links.cpp
+++ b/src/fleet/links.cpp
@@ -4,8 +4,8 @@
 #include <cerrno>
 #include <cstring>
 
+#include "base/text.h"
 #include "fleet/wire.h"
-#include "text.h"
 
 namespace walkpaddle::fleet {
 
@@ -20,14 +20,14 @@
   }
 
   void hello(int version, std::string_view name) override {
-    if (greeted) throw Malformed("a second hello");
-    if (version < 1) bad("version", std::to_string(version));
+    if (greeted) throw InputError("a second hello");
+    if (version < 1) throw_bad_value("version", std::to_string(version));
     const int who = links.peer_named(name);
-    if (who < 0) throw Malformed("a router of no known name, '" + std::string(name.substr(0, 60)) + "'");
+    if (who < 0) throw InputError("a router of no known name, '" + std::string(name.substr(0, 60)) + "'");
     if (peer >= 0 && who != peer)
-      throw Malformed("another router's name, '" + std::string(name.substr(0, 60)) + "'");
+      throw InputError("another router's name, '" + std::string(name.substr(0, 60)) + "'");
     auto& link = links.links_[who];
-    if (peer < 0 && link.dials) throw Malformed("it is dialled from here: " + std::string(name));
+    if (peer < 0 && link.dials) throw InputError("it is dialled from here: " + std::string(name));
     // A second connection means that the other side gave the first up.
     if (link.stream != nullptr) link.stream->close(), links.purges_.sync()->down(who);
     peer = who, greeted = true;
@@ -37,10 +37,12 @@
     links.log_("fleet", "{}: connected", name);
   }
   void known() const {
-    if (!greeted) throw Malformed("no hello first");
+    if (!greeted) throw InputError("no hello first");
   }
-  void beat(Sec theirs, Sec echo, bool whole) override { known(), sync().beat(peer, theirs, echo, whole); }
-  void head(std::uint64_t issuer, std::uint64_t number, std::uint64_t base, Sec given_up_ago) override {
+  void beat(Seconds theirs, Seconds echo, bool whole) override {
+    known(), sync().beat(peer, theirs, echo, whole);
+  }
+  void head(std::uint64_t issuer, std::uint64_t number, std::uint64_t base, Seconds given_up_ago) override {
     sync().head(peer, issuer, number, base, given_up_ago, links.scheduler_.now());
   }
   void beat_end() override {
@@ -48,7 +50,7 @@
   }
   void entry(const Stamp& stamp, Kind kind, std::string_view what) override {
     known();
-    const Sec now = links.scheduler_.now();
+    const Seconds now = links.scheduler_.now();
     if (links.purges_.take(stamp, kind, what, now) == Took::full)
       links.log_("fleet", "{}: a purge had no place and will be asked for again",
                  links.setup_.peers[peer].name);
@@ -65,7 +67,7 @@
         heard = links.scheduler_.now();
       }
       return true;
-    } catch (const Malformed& e) {
+    } catch (const InputError& e) {
       links.log_("fleet", "{}: {}", peer < 0 ? "a connection" : links.setup_.peers[peer].name, e.what());
       return false;
     }
@@ -75,7 +77,7 @@
   Stream& stream;
   int peer;
   bool greeted = false;
-  Sec heard = 0;
+  Seconds heard = 0;
 };
 
 Links::Links(Scheduler& scheduler, Outbox& outbox, Log& log, Purges& purges, const Setup& setup)
@@ -103,7 +105,7 @@
 }
 
 Task Links::accept_all() {
-  constexpr Sec kPause = 0.1;  // without descriptors left: until some connections may have closed
+  constexpr Seconds kPause = 0.1;  // without descriptors left: until some connections may have closed
   const std::size_t kMost = 2 * links_.size() + 4;  // some that have not said who they are
   while (listener_.open()) {
     Fd fd = listener_.accept();
@@ -119,7 +121,7 @@
 
 // One connection, from the accept or the dial on, until the other side ends it, is silent, or cannot be read.
 Task Links::session(Fd fd, int dialled, Event& over) {
-  constexpr Sec kDial = 0.5, kSilence = 2;
+  constexpr Seconds kDial = 0.5, kSilence = 2;
   struct Ends {
     std::size_t& sessions;
     Event& over;
@@ -145,7 +147,7 @@
 }
 
 Task Links::dial_on(int peer) {
-  constexpr Sec kPause = 0.2;  // well under a lease, and no load for a router that starts
+  constexpr Seconds kPause = 0.2;  // well under a lease, and no load for a router that starts
   Event over(scheduler_), pause(scheduler_);
   for (;;) {
     if (Fd fd = dial(setup_.peers[peer].address)) {
@@ -160,7 +162,7 @@
   // Past this the other side does not read: it asks again for what it lacks once it is back.
   constexpr std::size_t kUnread = 4 << 20;
   auto& sync = *purges_.sync();
-  const Sec now = scheduler_.now();
+  const Seconds now = scheduler_.now();
   using Kind = Sync::Send::Kind;
   while (const auto s = sync.next(now)) {
     auto* stream = links_[s->peer].stream;
@@ -173,7 +175,7 @@
                   : s->kind == Kind::entry ? entry_message(*s->entry)
                                            : want_message(s->issuer, s->from));
   }
-  const Sec due = sync.next_due();
+  const Seconds due = sync.next_due();
   if (due < due_at_) due_at_ = due, due_.set();
 }
 
--- a/src/fleet/links.h
+++ b/src/fleet/links.h
@@ -24,7 +24,7 @@
     Address listen;
     std::vector<Peer> peers;  // in the order of Sync's numbers
   };
-  // Throws std::system_error if the address cannot be listened on.
+  // Throws SystemError if the address cannot be listened on.
   Links(Scheduler& scheduler, Outbox& outbox, Log& log, Purges& purges, const Setup& setup);
   void pull();  // at a turn's end
 
@@ -49,7 +49,7 @@
   std::size_t sessions_ = 0;  // also those that have not said who they are
   Listener listener_;
   Event due_, ended_;
-  Sec due_at_ = kNoTime;
+  Seconds due_at_ = kNoTime;
 };
 
 }  // namespace walkpaddle::fleet
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 Members::Members(std::uint64_t self, const std::vector<std::uint64_t>& peers, std::uint64_t incarnation,
-                 const Bounds& bounds, std::uint32_t seed, Sec now)
+                 const Bounds& bounds, std::uint32_t seed, Seconds now)
     : self_(self),
       bounds_(bounds),
       incarnation_(incarnation),
@@ -50,7 +50,7 @@
   return -1;
 }
 
-bool Members::set(Peer& peer, const Record& r, Sec now) {
+bool Members::set(Peer& peer, const Record& r, Seconds now) {
   if (peer.state != r.state) peer.since = now;
   if (peer.state == State::suspect && r.state == State::alive) ++refuted_;
   if (r.reads != 0 || r.incarnation > peer.incarnation) peer.reads = r.reads;
@@ -61,7 +61,7 @@
   return true;
 }
 
-void Members::heard(int p, std::uint64_t incarnation, std::uint64_t reads, Sec now) {
+void Members::heard(int p, std::uint64_t incarnation, std::uint64_t reads, Seconds now) {
   auto& peer = peers_[static_cast<std::size_t>(p)];
   peer.heard = now;
   // At the same incarnation a suspicion is its own to refute: it is told of it with the next word to it.
@@ -70,7 +70,7 @@
   if (reads != 0 && incarnation == peer.incarnation) peer.reads = reads;
 }
 
-bool Members::take(const Record& r, Sec now) {
+bool Members::take(const Record& r, Seconds now) {
   if (r.who == self_) {
     if (r.state == State::alive ? r.incarnation <= incarnation_ : r.incarnation < incarnation_) return false;
     // Suspected or thought dead, or an earlier start's word from a clock that was ahead: refuted.
@@ -101,7 +101,7 @@
     to_send_.push_back({.kind = Probe::Kind::ack, .peer = from, .number = number});
 }
 
-void Members::asked(int from, std::uint64_t number, std::uint64_t about, Sec now) {
+void Members::asked(int from, std::uint64_t number, std::uint64_t about, Seconds now) {
   const int p = peer_named(about);
   if (p < 0 || helping_.size() >= kMostHelping) return;
   helping_.push_back({from, number, ++number_, now + bounds_.timeout});
@@ -124,7 +124,7 @@
   if (pending_ && pending_->number == number && pending_->nacks_due > 0) --pending_->nacks_due;
 }
 
-void Members::suspect(int p, Sec now) {
+void Members::suspect(int p, Seconds now) {
   auto& peer = peers_[static_cast<std::size_t>(p)];
   const Record r{peer.name, peer.incarnation, State::suspect, self_, peer.reads};
   if (peer.state == State::suspect)
@@ -133,9 +133,9 @@
     ++suspicions_, set(peer, r, now);
 }
 
-Sec Members::dead_at(const Peer& peer) const {
+Seconds Members::dead_at(const Peer& peer) const {
   const double n = std::max(1.0, std::log10(static_cast<double>(alive() + 1)));
-  const Sec shortest = bounds_.suspicion * n * bounds_.period, longest = bounds_.longest * shortest;
+  const Seconds shortest = bounds_.suspicion * n * bounds_.period, longest = bounds_.longest * shortest;
   const double others = static_cast<double>(peer.suspected_by.size()) - 1;
   const double share = std::log(std::max(0.0, others) + 1) / std::log(bounds_.confirmed + 1.0);
   return peer.since + std::max(shortest, longest - (longest - shortest) * share);
@@ -156,7 +156,7 @@
 }
 
 // This process stood still (stopped, or starved): what it did not hear meanwhile speaks of nobody else.
-void Members::woke(Sec slept) {
+void Members::woke(Seconds slept) {
   pending_.reset();
   helping_.clear();
   for (auto& peer : peers_)
@@ -165,8 +165,8 @@
   slept_ = true;
 }
 
-std::optional<Members::Probe> Members::next(Sec now) {
-  if (const Sec slept = now - std::exchange(called_at_, now); slept > 2 * bounds_.period) woke(slept);
+std::optional<Members::Probe> Members::next(Seconds now) {
+  if (const Seconds slept = now - std::exchange(called_at_, now); slept > 2 * bounds_.period) woke(slept);
   const auto pop = [&] {
     const auto probe = to_send_.front();
     to_send_.pop_front();
@@ -225,8 +225,8 @@
   return pop();
 }
 
-Sec Members::next_due() const {
-  Sec due = probe_at_;
+Seconds Members::next_due() const {
+  Seconds due = probe_at_;
   if (!to_send_.empty()) return called_at_;
   if (!helping_.empty()) due = std::min(due, helping_.front().until);
   if (pending_)
--- a/src/fleet/members.h
+++ b/src/fleet/members.h
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::fleet {
 
@@ -32,10 +32,11 @@
     std::uint64_t reads = 0;     // what it announces to read, of its incarnation; see src/compat/verdict.h
   };
   struct Bounds {
-    Sec period = 0.5;   // between two pings: a dead one of 300 is pinged by somebody within some milliseconds
-    Sec timeout = 0.2;  // of a direct answer; the rest of the period is for the helpers'
-    int helpers = 3;    // SWIM's k: enough at a few percent of loss
-    int most_ill = 8;   // Lifeguard's S
+    Seconds period =
+        0.5;  // between two pings: a dead one of 300 is pinged by somebody within some milliseconds
+    Seconds timeout = 0.2;              // of a direct answer; the rest of the period is for the helpers'
+    int helpers = 3;                    // SWIM's k: enough at a few percent of loss
+    int most_ill = 8;                   // Lifeguard's S
     double suspicion = 4, longest = 3;  // periods a power of ten of members; multiples of that unconfirmed
     int confirmed = 3;                  // by so many others: the shortest
   };
@@ -48,25 +49,25 @@
   struct Peer {
     std::uint64_t name = 0, incarnation = 0, reads = 0;
     State state = State::unheard;
-    Sec since = 0;                              // of the state
-    Sec heard = 0;                              // last from itself
+    Seconds since = 0;                          // of the state
+    Seconds heard = 0;                          // last from itself
     std::vector<std::uint64_t> suspected_by{};  // as many as confirm it, at most
   };
 
   Members(std::uint64_t self, const std::vector<std::uint64_t>& peers, std::uint64_t incarnation,
-          const Bounds& bounds, std::uint32_t seed, Sec now);
+          const Bounds& bounds, std::uint32_t seed, Seconds now);
 
   // Inputs.
   // Anything from itself, with what it announces to read, 0 if it does not say.
-  void heard(int peer, std::uint64_t incarnation, std::uint64_t reads, Sec now);
-  bool take(const Record& record, Sec now);  // a record that is passed on; true: news
+  void heard(int peer, std::uint64_t incarnation, std::uint64_t reads, Seconds now);
+  bool take(const Record& record, Seconds now);  // a record that is passed on; true: news
   void pinged(int from, std::uint64_t number);
-  void asked(int from, std::uint64_t number, std::uint64_t about, Sec now);
+  void asked(int from, std::uint64_t number, std::uint64_t about, Seconds now);
   void acked(std::uint64_t number);
   void nacked(std::uint64_t number);
 
-  std::optional<Probe> next(Sec now);  // until none
-  Sec next_due() const;
+  std::optional<Probe> next(Seconds now);  // until none
+  Seconds next_due() const;
 
   // What stands.
   std::vector<Record> take_news() { return std::exchange(news_, {}); }  // to be spread, once
@@ -86,21 +87,21 @@
   struct Pending {
     int peer = -1;
     std::uint64_t number = 0;
-    Sec at = 0, until = 0;
+    Seconds at = 0, until = 0;
     bool helped = false;
     int nacks_due = 0;
   };
   struct Helping {
     int from = -1;
     std::uint64_t number = 0, own = 0;
-    Sec until = 0;
+    Seconds until = 0;
   };
-  bool set(Peer& peer, const Record& record, Sec now);
-  void suspect(int peer, Sec now);
-  Sec dead_at(const Peer& peer) const;
+  bool set(Peer& peer, const Record& record, Seconds now);
+  void suspect(int peer, Seconds now);
+  Seconds dead_at(const Peer& peer) const;
   void feel(int step) { ill_ = std::clamp(ill_ + step, 0, bounds_.most_ill); }
   int next_in_round();
-  void woke(Sec slept);
+  void woke(Seconds slept);
 
   const std::uint64_t self_;
   const Bounds bounds_;
@@ -113,7 +114,7 @@
   std::deque<Probe> to_send_;
   std::vector<Record> news_;
   std::uint64_t number_ = 0, suspicions_ = 0, refuted_ = 0;
-  Sec probe_at_, called_at_;
+  Seconds probe_at_, called_at_;
   int ill_ = 0;
   bool slept_ = false;
 };
--- a/src/fleet/purges.cpp
+++ b/src/fleet/purges.cpp
@@ -12,7 +12,7 @@
   return static_cast<Kind>(it - std::begin(kKindNames));
 }
 
-Purges::Purges(const Setup& setup, Sec now)
+Purges::Purges(const Setup& setup, Seconds now)
     : setup_(setup),
       book_({.life = setup.copy_life, .entries = setup.entries}),
       // A second more than the settling: boxes' clocks and the way to them.
@@ -23,10 +23,10 @@
   if (setup.fleet) sync_.emplace(book_, setup.peers, setup.lasting, setup.sync, now);
 }
 
-void Purges::bus_object(std::uint64_t object, Sec from) { ++changes_, cover_.object(object, from); }
-void Purges::bus_group(std::uint32_t group, Sec from) { ++changes_, cover_.group(group, from); }
-void Purges::bus_gap(bool open, Sec) { ++changes_, gap_ = open; }
-void Purges::bus_lost(Sec now) { ++changes_, gap_ = false, cover_.all(now); }
+void Purges::bus_object(std::uint64_t object, Seconds from) { ++changes_, cover_.object(object, from); }
+void Purges::bus_group(std::uint32_t group, Seconds from) { ++changes_, cover_.group(group, from); }
+void Purges::bus_gap(bool open, Seconds) { ++changes_, gap_ = open; }
+void Purges::bus_lost(Seconds now) { ++changes_, gap_ = false, cover_.all(now); }
 
 std::optional<std::string> Purges::refusal(Kind kind, std::string_view what) const {
   const auto plain = [](char c) { return c > ' ' && c <= '~'; };
@@ -50,7 +50,7 @@
   cover_.add(e);
 }
 
-const Entry& Purges::issue(Kind kind, std::string what, Sec now) {
+const Entry& Purges::issue(Kind kind, std::string what, Seconds now) {
   const auto& e = book_.issue(setup_.self, kind, std::move(what), now);
   heard(e);
   if (!setup_.lasting) sync_->issued(e);     // else once it is stored
@@ -61,7 +61,7 @@
   return e;
 }
 
-void Purges::look_accepted(Sec now) {
+void Purges::look_accepted(Seconds now) {
   for (auto& [stamp, at] : issued_) {
     if (at > 0) continue;
     const auto* e = book_.find(stamp.issuer, stamp.number);
@@ -69,7 +69,7 @@
   }
 }
 
-Took Purges::take(const Stamp& stamp, Kind kind, std::string_view what, Sec now) {
+Took Purges::take(const Stamp& stamp, Kind kind, std::string_view what, Seconds now) {
   if (kind == Kind::pattern && Patterns::refusal(what))
     kind = Kind::all, what = {};  // another version's: more
   const Entry* entry = nullptr;
@@ -78,21 +78,21 @@
   return took;
 }
 
-void Purges::after_input(Sec now) {
+void Purges::after_input(Seconds now) {
   if (!sync_) return;
   if (const auto before = sync_->take_all_before()) ++changes_, cover_.all(*before);
   if (sync_->take_lost()) issue(Kind::all, "", now);
   look_accepted(now);
 }
 
-void Purges::restore(const Entry& e, Sec now) {
+void Purges::restore(const Entry& e, Seconds now) {
   const Entry* entry = nullptr;
   // A clock set back since then must not make a purge younger than now.
   book_.restore(e.stamp, e.kind, e.what, std::min(e.from, now), e.place, now, &entry);
   if (entry != nullptr) heard(*entry);
 }
 
-void Purges::restore_base(std::uint64_t issuer, std::uint64_t base, Sec given_up, Sec now) {
+void Purges::restore_base(std::uint64_t issuer, std::uint64_t base, Seconds given_up, Seconds now) {
   if (given_up > 0) cover_.all(std::min(given_up, now));
   book_.skip(issuer, base, std::min(given_up, now), now);
 }
@@ -107,7 +107,7 @@
   return setup_.lasting ? book_.from_place(to_store_ + 1) : nullptr;
 }
 
-void Purges::stored(std::uint64_t place, Sec now) {
+void Purges::stored(std::uint64_t place, Seconds now) {
   const auto before = stored_;
   stored_ = std::max(stored_, place);
   book_.stored(stored_);
@@ -130,27 +130,27 @@
   return s;
 }
 
-Sec Purges::age_limit(Sec now) const {
+Seconds Purges::age_limit(Seconds now) const {
   // While the bus's numbers are missing: a way to a box and back over links that are slow.
-  constexpr Sec kGap = 0.2;
-  const Sec fleet = sync_ ? sync_->age_limit(now) : 0;
+  constexpr Seconds kGap = 0.2;
+  const Seconds fleet = sync_ ? sync_->age_limit(now) : 0;
   if (!gap_) return fleet;
   return fleet > 0 ? std::min(fleet, kGap) : kGap;
 }
 
 bool Purges::too_old(std::uint64_t object, std::uint32_t group, std::string_view name,
-                     std::span<const std::uint64_t> tags, Sec made, Sec now) {
-  const Sec limit = age_limit(now);
+                     std::span<const std::uint64_t> tags, Seconds made, Seconds now) {
+  const Seconds limit = age_limit(now);
   if (limit > 0 && made < now - limit) return true;
   return made < std::max(cover_.newest(object, group, name, now), cover_.newest_of(tags, now));
 }
 
-bool Purges::confirmed(int box, Sec heard) const {
+bool Purges::confirmed(int box, Seconds heard) const {
   const auto* next = book_.from_place(boxes_.confirmed_by(box) + 1);
   return next == nullptr || next->from > heard;
 }
 
-void Purges::trim(Sec now) {
+void Purges::trim(Seconds now) {
   constexpr std::size_t kATurn = 256;
   cover_.trim(now);
   book_.trim(now, kATurn, [&](const Entry& e, bool) {
--- a/src/fleet/share.cpp
+++ b/src/fleet/share.cpp
@@ -2,9 +2,9 @@
 
 #include <cmath>
 
+#include "base/text.h"
+#include "config/settings.h"
 #include "fleet/wire.h"
-#include "settings.h"
-#include "text.h"
 
 namespace walkpaddle::fleet {
 
@@ -88,8 +88,8 @@
       ++(taken ? held : refused);
       stored_[{fact.server, fact.observer}] = taken ? fact.seen : replica::Stamp{};
     });
-  } catch (const Malformed& e) {
-    throw store::Unusable(std::string("store: ") + e.what());
+  } catch (const InputError& e) {
+    throw StoreError(std::string("store: ") + e.what());
   }
   log_("facts", "{} facts of servers read from the store, {} refused as too old or of strangers", held,
        refused);
@@ -119,7 +119,7 @@
 
 // What the module has learnt goes to its keepers and to disk; what comes back goes to the module.
 void Share::believe() {
-  const Sec now = scheduler_.now();
+  const Seconds now = scheduler_.now();
   if (const auto back = keepers_.take_returned()) {
     log_("learnt", "{:.1f} s old, from before this start: limits of {} servers, counts of {} objects",
          now - back->at, back->rooms.size(), back->objects.size());
@@ -145,8 +145,8 @@
 }
 
 void Share::pull() {
-  constexpr Sec kLook = 1, kKeep = 2;
-  const Sec now = scheduler_.now();
+  constexpr Seconds kLook = 1, kKeep = 2;
+  const Seconds now = scheduler_.now();
   believe();
   if (changes_) changes_->pull(now);
   datagrams_.pull();
--- a/src/fleet/share.h
+++ b/src/fleet/share.h
@@ -29,7 +29,7 @@
     std::function<void(const Belief&)> take_learnt;
     std::optional<Changes::Setup> changes{};  // nullopt: none are made
   };
-  // Throws std::system_error if the address cannot be had; store::Unusable if what is stored cannot be read.
+  // Throws SystemError if the address cannot be had; StoreError if what is stored cannot be read.
   Share(Scheduler& scheduler, Log& log, const Setup& setup);
   void pull();  // at a turn's end
 
@@ -41,7 +41,7 @@
   const Changes* changes() const { return changes_.get(); }
   const Datagrams::Counts& counts() const { return datagrams_.counts(); }
   const std::string& name_of(std::uint64_t name) const;  // of a router by its hash; "?" for a stranger
-  Sec started() const { return started_; }
+  Seconds started() const { return started_; }
 
  private:
   void restore();
@@ -52,7 +52,7 @@
   Scheduler& scheduler_;
   Log& log_;
   const Setup setup_;
-  const Sec started_;
+  const Seconds started_;
   std::map<std::uint64_t, std::string> names_;
   replica::Watch watch_;
   Members members_;
@@ -63,7 +63,7 @@
   Datagrams datagrams_;
   std::map<replica::Watch::Key, replica::Stamp> stored_;
   std::vector<Members::State> said_;
-  Sec look_at_ = 0, keep_at_ = 0;
+  Seconds look_at_ = 0, keep_at_ = 0;
   bool said_failed_ = false;
 };
 
--- a/src/fleet/sync.cpp
+++ b/src/fleet/sync.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-Sync::Sync(Book& book, int peers, bool lasting, const Bounds& bounds, Sec now)
+Sync::Sync(Book& book, int peers, bool lasting, const Bounds& bounds, Seconds now)
     : book_(book), lasting_(lasting), bounds_(bounds), started_(now), whole_(lasting) {
   peers_.resize(static_cast<std::size_t>(peers));
   if (!lasting && peers == 0) whole_ = lost_ = true;  // nobody to learn the lost ones from
@@ -31,7 +31,7 @@
   peer.to_send.clear(), peer.pending.clear();
 }
 
-void Sync::beat(int p, Sec theirs, Sec echo, bool whole) {
+void Sync::beat(int p, Seconds theirs, Seconds echo, bool whole) {
   auto& peer = peers_[static_cast<std::size_t>(p)];
   peer.theirs = std::max(peer.theirs, theirs);
   peer.whole = whole;
@@ -39,21 +39,21 @@
   peer.pending.push_back({echo, {}});
 }
 
-void Sync::head(int p, std::uint64_t issuer, std::uint64_t number, std::uint64_t base, Sec given_up_ago,
-                Sec now) {
+void Sync::head(int p, std::uint64_t issuer, std::uint64_t number, std::uint64_t base, Seconds given_up_ago,
+                Seconds now) {
   auto& peer = peers_[static_cast<std::size_t>(p)];
   peer.beat.emplace_back(issuer, number);
   if (const auto ours = book_.run(issuer); ours.through < base) {
     // Nobody may hold them any more. Those dropped for age concern no copy; for the others all copies are
     // old.
-    const Sec given_up = given_up_ago > 0 ? now - given_up_ago : 0;
+    const Seconds given_up = given_up_ago > 0 ? now - given_up_ago : 0;
     if (given_up > 0) all_before_ = std::max(all_before_.value_or(0), given_up);
     book_.skip(issuer, base, given_up, now);
   }
   book_.told(issuer, number);
 }
 
-void Sync::beat_end(int p, Sec now) {
+void Sync::beat_end(int p, Seconds now) {
   auto& peer = peers_[static_cast<std::size_t>(p)];
   peer.heard = true, peer.heard_at = now;
   peer.heads = {peer.beat.begin(), peer.beat.end()};
@@ -76,7 +76,7 @@
   }
 }
 
-void Sync::entries_came(Sec now) {
+void Sync::entries_came(Seconds now) {
   for (auto& peer : peers_) settle(peer);
   recover();
   ask(now);
@@ -102,7 +102,7 @@
 
 // Asks for what is missing, each issuer's run from one peer that tells of more; again only when it did not
 // grow for a beat.
-void Sync::ask(Sec now) {
+void Sync::ask(Seconds now) {
   for (const auto& [issuer, run] : book_.runs()) {
     if (run.told <= run.through) {
       asked_.erase(issuer);
@@ -150,7 +150,7 @@
   return lasting_ ? run.durable : run.through;
 }
 
-std::optional<Sync::Send> Sync::next(Sec now) {
+std::optional<Sync::Send> Sync::next(Seconds now) {
   if (!wants_.empty()) {
     const auto send = wants_.front();
     wants_.pop_front();
@@ -165,7 +165,7 @@
         return Send{.kind = Send::Kind::entry, .peer = static_cast<int>(n), .entry = entry};
     }
     // At once after news, but no more than twenty a second: acknowledgements of a burst share a beat.
-    const Sec due = peer.beat_at + (peer.beat_now ? std::min(0.05, bounds_.beat) : bounds_.beat);
+    const Seconds due = peer.beat_at + (peer.beat_now ? std::min(0.05, bounds_.beat) : bounds_.beat);
     if (!peer.up || now < due) continue;
     peer.beat_at = now, peer.beat_now = false;
     return Send{.kind = Send::Kind::beat, .peer = static_cast<int>(n), .echo = peer.theirs};
@@ -173,18 +173,18 @@
   return std::nullopt;
 }
 
-Sec Sync::next_due() const {
-  Sec due = 1e15;
+Seconds Sync::next_due() const {
+  Seconds due = 1e15;
   for (const auto& p : peers_)
     if (p.up) due = std::min(due, p.beat_at + (p.beat_now ? std::min(0.05, bounds_.beat) : bounds_.beat));
   return due;
 }
 
-Sec Sync::trusted_at(Sec now) const {
+Seconds Sync::trusted_at(Seconds now) const {
   if (!whole_) return 0;
   const auto others = static_cast<std::size_t>(majority() - 1);
   if (others == 0) return now;
-  std::vector<Sec> at;
+  std::vector<Seconds> at;
   for (const auto& p : peers_) at.push_back(p.complete_at);
   std::ranges::nth_element(at, at.begin() + static_cast<std::ptrdiff_t>(others - 1), std::greater<>());
   return at[others - 1];
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -2,9 +2,9 @@
 
 #include <utility>
 
+#include "base/text.h"
 #include "fleet/fleet.capnp.h"
 #include "replica/flat.h"
-#include "text.h"
 
 namespace walkpaddle::fleet {
 
@@ -20,14 +20,14 @@
 }
 
 Kind kind_of(int number) {
-  if (number >= purge::kKinds) bad("kind of purge", std::to_string(number));
+  if (number >= purge::kKinds) throw_bad_value("kind of purge", std::to_string(number));
   return static_cast<Kind>(number);
 }
 
 std::string_view what_of(const schema::Entry::Reader& e) {
   const auto what = text_of(e.getWhat());
-  if (what.size() > purge::kLongest) bad("purge of length", std::to_string(what.size()));
-  if (e.getNumber() == 0) bad("number", "0");
+  if (what.size() > purge::kLongest) throw_bad_value("purge of length", std::to_string(what.size()));
+  if (e.getNumber() == 0) throw_bad_value("number", "0");
   return what;
 }
 
@@ -42,11 +42,11 @@
       return into.hello(m.getHello().getVersion(), text_of(m.getHello().getName()));
     case schema::Message::BEAT: {
       const auto beat = m.getBeat();
-      const Sec theirs = time_of(beat.getTime()), echo = time_of(beat.getEcho());
+      const Seconds theirs = time_of(beat.getTime()), echo = time_of(beat.getEcho());
       const auto heads = beat.getHeads();
       for (const auto h : heads) {
         time_of(h.getGivenUpAgo());
-        if (h.getBase() > h.getNumber()) bad("head", std::to_string(h.getNumber()));
+        if (h.getBase() > h.getNumber()) throw_bad_value("head", std::to_string(h.getNumber()));
       }
       into.beat(theirs, echo, beat.getWhole());
       for (const auto h : heads) into.head(h.getIssuer(), h.getNumber(), h.getBase(), h.getGivenUpAgo());
@@ -67,9 +67,10 @@
 }
 
 replica::Fact fact_of(const schema::Fact::Reader& f) {
-  if (f.getHealth() >= replica::kHealths) bad("health", std::to_string(f.getHealth()));
-  if (!std::isfinite(f.getLimit()) || f.getLimit() < 0) bad("limit", std::to_string(f.getLimit()));
-  if (f.getMicros() < 0) bad("stamp", std::to_string(f.getMicros()));
+  if (f.getHealth() >= replica::kHealths) throw_bad_value("health", std::to_string(f.getHealth()));
+  if (!std::isfinite(f.getLimit()) || f.getLimit() < 0)
+    throw_bad_value("limit", std::to_string(f.getLimit()));
+  if (f.getMicros() < 0) throw_bad_value("stamp", std::to_string(f.getMicros()));
   return {.server = f.getServer(),
           .started = time_of(f.getStarted()),
           .observer = f.getObserver(),
@@ -90,7 +91,7 @@
 
 double bounded(float value) {
   constexpr float kMost = 1e6;  // limits and seconds: far past any
-  if (!(value >= 0 && value <= kMost)) bad("figure", std::to_string(value));
+  if (!(value >= 0 && value <= kMost)) throw_bad_value("figure", std::to_string(value));
   return value;
 }
 
@@ -151,7 +152,7 @@
   std::size_t length = 0;
   for (std::size_t n = 0; n < kHead; ++n) length = length << 8 | static_cast<unsigned char>(bytes[n]);
   if (length == 0 || length > kLargestMessage || length % sizeof(capnp::word) != 0)
-    bad("message length", std::to_string(length));
+    throw_bad_value("message length", std::to_string(length));
   if (bytes.size() < kHead + length) return 0;
   reading<schema::Message>(bytes.substr(kHead, length),
                            [&](const schema::Message::Reader& m) { hand_on(m, into); });
@@ -166,7 +167,7 @@
   return framed(message);
 }
 
-std::string beat_message(const purge::Book& book, const Sync& sync, Sec now, Sec echo) {
+std::string beat_message(const purge::Book& book, const Sync& sync, Seconds now, Seconds echo) {
   capnp::MallocMessageBuilder message;
   auto beat = message.initRoot<schema::Message>().initBeat();
   beat.setTime(now);
@@ -237,17 +238,18 @@
 }
 
 bool read_packet(std::string_view bytes, const std::function<int(std::uint64_t)>& peer_of, Gossip& into,
-                 Sec now) {
-  if (bytes.size() > kLargestPacket) bad("datagram of length", std::to_string(bytes.size()));
+                 Seconds now) {
+  if (bytes.size() > kLargestPacket) throw_bad_value("datagram of length", std::to_string(bytes.size()));
   return reading<schema::Packet>(bytes, [&](const schema::Packet::Reader& p) {
-    if (p.getVersion() < 1) bad("version", std::to_string(p.getVersion()));
+    if (p.getVersion() < 1) throw_bad_value("version", std::to_string(p.getVersion()));
     const int from = peer_of(p.getFrom());
     if (from < 0) return false;
     std::vector<replica::Fact> facts;
     for (const auto f : p.getFacts()) facts.push_back(fact_of(f));
     std::vector<Members::Record> records;
     for (const auto r : p.getRecords()) {
-      if (r.getState() > static_cast<int>(Members::State::dead)) bad("state", std::to_string(r.getState()));
+      if (r.getState() > static_cast<int>(Members::State::dead))
+        throw_bad_value("state", std::to_string(r.getState()));
       records.push_back({r.getWho(), r.getIncarnation(), static_cast<Members::State>(r.getState()), r.getBy(),
                          r.getReads()});
     }
