--- a/src/freeze/calendar.cpp
+++ b/src/freeze/calendar.cpp
@@ -4,9 +4,9 @@
 #include <cctype>
 #include <cmath>
 
+#include "base/text.h"
 #include "freeze/freeze.capnp.h"
 #include "replica/flat.h"
-#include "text.h"
 
 namespace walkpaddle::freeze {
 
@@ -16,7 +16,7 @@
 using replica::flat;
 
 constexpr std::size_t kLongestText = 200;
-constexpr Sec kLongestException = 7 * 86400.0;  // a week: more is no exception, the window is wrong
+constexpr Seconds kLongestException = 7 * 86400.0;  // a week: more is no exception, the window is wrong
 
 void put(schema::Local::Builder b, const Local& l) {
   b.setYear(static_cast<std::uint16_t>(l.year));
@@ -86,7 +86,7 @@
 
 }  // namespace
 
-std::string refusal(const Exception& e, Sec now) {
+std::string refusal(const Exception& e, Seconds now) {
   if (e.change.empty() || e.change.size() > kLongestText) return "change is missing: which one may go on";
   if (e.window.empty() || e.window.size() > kLongestText) return "window is missing: in which one";
   if (e.version < 1) return "version counts from 1";
@@ -170,12 +170,12 @@
   return true;
 }
 
-bool Calendar::excepted(const Plan& plan, const std::string& window, Sec from, Sec until) const {
+bool Calendar::excepted(const Plan& plan, const std::string& window, Seconds from, Seconds until) const {
   const auto it = exceptions_.find({plan.change, window});
   return it != exceptions_.end() && until <= it->second.until && from <= it->second.until;
 }
 
-Calendar::Met Calendar::meets(const Plan& plan, Sec from, Sec until, bool leads) const {
+Calendar::Met Calendar::meets(const Plan& plan, Seconds from, Seconds until, bool leads) const {
   Met first;
   for (const auto& [name, named] : named_) {
     if (named.copies.empty() || withdrawn(named)) continue;
@@ -185,7 +185,7 @@
           std::ranges::none_of(plan.sites, [&](const auto& site) { return w.concerns(site); }))
         continue;
       for (const auto& s : spans(w, from, until, bounds_.slack)) {
-        const Sec begins = leads ? s.lead : s.from;
+        const Seconds begins = leads ? s.lead : s.from;
         if (begins > until || s.until <= from) continue;
         if (excepted(plan, name, from, std::min(until, s.until))) continue;
         if (first.window.empty() || begins < (leads ? first.span.lead : first.span.from)) first = {name, s};
@@ -195,7 +195,7 @@
   return first;
 }
 
-std::string Calendar::not_current(Sec now) const {
+std::string Calendar::not_current(Seconds now) const {
   if (std::abs(apart_) > bounds_.slack)
     return "this router's clock is " + std::to_string(std::llround(std::abs(apart_))) +
            " s apart from the others'";
@@ -208,7 +208,7 @@
   return "";
 }
 
-Answer Calendar::ask(Act act, const Plan& plan, Sec now) const {
+Answer Calendar::ask(Act act, const Plan& plan, Seconds now) const {
   if (act == Act::stop || act == Act::go_back) return {};
   if (const auto why = not_current(now); !why.empty()) return {May::not_before, 0, "", why};
   const auto met = meets(plan, now, now + plan.worst, true);
@@ -225,7 +225,7 @@
           " minutes, the way back included, would run into the freeze window " + met.window +
           ", before which nothing starts from " + text_of_moment(s.lead) + " on";
   // Each step passes a span; a bounded number of them lies within the horizon.
-  for (Sec at = s.until; at < now + bounds_.horizon;) {
+  for (Seconds at = s.until; at < now + bounds_.horizon;) {
     const auto next = meets(plan, at, at + plan.worst, true);
     if (next.window.empty()) return {May::not_before, at, met.window, why};
     at = std::max(next.span.until, at + 1);
@@ -235,13 +235,13 @@
       why + "; no time is free for it in " + std::to_string(std::llround(bounds_.horizon / 86400)) + " days"};
 }
 
-Overtaken Calendar::overtaken(const Plan& plan, Sec way_back, Sec now) const {
+Overtaken Calendar::overtaken(const Plan& plan, Seconds way_back, Seconds now) const {
   const auto met = meets(plan, now, now + plan.worst, true);
   if (met.window.empty()) return Overtaken::no;
   return now + way_back <= met.span.from ? Overtaken::goes_back : Overtaken::holds;
 }
 
-bool Calendar::site_frozen(std::string_view site, std::uint8_t work, Sec now) const {
+bool Calendar::site_frozen(std::string_view site, std::uint8_t work, Seconds now) const {
   const Plan plan{.change = {}, .work = work, .sites = {std::string(site)}};
   return !meets(plan, now, now, true).window.empty();
 }
@@ -263,8 +263,8 @@
 }
 
 // What others say is checked as if people had written it here; a withdrawal that is heard is held here too.
-bool Calendar::take(std::string_view bytes, Sec now) {
-  if (bytes.size() > kLargestItem) bad("item of length", std::to_string(bytes.size()));
+bool Calendar::take(std::string_view bytes, Seconds now) {
+  if (bytes.size() > kLargestItem) throw_bad_value("item of length", std::to_string(bytes.size()));
   return replica::reading<schema::Item>(bytes, kLargestItem, [&](const schema::Item::Reader& item) {
     switch (item.which()) {
       case schema::Item::WINDOW: {
--- a/src/freeze/calendar.h
+++ b/src/freeze/calendar.h
@@ -38,17 +38,17 @@
   std::string change, window, reason;
   std::string approvers[2];
   std::uint32_t version = 1;
-  Sec until = 0;  // Unix time
+  Seconds until = 0;  // Unix time
   auto operator<=>(const Exception&) const = default;
 };
-std::string refusal(const Exception& exception, Sec now);  // empty: nothing is wrong with it
+std::string refusal(const Exception& exception, Seconds now);  // empty: nothing is wrong with it
 
 enum class Act : std::uint8_t { propose, start_stage, go_on, stop, go_back };
 
 struct Answer {
   enum class May : std::uint8_t { now, not_before, never };
   May may = May::now;
-  Sec at = 0;                   // not_before: the first time; 0: it is not known yet
+  Seconds at = 0;               // not_before: the first time; 0: it is not known yet
   std::string window{}, why{};  // for people; empty for now
   bool operator==(const Answer&) const = default;
 };
@@ -65,11 +65,11 @@
     std::size_t fleet = 512;
     // A calendar without word from a majority for so long may lack a window: some rounds of comparison (2 s
     // each), so that a lost one does not matter, and far under any lead.
-    Sec current = 30;
+    Seconds current = 30;
     // Clocks of routers that are apart by less are covered by widening every window by as much. NTP keeps
     // them within some milliseconds; half a minute is a clock that nobody tends, an hour a wrong zone.
-    Sec slack = 60;
-    Sec horizon = 800 * 86400.0;  // in which a time is looked for: each yearly window comes twice
+    Seconds slack = 60;
+    Seconds horizon = 800 * 86400.0;  // in which a time is looked for: each yearly window comes twice
   };
 
   // fleet: stable hashes of all its routers' names, this one included. site: where this router stands.
@@ -81,19 +81,19 @@
   bool except(const Exception& exception);
   // What the host sees of the fleet: in contact with a majority and caught up; by how much this router's
   // clock is apart from the others' middle.
-  void in_contact(Sec now) { contact_ = std::max(contact_, now); }
-  void clock_apart(Sec apart) { apart_ = apart; }
+  void in_contact(Seconds now) { contact_ = std::max(contact_, now); }
+  void clock_apart(Seconds apart) { apart_ = apart; }
 
   struct Plan {
     std::string change;
     std::uint8_t work = kSettings;
     std::vector<std::string> sites{};  // whose routers it concerns
-    Sec worst = 0;                     // its longest time from here on, the way back included
+    Seconds worst = 0;                 // its longest time from here on, the way back included
   };
-  Answer ask(Act act, const Plan& plan, Sec now) const;
-  Overtaken overtaken(const Plan& plan, Sec way_back, Sec now) const;
-  bool site_frozen(std::string_view site, std::uint8_t work, Sec now) const;  // by no exception's leave
-  std::string not_current(Sec now) const;  // why this calendar cannot be gone by; empty: it can
+  Answer ask(Act act, const Plan& plan, Seconds now) const;
+  Overtaken overtaken(const Plan& plan, Seconds way_back, Seconds now) const;
+  bool site_frozen(std::string_view site, std::uint8_t work, Seconds now) const;  // by no exception's leave
+  std::string not_current(Seconds now) const;  // why this calendar cannot be gone by; empty: it can
 
   struct Standing {
     Window window;
@@ -108,7 +108,7 @@
 
   // As a kind of replicated state.
   std::uint8_t number() const override { return 0; }
-  bool take(std::string_view bytes, Sec now) override;
+  bool take(std::string_view bytes, Seconds now) override;
 
  private:
   struct Named {
@@ -124,15 +124,15 @@
     std::string window;
     Span span;
   };
-  Met meets(const Plan& plan, Sec from, Sec until, bool leads) const;
-  bool excepted(const Plan& plan, const std::string& window, Sec from, Sec until) const;
+  Met meets(const Plan& plan, Seconds from, Seconds until, bool leads) const;
+  bool excepted(const Plan& plan, const std::string& window, Seconds from, Seconds until) const;
 
   const std::uint64_t self_;
   const std::set<std::uint64_t> fleet_;
   const Bounds bounds_;
   std::map<std::string, Named> named_;
   std::map<std::pair<std::string, std::string>, Exception> exceptions_;  // by change and window
-  Sec contact_ = 0, apart_ = 0;
+  Seconds contact_ = 0, apart_ = 0;
   std::uint64_t refused_ = 0;
 };
 
--- a/src/freeze/window.cpp
+++ b/src/freeze/window.cpp
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <stdexcept>
 
-#include "text.h"
+#include "base/text.h"
 
 namespace walkpaddle::freeze {
 
@@ -16,7 +16,7 @@
 
 // Bounds of what people write; the longest window is most of a year, so that a yearly one has an outside.
 constexpr std::size_t kLongestName = 64, kMostSites = 64;
-constexpr Sec kDay = 86400, kLongestLead = 30 * kDay, kLongest = 330 * kDay;
+constexpr Seconds kDay = 86400, kLongestLead = 30 * kDay, kLongest = 330 * kDay;
 
 date::year_month_day day_of(const Local& l, int year, bool end) {
   const date::year_month_day day{date::year(year), date::month(static_cast<unsigned>(l.month)),
@@ -27,7 +27,7 @@
 }
 
 // The stricter of the moments that a local time may be.
-Sec moment(const Local& l, int year, const date::time_zone& zone, bool end) {
+Seconds moment(const Local& l, int year, const date::time_zone& zone, bool end) {
   const auto local =
       date::local_days(day_of(l, year, end)).time_since_epoch() + hours(l.hour) + minutes(l.minute);
   const auto info = zone.get_info(date::local_seconds(duration_cast<seconds>(local)));
@@ -35,10 +35,10 @@
   if (info.result != date::local_info::unique)
     offset = end ? std::min(info.first.offset, info.second.offset)
                  : std::max(info.first.offset, info.second.offset);
-  return static_cast<Sec>((duration_cast<seconds>(local) - offset).count());
+  return static_cast<Seconds>((duration_cast<seconds>(local) - offset).count());
 }
 
-int year_of(Sec at) {
+int year_of(Seconds at) {
   const date::sys_days day = date::floor<date::days>(date::sys_seconds(seconds(static_cast<long long>(at))));
   return static_cast<int>(date::year_month_day(day).year());
 }
@@ -58,12 +58,12 @@
   return nullptr;
 }
 
-Span span(const Window& w, int year, const date::time_zone& zone, Sec slack) {
+Span span(const Window& w, int year, const date::time_zone& zone, Seconds slack) {
   const bool yearly = w.from.year == 0;
   const auto untimed = [](Local l) { return l.year = 0, l; };
   // Over new year a yearly window ends in the next one.
   const int end_year = !yearly ? w.until.year : year + (untimed(w.until) <= untimed(w.from) ? 1 : 0);
-  const Sec from = moment(w.from, yearly ? year : w.from.year, zone, false) - slack;
+  const Seconds from = moment(w.from, yearly ? year : w.from.year, zone, false) - slack;
   return {from - w.lead, from, moment(w.until, end_year, zone, true) + slack};
 }
 
@@ -76,19 +76,19 @@
 std::optional<Local> read_local(std::string_view text) try {
   Local l;
   const auto number = [](std::string_view digits) {
-    if (digits.empty() || digits.size() > 4 || digits.front() == '-') bad("number", digits);
+    if (digits.empty() || digits.size() > 4 || digits.front() == '-') throw_bad_value("number", digits);
     return parse<int>(digits, "number");
   };
-  auto day = cut(text, ' ');
+  auto day = take_field(text, ' ');
   if (std::ranges::count(day, '-') == 2) {
-    l.year = number(cut(day, '-'));
+    l.year = number(take_field(day, '-'));
     if (l.year < 1970) return std::nullopt;
   }
-  l.month = number(cut(day, '-')), l.day = number(day);
-  l.hour = number(cut(text, ':')), l.minute = number(text);
+  l.month = number(take_field(day, '-')), l.day = number(day);
+  l.hour = number(take_field(text, ':')), l.minute = number(text);
   if (!stands(l)) return std::nullopt;
   return l;
-} catch (const Malformed&) {
+} catch (const InputError&) {
   return std::nullopt;
 }
 
@@ -98,7 +98,7 @@
          two(l.hour) + ":" + two(l.minute);
 }
 
-std::string text_of_moment(Sec at) {
+std::string text_of_moment(Seconds at) {
   const date::sys_seconds t{seconds(static_cast<long long>(at))};
   return date::format("%Y-%m-%d %H:%M UTC", date::floor<minutes>(t));
 }
@@ -123,7 +123,7 @@
   return "";
 }
 
-std::vector<Span> spans(const Window& w, Sec from, Sec until, Sec slack) {
+std::vector<Span> spans(const Window& w, Seconds from, Seconds until, Seconds slack) {
   std::vector<Span> found;
   const auto* zone = zone_of(w.zone);
   if (zone == nullptr) return found;
--- a/src/freeze/window.h
+++ b/src/freeze/window.h
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::freeze {
 
@@ -34,27 +34,27 @@
   std::string zone;                  // as the time-zone database names it: "Europe/London"
   Local from, until;
   std::uint8_t blocks = kAnyWork;
-  Sec lead = 0;    // before it begins nothing is started that could run into it
-  std::string by;  // who declared it
+  Seconds lead = 0;  // before it begins nothing is started that could run into it
+  std::string by;    // who declared it
   auto operator<=>(const Window&) const = default;
   bool concerns(std::string_view site) const;
 };
 
 // A time in which nothing goes on: the lead, the window itself, and the slack of clocks on both sides.
 struct Span {
-  Sec lead = 0, from = 0, until = 0;  // Unix time; lead <= from < until
+  Seconds lead = 0, from = 0, until = 0;  // Unix time; lead <= from < until
 };
 
 // What stands in a document: "2026-12-24 18:00", or "12-24 18:00" for each year. nullopt if it cannot be
 // read.
 std::optional<Local> read_local(std::string_view text);
 std::string text_of(const Local& local);
-std::string text_of_moment(Sec at);  // UTC, to the minute: "2027-01-02 09:00 UTC"
+std::string text_of_moment(Seconds at);  // UTC, to the minute: "2027-01-02 09:00 UTC"
 
 // What is wrong with a window, in words for its author; empty: nothing.
 std::string refusal(const Window& window);
 
 // The spans of a good window that end after `from` and begin before `until`, in order; `slack` on both sides.
-std::vector<Span> spans(const Window& window, Sec from, Sec until, Sec slack);
+std::vector<Span> spans(const Window& window, Seconds from, Seconds until, Seconds slack);
 
 }  // namespace walkpaddle::freeze
--- a/src/guard/guard.cpp
+++ b/src/guard/guard.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr Sec kDeadlineSlack =
+constexpr Seconds kDeadlineSlack =
     0.15;  // the deadline passed on may be longer than what the client has left by this
 
-bool proves_not_run(Verdict verdict) {
-  return verdict == Verdict::not_taken || verdict == Verdict::no_connection || verdict == Verdict::not_sent ||
-         verdict == Verdict::lacking;
+bool proves_not_run(AttemptOutcome verdict) {
+  return verdict == AttemptOutcome::rejected || verdict == AttemptOutcome::unreachable ||
+         verdict == AttemptOutcome::not_sent || verdict == AttemptOutcome::not_cached;
 }
 
 }  // namespace
@@ -26,27 +26,27 @@
   return std::accumulate(violations_.begin(), violations_.end(), std::uint64_t{0});
 }
 
-Invariant Guard::check(const RequestRecord& r, const AttemptFacts& a, Sec now) const {
+Invariant Guard::check(const RequestRecord& r, const AttemptFacts& a, Seconds now) const {
   if (r.left_) return Invariant::attempt_after_leave;
   if (r.answered_) return Invariant::answer_once;
   if (r.out_ > 0) return Invariant::one_attempt_out;
   if (a.deadline > r.expires_ - now + kDeadlineSlack) return Invariant::deadline_passed;
-  if (a.endpoint != Listed::ready || a.source != Listed::ready) return Invariant::drain_kept;
-  if (a.copies_since < r.copies_since_) return Invariant::purge_kept;
+  if (a.endpoint != EndpointState::ready || a.source != EndpointState::ready) return Invariant::drain_kept;
+  if (a.copies_made_since < r.copies_since_) return Invariant::purge_kept;
   if (a.connection_ended) return Invariant::attempt_after_end;
-  if (r.ran_at_ < 0 || r.rule_.effect == Effect::repeatable) return Invariant::none;
-  const bool repeat_is_dropped = r.rule_.effect == Effect::keyed && now < r.ran_at_ + r.rule_.window;
+  if (r.ran_at_ < 0 || r.rule_.effect == Idempotency::idempotent) return Invariant::none;
+  const bool repeat_is_dropped = r.rule_.effect == Idempotency::with_key && now < r.ran_at_ + r.rule_.window;
   return repeat_is_dropped ? Invariant::none : Invariant::effect_once;
 }
 
-Invariant Guard::may_begin(RequestRecord& r, const AttemptFacts& a, Sec now) {
+Invariant Guard::may_begin(RequestRecord& r, const AttemptFacts& a, Seconds now) {
   if (const auto broken = check(r, a, now); broken != Invariant::none) return refused(broken, r.id_);
   ++counters_.attempts;
   ++r.out_;
   return Invariant::none;
 }
 
-void Guard::attempt_ended(RequestRecord& r, Verdict verdict, Sec began) {
+void Guard::attempt_ended(RequestRecord& r, AttemptOutcome verdict, Seconds began) {
   --r.out_;
   if (r.ran_at_ < 0 && !proves_not_run(verdict)) r.ran_at_ = began;
 }
@@ -58,7 +58,7 @@
 }
 
 Invariant Guard::may_refuse(const RequestRecord& r) {
-  const bool harmless = r.rule_.effect != Effect::unrepeatable || r.ran_at_ < 0;
+  const bool harmless = r.rule_.effect != Idempotency::non_idempotent || r.ran_at_ < 0;
   return harmless ? Invariant::none : refused(Invariant::refusal_harmless, r.id_);
 }
 
--- a/src/guard/guard.h
+++ b/src/guard/guard.h
@@ -11,8 +11,8 @@
 #include <functional>
 #include <string_view>
 
-#include "brain.h"
 #include "guard/counters.h"
+#include "routing/policy.h"
 
 namespace walkpaddle::guard {
 
@@ -51,32 +51,32 @@
 class RequestRecord {
  public:
   struct Rule {
-    Effect effect = Effect::repeatable;
-    Sec window = 0;  // of a keyed effect: how long repeats of it are dropped
+    Idempotency effect = Idempotency::idempotent;
+    Seconds window = 0;  // of a keyed effect: how long repeats of it are dropped
   };
-  RequestRecord(std::uint64_t id, Rule rule, Sec expires) : id_(id), rule_(rule), expires_(expires) {}
+  RequestRecord(std::uint64_t id, Rule rule, Seconds expires) : id_(id), rule_(rule), expires_(expires) {}
   std::uint64_t id() const { return id_; }
   void client_left() { left_ = true; }
-  void purged(Sec since) { copies_since_ = since; }  // copies made before are purged
-  Sec copies_since() const { return copies_since_; }
+  void purged(Seconds since) { copies_since_ = since; }  // copies made before are purged
+  Seconds copies_made_since() const { return copies_since_; }
 
  private:
   friend class Guard;
   std::uint64_t id_;
   Rule rule_;
-  Sec expires_;
-  Sec ran_at_ = -1;  // when the first attempt began that may have run
-  Sec copies_since_ = 0;
+  Seconds expires_;
+  Seconds ran_at_ = -1;  // when the first attempt began that may have run
+  Seconds copies_since_ = 0;
   int out_ = 0;
   bool left_ = false, answered_ = false;
 };
 
 // Of an attempt that is about to be written.
 struct AttemptFacts {
-  Listed endpoint = Listed::gone, source = Listed::gone;  // as discovery last told them
-  bool connection_ended = false;                          // as far as is known
-  Sec deadline = 0;                                       // the span that is passed on
-  Sec copies_since = 0;                                   // the purges that it was decided with
+  EndpointState endpoint = EndpointState::gone, source = EndpointState::gone;  // as discovery last told them
+  bool connection_ended = false;                                               // as far as is known
+  Seconds deadline = 0;                                                        // the span that is passed on
+  Seconds copies_made_since = 0;  // the purges that it was decided with
 };
 
 class Guard {
@@ -85,7 +85,7 @@
   explicit Guard(Report report) : report_(std::move(report)) {}
 
   // Each gives Invariant::none, or what the step would break; then it must not be taken.
-  Invariant may_begin(RequestRecord& request, const AttemptFacts& attempt, Sec now);
+  Invariant may_begin(RequestRecord& request, const AttemptFacts& attempt, Seconds now);
   Invariant may_answer(RequestRecord& request);
   Invariant may_refuse(const RequestRecord& request);  // to answer with the promise that nothing ran
   Invariant may_call_current(const RequestRecord& request, std::string_view held, std::string_view named);
@@ -94,7 +94,7 @@
   Invariant may_say_ready(bool list_read, bool serving);
 
   // Every attempt that may_begin() let pass ends once.
-  void attempt_ended(RequestRecord& request, Verdict verdict, Sec began);
+  void attempt_ended(RequestRecord& request, AttemptOutcome verdict, Seconds began);
 
   std::uint64_t violations(Invariant invariant) const {
     return violations_[static_cast<std::size_t>(invariant)];
@@ -105,7 +105,7 @@
 
  private:
   Invariant refused(Invariant invariant, std::uint64_t request);
-  Invariant check(const RequestRecord& request, const AttemptFacts& attempt, Sec now) const;
+  Invariant check(const RequestRecord& request, const AttemptFacts& attempt, Seconds now) const;
 
   const Report report_;
   Counters counters_;
--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -37,7 +37,7 @@
 
 int Log::admit(std::string_view kind) {
   constexpr int kASecond = 5;  // enough to see who is concerned; a lost location has a handful of members
-  const Sec second = static_cast<Sec>(
+  const Seconds second = static_cast<Seconds>(
       std::chrono::duration_cast<std::chrono::seconds>(std::chrono::steady_clock::now().time_since_epoch())
           .count());
   auto it = kinds_.find(kind);
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <utility>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace spdlog {
 class logger;
@@ -33,7 +33,7 @@
 
  private:
   struct Kind {
-    Sec second = 0;
+    Seconds second = 0;
     int lines = 0, left_out = 0;
   };
   int admit(std::string_view kind);  // lines left out before this one, -1 if it is left out too
--- a/src/io/scheduler.cpp
+++ b/src/io/scheduler.cpp
@@ -6,15 +6,16 @@
 #include <cerrno>
 #include <chrono>
 #include <cmath>
-#include <system_error>
+
+#include "base/error.h"
 
 namespace walkpaddle {
 
 namespace {
 
 template <class Clock>
-Sec seconds_of() {
-  return std::chrono::duration<Sec>(Clock::now().time_since_epoch()).count();
+Seconds seconds_of() {
+  return std::chrono::duration<Seconds>(Clock::now().time_since_epoch()).count();
 }
 
 }  // namespace
@@ -27,7 +28,7 @@
   scheduler_.ready_.push_back(this);
 }
 
-void Event::wait_as(std::coroutine_handle<> task, Sec until) {
+void Event::wait_as(std::coroutine_handle<> task, Seconds until) {
   task_ = task;
   if (until >= kNoTime) return;
   timer_ = scheduler_.timers_.emplace(until, this);
@@ -42,7 +43,7 @@
 }
 
 Scheduler::Scheduler() : epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
-  if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
+  if (!epoll_) throw SystemError("epoll_create1", errno);
   // The steady clock moves the time on, so that a step of the system's clock moves no timer.
   unix_less_steady_ = seconds_of<std::chrono::system_clock>() - seconds_of<std::chrono::steady_clock>();
   read_clock();
@@ -52,7 +53,7 @@
 
 void Scheduler::drop_tasks() { std::exchange(tasks_, {}).clear(); }
 
-Sec Scheduler::now_exactly() const { return seconds_of<std::chrono::steady_clock>() + unix_less_steady_; }
+Seconds Scheduler::now_exactly() const { return seconds_of<std::chrono::steady_clock>() + unix_less_steady_; }
 
 void Scheduler::read_clock() { now_ = now_exactly(); }
 
@@ -85,9 +86,8 @@
   e.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   e.data.ptr = &watcher;
   if (::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &e) == 0) return;
-  if (errno != ENOSPC && errno != ENOMEM)
-    throw std::system_error(errno, std::generic_category(), "epoll_ctl");
-  constexpr Sec kPause = 0.01;  // until some descriptor or memory may be free
+  if (errno != ENOSPC && errno != ENOMEM) throw SystemError("epoll_ctl", errno);
+  constexpr Seconds kPause = 0.01;  // until some descriptor or memory may be free
   refused_.push_back({fd, &watcher});
   turn_by(now_ + kPause);
 }
@@ -106,22 +106,22 @@
   constexpr int kAtOnce = 256;  // more wait for the next turn, which comes at once
   epoll_event events[kAtOnce];
   timespec wait{0, 0}, *until = nullptr;
-  const Sec turn_began = now_;
+  const Seconds turn_began = now_;
   read_clock();
-  const Sec waits_from = now_;
-  const Sec first = std::min(turn_by_, timers_.empty() ? kNoTime : timers_.begin()->first);
+  const Seconds waits_from = now_;
+  const Seconds first = std::min(turn_by_, timers_.empty() ? kNoTime : timers_.begin()->first);
   if (first < kNoTime) {
-    const Sec left = std::clamp(first - now_, 0.0, 3600.0);
+    const Seconds left = std::clamp(first - now_, 0.0, 3600.0);
     wait.tv_sec = static_cast<time_t>(left);
     wait.tv_nsec = static_cast<long>((left - std::floor(left)) * 1e9);
     until = &wait;
   }
   const int got = ::epoll_pwait2(epoll_.get(), events, kAtOnce, until, nullptr);
-  if (got < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_pwait2");
+  if (got < 0 && errno != EINTR) throw SystemError("epoll_pwait2", errno);
   read_clock();
   // A stop ends the wait, with an interruption or with the edge of a signal, before the edges of what comes
   // while the process stands still: those of the next turn have waited as long.
-  const Sec late = waits_from - turn_began + std::max(0.0, now_ - std::max(first, waits_from));
+  const Seconds late = waits_from - turn_began + std::max(0.0, now_ - std::max(first, waits_from));
   late_ = last_late_ + late;
   last_late_ = got < 0 ? late_ : late;  // an interrupted wait told of no edges at all
   if (now_ >= turn_by_) turn_by_ = kNoTime, watch_refused_again();
--- a/src/io/scheduler.h
+++ b/src/io/scheduler.h
@@ -13,15 +13,15 @@
 #include <utility>
 #include <vector>
 
+#include "base/time.h"
 #include "io/fd.h"
 #include "io/task.h"
-#include "sec.h"
 
 namespace walkpaddle {
 
 class Scheduler;
 
-constexpr Sec kNoTime = 1e15;
+constexpr Seconds kNoTime = 1e15;
 
 // What one task waits for, with or without a time. It can be set before; it stays set until taken. Whichever
 // is dropped first, the event or the waiting task, leaves its timer and its place among the ready.
@@ -36,7 +36,7 @@
 
   class Awaiter {
    public:
-    Awaiter(Event& event, Sec until) : event_(event), until_(until) {}
+    Awaiter(Event& event, Seconds until) : event_(event), until_(until) {}
     Awaiter(const Awaiter&) = delete;
     Awaiter& operator=(const Awaiter&) = delete;
     ~Awaiter() { event_.drop(); }
@@ -46,18 +46,18 @@
 
    private:
     Event& event_;
-    Sec until_;
+    Seconds until_;
   };
-  Awaiter wait(Sec until = kNoTime) { return {*this, until}; }
+  Awaiter wait(Seconds until = kNoTime) { return {*this, until}; }
 
  private:
   friend class Scheduler;
-  void wait_as(std::coroutine_handle<> task, Sec until);
+  void wait_as(std::coroutine_handle<> task, Seconds until);
   void drop();
 
   Scheduler& scheduler_;
   std::coroutine_handle<> task_;
-  std::multimap<Sec, Event*>::iterator timer_{};
+  std::multimap<Seconds, Event*>::iterator timer_{};
   bool set_ = false, timed_ = false, ready_ = false;
 };
 
@@ -75,11 +75,11 @@
   Scheduler();
   ~Scheduler();
 
-  Sec now() const { return now_; }  // Unix time, read once a turn
-  Sec now_exactly() const;  // read now: where the turn may be long, or the process stood still within it
+  Seconds now() const { return now_; }  // Unix time, read once a turn
+  Seconds now_exactly() const;  // read now: where the turn may be long, or the process stood still within it
   // What is read in this turn may have waited so long for this thread: it was busy with the turn before, or
   // the process stood still.
-  Sec late() const { return late_; }
+  Seconds late() const { return late_; }
   void start(Task task);  // runs it up to its first wait, then goes on with the caller
   // The same for a task whose failure concerns it alone: an exception that leaves it ends it, not the
   // program.
@@ -87,11 +87,11 @@
   using OnFailure = std::function<void(std::exception_ptr)>;
   void on_failure(OnFailure call) { on_failure_ = std::move(call); }  // of an isolated task
   // Edges of `fd` are told from now on, the present state first. While the kernel refuses for want of memory
-  // or of watches (ENOMEM, ENOSPC), it is asked again; other errors throw std::system_error.
+  // or of watches (ENOMEM, ENOSPC), it is asked again; other errors throw SystemError.
   void watch(int fd, Watcher& watcher);
   void forget(int fd, Watcher& watcher);
   void at_turns_end(std::function<void()> call) { ends_.push_back(std::move(call)); }
-  void turn_by(Sec time) { turn_by_ = std::min(turn_by_, time); }  // a turn begins by then, once
+  void turn_by(Seconds time) { turn_by_ = std::min(turn_by_, time); }  // a turn begins by then, once
   void run();  // until stop(); an exception of a task that is not isolated comes out here
   void stop() { stopped_ = true; }
   void drop_tasks();
@@ -109,15 +109,15 @@
     Watcher* watcher;
   };
   Fd epoll_;
-  Sec now_ = 0, unix_less_steady_ = 0;
+  Seconds now_ = 0, unix_less_steady_ = 0;
   bool stopped_ = false;
-  std::multimap<Sec, Event*> timers_;
+  std::multimap<Seconds, Event*> timers_;
   std::deque<Event*> ready_;               // null: dropped since
   std::unordered_map<void*, Task> tasks_;  // by their frames
   std::vector<std::function<void()>> ends_;
   std::vector<Watcher*> told_;    // this turn's; null: forgotten since
   std::vector<Refused> refused_;  // not watched yet: at most one for each open descriptor
-  Sec turn_by_ = kNoTime, late_ = 0, last_late_ = 0;
+  Seconds turn_by_ = kNoTime, late_ = 0, last_late_ = 0;
   OnFailure on_failure_;
 };
 
--- a/src/io/stream.cpp
+++ b/src/io/stream.cpp
@@ -11,11 +11,11 @@
 
 #include <algorithm>
 #include <cerrno>
-#include <system_error>
 #include <utility>
 
+#include "base/error.h"
+#include "base/text.h"
 #include "io/listener.h"
-#include "text.h"
 
 namespace walkpaddle {
 
@@ -35,10 +35,10 @@
 
 Address parse_address(std::string_view text) {
   auto rest = text;
-  auto host = cut(rest, ':');
+  auto host = take_field(rest, ':');
   Address a{0, parse<std::uint16_t>(rest, "port")};
-  for (int n = 0; n < 4; ++n) a.ip = a.ip << 8 | parse<std::uint8_t>(cut(host, '.'), "address");
-  if (!host.empty()) bad("address", text);
+  for (int n = 0; n < 4; ++n) a.ip = a.ip << 8 | parse<std::uint8_t>(take_field(host, '.'), "address");
+  if (!host.empty()) throw_bad_value("address", text);
   return a;
 }
 
@@ -56,7 +56,7 @@
   if (!fd || ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
       ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&a), sizeof a) != 0 ||
       ::listen(fd.get(), SOMAXCONN) != 0)
-    throw std::system_error(errno, std::generic_category(), "listen on " + text_of(address));
+    throw SystemError("listen on " + text_of(address), errno);
   return fd;
 }
 
@@ -64,7 +64,7 @@
   Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const auto a = sockaddr_of(address);
   if (!fd || ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&a), sizeof a) != 0)
-    throw std::system_error(errno, std::generic_category(), "datagrams on " + text_of(address));
+    throw SystemError("datagrams on " + text_of(address), errno);
   return fd;
 }
 
@@ -188,7 +188,7 @@
 sockaddr_un sockaddr_of(const std::string& path) {
   sockaddr_un a{};
   a.sun_family = AF_UNIX;
-  if (path.size() >= sizeof a.sun_path) throw std::system_error(ENAMETOOLONG, std::generic_category(), path);
+  if (path.size() >= sizeof a.sun_path) throw SystemError(path, ENAMETOOLONG);
   std::copy(path.begin(), path.end(), a.sun_path);
   return a;
 }
@@ -206,7 +206,7 @@
 
 Fd listen_on(const std::string& path) {
   const auto a = sockaddr_of(path);
-  if (dial(path)) throw std::system_error(EADDRINUSE, std::generic_category(), "listen on " + path);
+  if (dial(path)) throw SystemError("listen on " + path, EADDRINUSE);
   struct stat s {};
   if (::stat(path.c_str(), &s) == 0 && S_ISSOCK(s.st_mode)) ::unlink(path.c_str());
   Fd fd = new_local_socket();
@@ -215,7 +215,7 @@
                     ::listen(fd.get(), 16) == 0;
   const int why = errno;
   ::umask(before);
-  if (!good) throw std::system_error(why, std::generic_category(), "listen on " + path);
+  if (!good) throw SystemError("listen on " + path, why);
   return fd;
 }
 
--- a/src/io/stream.h
+++ b/src/io/stream.h
@@ -18,11 +18,11 @@
   std::uint16_t port = 0;
   auto operator<=>(const Address&) const = default;
 };
-Address parse_address(std::string_view text);  // a.b.c.d:port, else Malformed
+Address parse_address(std::string_view text);  // a.b.c.d:port, else InputError
 std::string text_of(const Address& address);
 
-Fd listen_on(const Address& address);     // throws std::system_error
-Fd datagrams_on(const Address& address);  // UDP, not waiting; throws std::system_error
+Fd listen_on(const Address& address);     // throws SystemError
+Fd datagrams_on(const Address& address);  // UDP, not waiting; throws SystemError
 // On its way; invalid with errno if refused at once, which closing the socket does not change.
 Fd dial(const Address& address);
 // Whether a call failed for want of this machine's own descriptors, memory, buffers or ports.
@@ -57,13 +57,13 @@
  private:
   // What one read takes: some tens of small messages or part of a large one; others get their turn between.
   static constexpr std::size_t kRoom = 64 * 1024;
-  static constexpr Sec kAskAgain = 0.005;
+  static constexpr Seconds kAskAgain = 0.005;
   Scheduler& scheduler_;
   const std::size_t most_held_;
   std::size_t held_ = 0;
   std::vector<Stream*> streams_;  // null: dropped since
   std::vector<Stream*> again_;    // the same, for those that ask again at ask_at_
-  Sec ask_at_ = kNoTime;
+  Seconds ask_at_ = kNoTime;
   std::vector<char> room_;
 };
 
@@ -83,8 +83,8 @@
   bool has_unread() const;  // bytes that came and were not read yet
   std::string_view in() const { return {in_.data() + in_from_, in_.size() - in_from_}; }
   void consume(std::size_t bytes);
-  Event::Awaiter readable(Sec until = kNoTime) { return readable_.wait(until); }
-  Event::Awaiter writable(Sec until = kNoTime) { return writable_.wait(until); }
+  Event::Awaiter readable(Seconds until = kNoTime) { return readable_.wait(until); }
+  Event::Awaiter writable(Seconds until = kNoTime) { return writable_.wait(until); }
   int error() const;  // pending on the socket, 0 for none
 
   void write(std::string_view bytes);
--- a/src/learning/learnt.h
+++ b/src/learning/learnt.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::learning {
 
@@ -18,11 +18,11 @@
   };
   struct Unreached {
     std::string member;  // its id
-    Sec at = 0;
+    Seconds at = 0;
   };
   std::string family;  // the kind of service
   double pace = 0;     // KB a second to one client: sending times mean nothing at another
-  Sec written = 0;
+  Seconds written = 0;
   std::vector<Rule> rules{};
   std::vector<Unreached> unreached{};
 };
@@ -32,7 +32,7 @@
 // Within the bounds: what is over them is left out, the last first.
 std::string text_of(const Kept& kept);
 
-// Malformed says in a few words why it is of no use here: torn, foreign, newer, too old, nonsense.
-Kept kept_of(std::string_view text, std::string_view family, double pace, Sec now);
+// InputError says in a few words why it is of no use here: torn, foreign, newer, too old, nonsense.
+Kept kept_of(std::string_view text, std::string_view family, double pace, Seconds now);
 
 }  // namespace walkpaddle::learning
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -19,13 +19,13 @@
 #include <sstream>
 #include <stdexcept>
 
+#include "base/text.h"
+#include "config/platform_config.h"
 #include "control/command.h"
 #include "control/documents.h"
 #include "control/file.h"
 #include "fronts.h"
-#include "net/config.h"
 #include "net/router.h"
-#include "text.h"
 
 namespace {
 
@@ -82,11 +82,11 @@
 void run(const std::string& file, const std::string& log_form) {
   net::Router::hold_signals();
   const char* path = std::getenv("LB_CONFIG");
-  if (path == nullptr) throw Malformed("LB_CONFIG is not set");
+  if (path == nullptr) throw InputError("LB_CONFIG is not set");
   const auto read = [path] {
     std::ifstream in(path);
     std::stringstream text;
-    if (!(text << in.rdbuf())) throw Malformed(std::string("cannot read ") + path);
+    if (!(text << in.rdbuf())) throw InputError(std::string("cannot read ") + path);
     auto config = net::parse_config(text.str());
     if (const char* listen = std::getenv("LB_LISTEN")) config.listen = parse_address(listen);
     if (const char* left = std::getenv(kListener)) config.listening = parse<int>(left, kListener);
@@ -124,7 +124,7 @@
       const auto may = calendar.ask(
           freeze::Act::propose,
           {.change = d.name, .work = d.work, .sites = {}, .worst = change::worst(d, fleet)}, now);
-      if (may.may == freeze::Answer::May::never) throw Malformed("change " + d.name + ": " + may.why);
+      if (may.may == freeze::Answer::May::never) throw InputError("change " + d.name + ": " + may.why);
       fmt::print("change {}: {} routers in stages of {}, {:.0f} minutes at most, the way back included; {}\n",
                  d.name, fleet, fmt::join(change::stage_sizes(d, fleet), ", "), change::worst(d, fleet) / 60,
                  may.may == freeze::Answer::May::now
@@ -140,7 +140,7 @@
   if (!socket.empty()) return socket;
   if (file.empty()) throw WrongUse("name the router by --socket or --file");
   const auto named = control::read_file(file).socket;
-  if (named.empty()) throw Malformed(file + " names no operators' socket");
+  if (named.empty()) throw InputError(file + " names no operators' socket");
   return named;
 }
 
--- a/src/net/clients.cpp
+++ b/src/net/client_listener.cpp
@@ -1,4 +1,4 @@
-#include "net/clients.h"
+#include "net/client_listener.h"
 
 #include <sys/socket.h>
 
@@ -6,8 +6,8 @@
 #include <cerrno>
 #include <cstring>
 
-#include "net/resp.h"
-#include "text.h"
+#include "base/text.h"
+#include "net/resp_parser.h"
 
 namespace walkpaddle::net {
 
@@ -15,14 +15,14 @@
 
 // Digits of that many places and no other bytes, which the parsers of cache servers take for hexadecimal.
 std::uint64_t hex16(std::string_view text, std::string_view name) {
-  if (text.size() != 16) bad(name, text);
+  if (text.size() != 16) throw_bad_value(name, text);
   return parse<std::uint64_t>(text, name, 16);
 }
 
 // A whole number between two bounds, as plain digits.
 int whole(std::string_view text, std::string_view name, int least, int most) {
   const int value = parse<int>(text, name);
-  if (value < least || value > most || text.front() == '-') bad(name, text);
+  if (value < least || value > most || text.front() == '-') throw_bad_value(name, text);
   return value;
 }
 
@@ -30,12 +30,13 @@
 std::string_view plain(std::string_view text, std::string_view name) {
   constexpr std::size_t kLongest = 64;  // twice a usual key
   const auto stands = [](char c) { return c > ' ' && c <= '~' && c != ',' && c != '='; };
-  if (text.empty() || text.size() > kLongest || !std::ranges::all_of(text, stands)) bad(name, text);
+  if (text.empty() || text.size() > kLongest || !std::ranges::all_of(text, stands))
+    throw_bad_value(name, text);
   return text;
 }
 
 // For what is owed to one that does not read, once its txns are over.
-constexpr Sec kUnread = 2;
+constexpr Seconds kUnread = 2;
 
 // An error of the caller's connection, which is gone with it: the next one is taken (accept(2), "Error
 // handling").
@@ -48,13 +49,13 @@
 }  // namespace
 
 OpenId::OpenId(Ids& ids, std::uint64_t id) : id_(id) {
-  if (!ids.insert(id).second) throw Malformed("txn that is open already");
+  if (!ids.insert(id).second) throw InputError("txn that is open already");
   ids_ = &ids;
 }
 
 // Guards against clients that do not read while all answers together press on the memory.
-void Client::answer(const std::string& tag, std::string_view word, std::string_view fields,
-                    std::string_view body) {
+void ClientConnection::answer(const std::string& tag, std::string_view word, std::string_view fields,
+                              std::string_view body) {
   constexpr std::size_t kSlow = 256 * 1024;  // one of the largest answers waits: a client that reads has less
   if (outbox_.full() && stream_.unsent() > kSlow) {
     slow_reader_ = true;
@@ -69,8 +70,8 @@
     stream_.write(words_text({tag, word}));
 }
 
-Clients::Clients(Scheduler& scheduler, Outbox& outbox, Log& log, Fd listener, std::size_t most,
-                 std::vector<RuleName> rules, Serve serve)
+ClientListener::ClientListener(Scheduler& scheduler, Outbox& outbox, Log& log, Fd listener, std::size_t most,
+                               std::vector<RequestClassName> rules, Serve serve)
     : scheduler_(scheduler),
       outbox_(outbox),
       log_(log),
@@ -82,21 +83,21 @@
   scheduler_.start(accept_all());
 }
 
-Task Clients::accept_all() {
-  constexpr Sec kPause = 0.02;  // without descriptors or memory: until some connections may have closed
+Task ClientListener::accept_all() {
+  constexpr Seconds kPause = 0.02;  // without descriptors or memory: until some connections may have closed
   constexpr int kKernelHolds =
       256 * 1024;  // one of the largest answers; by itself it would grow to megabytes
   while (listener_.open()) {
     Fd fd = listener_.accept();
     if (fd) {
-      if (clients_.size() - leaving_ >= most_ && !make_room()) {
+      if (client_listener_.size() - leaving_ >= most_ && !make_room()) {
         count(guard::ClientClose::no_place);
         continue;  // all have open txns: this one is closed at once
       }
       ::setsockopt(fd.get(), SOL_SOCKET, SO_SNDBUF, &kKernelHolds, sizeof kKernelHolds);
-      auto client = std::make_shared<Client>(scheduler_, outbox_, std::move(fd));
+      auto client = std::make_shared<ClientConnection>(scheduler_, outbox_, std::move(fd));
       client->waited_ = std::max(0.0, scheduler_.now() - queue_since_);
-      clients_[client.get()] = client;
+      client_listener_[client.get()] = client;
       scheduler_.start_isolated(connection(std::move(client)));
       continue;
     }
@@ -104,7 +105,7 @@
     if (why == EINTR || is_callers_error(why)) continue;
     if (why != EAGAIN) {
       queue_since_ = std::min(queue_since_, scheduler_.now());
-      log_("accept", "{}, {} clients connected", std::strerror(why), clients_.size());
+      log_("accept", "{}, {} clients connected", std::strerror(why), client_listener_.size());
       if (why == EMFILE || why == ENFILE) make_room();
       co_await listener_.came.wait(scheduler_.now() + kPause);
       continue;
@@ -119,17 +120,18 @@
 // that ask once and stay, or connect by the hundred and say nothing; and of requests that came while this
 // process stood still. While it ends its descriptor is one of a few beside the places; past those the longest
 // of them goes at once.
-bool Clients::make_room() {
-  constexpr Sec kFresh = 0.2;  // one that just came may have its first request on the way
-  const auto rank = [&](const Client& c) {
+bool ClientListener::make_room() {
+  constexpr Seconds kFresh = 0.2;  // one that just came may have its first request on the way
+  const auto rank = [&](const ClientConnection& c) {
     return std::pair(c.spoke_ || c.last_ > scheduler_.now() - kFresh, c.quiet_since());
   };
-  Client *first = nullptr, *longest = nullptr;
-  for (const auto& [client, held] : clients_) {
-    if (client->phase_ == Client::Phase::open && client->idle() &&
+  ClientConnection *first = nullptr, *longest = nullptr;
+  for (const auto& [client, held] : client_listener_) {
+    if (client->phase_ == ClientConnection::Phase::open && client->idle() &&
         (first == nullptr || rank(*client) < rank(*first)) && !client->stream_.has_unread())
       first = client;
-    if (client->phase_ == Client::Phase::shut && (longest == nullptr || client->until_ < longest->until_))
+    if (client->phase_ == ClientConnection::Phase::shut &&
+        (longest == nullptr || client->until_ < longest->until_))
       longest = client;
   }
   if (first == nullptr) return false;
@@ -138,66 +140,67 @@
   shut(*first);
   if (leaving_ <= kLeaving || longest == nullptr) return true;
   longest->stream_.close();
-  clients_.erase(longest), --leaving_;
+  client_listener_.erase(longest), --leaving_;
   return true;
 }
 
 // All ends that are not the client's own go this way. Guards against a close over unread bytes, which resets
 // the connection and takes with it what the client was last sent.
-void Clients::end(Client& client) {
-  if (client.phase_ != Client::Phase::open) return;
-  client.phase_ = Client::Phase::ending;
+void ClientListener::end(ClientConnection& client) {
+  if (client.phase_ != ClientConnection::Phase::open) return;
+  client.phase_ = ClientConnection::Phase::ending;
   client.until_ = scheduler_.now() + kUnread;
   client.stream_.wake();
 }
 
-void Clients::shut(Client& client) {
-  constexpr Sec kCrossing = 0.06;  // as long as a request may cross the end of the answers, and a little
-  if (client.phase_ == Client::Phase::shut) return;
+void ClientListener::shut(ClientConnection& client) {
+  constexpr Seconds kCrossing = 0.06;  // as long as a request may cross the end of the answers, and a little
+  if (client.phase_ == ClientConnection::Phase::shut) return;
   if (guard_ != nullptr && guard_->may_end_answers(client.open_.size() + client.held_.size(),
                                                    client.stream_.unsent()) != guard::Invariant::none)
     return;
-  client.phase_ = Client::Phase::shut, ++leaving_;
+  client.phase_ = ClientConnection::Phase::shut, ++leaving_;
   client.until_ = scheduler_.now() + kCrossing;
   client.stream_.end_writing();
   client.stream_.wake();
 }
 
 // Whether a connection that is not open any more may be closed.
-bool Clients::over(Client& client) {
-  const Sec now = scheduler_.now();
-  if (client.phase_ == Client::Phase::ending && client.waits()) client.until_ = now + kUnread;
-  if (client.phase_ == Client::Phase::ending && client.idle()) shut(client);
+bool ClientListener::over(ClientConnection& client) {
+  const Seconds now = scheduler_.now();
+  if (client.phase_ == ClientConnection::Phase::ending && client.waits()) client.until_ = now + kUnread;
+  if (client.phase_ == ClientConnection::Phase::ending && client.idle()) shut(client);
   return now >= client.until_;
 }
 
-Task Clients::connection(std::shared_ptr<Client> client) {
+Task ClientListener::connection(std::shared_ptr<ClientConnection> client) {
   // For the first message, and for the rest of one that has begun. Usual clients need a few round trips.
-  constexpr Sec kWhole = 2, kLook = 0.1, kEnds = 0.02;
+  constexpr Seconds kWhole = 2, kLook = 0.1, kEnds = 0.02;
   constexpr int kReads = 4;  // at a time; then others have their turn
   auto& stream = client->stream_;
   struct Place {
-    Clients& clients;
-    Client* client;
+    ClientListener& clients;
+    ClientConnection* client;
     ~Place() {
-      if (clients.clients_.erase(client) > 0 && client->phase_ == Client::Phase::shut) --clients.leaving_;
+      if (clients.client_listener_.erase(client) > 0 && client->phase_ == ClientConnection::Phase::shut)
+        --clients.leaving_;
     }
   } place{*this, client.get()};
-  Sec begun = client->last_ = scheduler_.now();  // the message that has not come whole
+  Seconds begun = client->last_ = scheduler_.now();  // the message that has not come whole
   for (int reads = 0;;) {
     const auto came = stream.read();
     if (came == Stream::Came::end) break;
     if (came == Stream::Came::bytes) take_requests(client);
     if (came == Stream::Came::nothing) client->waited_ = 0;  // what had waited with its connection is read
     serve_held(client);
-    if (client->phase_ != Client::Phase::open && over(*client)) break;
+    if (client->phase_ != ClientConnection::Phase::open && over(*client)) break;
     if (came == Stream::Came::bytes) {
       if (++reads % kReads != 0) continue;
       Event turn(scheduler_);
       co_await turn.wait(scheduler_.now());
       continue;
     }
-    if (client->phase_ != Client::Phase::open) {
+    if (client->phase_ != ClientConnection::Phase::open) {
       co_await stream.readable(scheduler_.now() + kEnds);
       continue;
     }
@@ -213,18 +216,18 @@
       end(*client);
       continue;
     }
-    const Sec look = slow || !client->held_.empty() ? scheduler_.now() + kLook : kNoTime;
+    const Seconds look = slow || !client->held_.empty() ? scheduler_.now() + kLook : kNoTime;
     co_await stream.readable(slow ? look : std::min(begun + kWhole, look));
   }
-  if (client->phase_ == Client::Phase::open)
+  if (client->phase_ == ClientConnection::Phase::open)
     count(client->slow_reader_ ? guard::ClientClose::slow_reader : guard::ClientClose::by_client);
   stream.close();
-  for (const auto& [tag, seat] : std::exchange(client->open_, {})) seat->leave();
+  for (const auto& [tag, handle] : std::exchange(client->open_, {})) handle->leave();
 }
 
 // Guards against a client that asks on and reads nothing: past a few of the largest answers its requests wait
 // here. They are read all the same, as it may give them up or go.
-void Clients::serve_held(const std::shared_ptr<Client>& client) {
+void ClientListener::serve_held(const std::shared_ptr<ClientConnection>& client) {
   constexpr std::size_t kMostUnsent = 1 << 20;
   auto& held = client->held_;
   while (!held.empty() && !ended_ && client->stream_.unsent() <= kMostUnsent) {
@@ -234,19 +237,19 @@
   }
 }
 
-void Clients::take_requests(const std::shared_ptr<Client>& client) {
+void ClientListener::take_requests(const std::shared_ptr<ClientConnection>& client) {
   constexpr std::size_t kMostWords = 8, kMostBytes = 64 * 1024;  // a write brings up to 48,000 bytes
   auto& stream = client->stream_;
   Words words;
-  while (client->phase_ != Client::Phase::shut) {
-    const bool open = client->phase_ == Client::Phase::open;
+  while (client->phase_ != ClientConnection::Phase::shut) {
+    const bool open = client->phase_ == ClientConnection::Phase::open;
     try {
       read_words(stream.in(), kMostWords, kMostBytes, words);
       if (words.used == 0) return;
       // What is given up is heard to the end.
       if (open || (!words.words.empty() && words.words[0] == "FORGET")) request(client, words.words);
       if (open) client->spoke_ = true, client->last_ = scheduler_.now();
-    } catch (const Malformed& e) {
+    } catch (const InputError& e) {
       if (open) {
         log_("client", "connection closed: {}", e.what());
         count(guard::ClientClose::unusable_message);
@@ -259,30 +262,32 @@
   stream.consume(stream.in().size());
 }
 
-void Clients::request(const std::shared_ptr<Client>& client, const std::vector<std::string_view>& words) {
+void ClientListener::request(const std::shared_ptr<ClientConnection>& client,
+                             const std::vector<std::string_view>& words) {
   constexpr std::size_t kMostOpen = 32;
-  if (words.size() < 2) bad("request", "");
+  if (words.size() < 2) throw_bad_value("request", "");
   const auto verb = words[0];
   const std::string tag(words[1]);
-  if (parse<std::uint64_t>(tag, "tag") == 0) bad("tag", tag);
+  if (parse<std::uint64_t>(tag, "tag") == 0) throw_bad_value("tag", tag);
   if (verb == "ALIVE") return client->answer(tag, alive_);
   if (verb == "FORGET") {
-    std::erase_if(client->held_, [&](const Order& o) { return o.tag == tag; });
+    std::erase_if(client->held_, [&](const Request& o) { return o.tag == tag; });
     const auto it = client->open_.find(tag);
     if (it == client->open_.end()) return;
-    auto* seat = it->second;
+    auto* handle = it->second;
     client->open_.erase(it);
-    return seat->leave();
+    return handle->leave();
   }
-  if (verb != "EXEC") bad("request", verb);
+  if (verb != "EXEC") throw_bad_value("request", verb);
   if (client->open_.contains(tag) ||
-      std::ranges::find(client->held_, tag, &Order::tag) != client->held_.end())
-    bad("tag, open already", tag);
-  if (client->open_.size() + client->held_.size() >= kMostOpen) bad("number of open requests", tag);
-  Order order;
+      std::ranges::find(client->held_, tag, &Request::tag) != client->held_.end())
+    throw_bad_value("tag, open already", tag);
+  if (client->open_.size() + client->held_.size() >= kMostOpen)
+    throw_bad_value("number of open requests", tag);
+  Request order;
   try {
     order = order_of(words, std::max(scheduler_.late(), client->waited_));
-  } catch (const Malformed& e) {
+  } catch (const InputError& e) {
     log_("request", "{}", e.what());
     return client->answer(tag, "ABORTED");
   }
@@ -291,21 +296,21 @@
   serve_held(client);
 }
 
-Order Clients::order_of(const std::vector<std::string_view>& words, Sec waited) {
+Request ClientListener::order_of(const std::vector<std::string_view>& words, Seconds waited) {
   constexpr int kLongestLimit = 3'600'000, kMostParts = 1'000'000;  // far past any object's or client's
   constexpr std::size_t kLargestBody = 48'000;                      // a write
-  if (words.size() < 4 || words.size() > 5) bad("number of words", std::to_string(words.size()));
-  Order o;
+  if (words.size() < 4 || words.size() > 5) throw_bad_value("number of words", std::to_string(words.size()));
+  Request o;
   o.tag = words[1];
   o.rule_name = words[2];
-  const auto rule = std::ranges::find(rules_, words[2], &RuleName::name);
-  if (rule == rules_.end()) bad("class", words[2]);
+  const auto rule = std::ranges::find(rules_, words[2], &RequestClassName::name);
+  if (rule == rules_.end()) throw_bad_value("class", words[2]);
   o.rule = static_cast<int>(rule - rules_.begin());
   o.uncacheable = rule->uncacheable, o.effect = rule->effect;
   const auto fields = words[3];
   const auto needed = [&](std::string_view name) {
     const auto value = field(fields, name);
-    if (!value) bad("request without", name);
+    if (!value) throw_bad_value("request without", name);
     return *value;
   };
   o.id_text = needed("txn");
@@ -320,36 +325,36 @@
   if (const auto key = field(fields, "unique"); key || rule->keyed) o.key = plain(needed("unique"), "unique");
   if (const auto etag = field(fields, "etag")) o.etag = plain(*etag, "etag");
   if (words.size() > 4) o.body = words[4];
-  if (o.body.size() > kLargestBody) bad("size of body", std::to_string(o.body.size()));
+  if (o.body.size() > kLargestBody) throw_bad_value("size of body", std::to_string(o.body.size()));
   o.open = OpenId(open_ids_, o.id);
   return o;
 }
 
-void Clients::stop_accepting() { listener_.close(); }
+void ClientListener::stop_accepting() { listener_.close(); }
 
-Fd Clients::give_listener() { return listener_.give(); }
+Fd ClientListener::give_listener() { return listener_.give(); }
 
-void Clients::abort_open() {
+void ClientListener::abort_open() {
   ended_ = true;
-  for (const auto& [client, held] : clients_) {
-    for (const auto& [tag, seat] : std::exchange(client->open_, {})) {
-      if (guard_ == nullptr || guard_->may_answer(seat->record()) == guard::Invariant::none)
+  for (const auto& [client, held] : client_listener_) {
+    for (const auto& [tag, handle] : std::exchange(client->open_, {})) {
+      if (guard_ == nullptr || guard_->may_answer(handle->record()) == guard::Invariant::none)
         client->answer(tag, "ABORTED");
-      seat->leave();
+      handle->leave();
     }
     for (const auto& order : std::exchange(client->held_, {})) client->answer(order.tag, "REJECT");
   }
 }
 
-bool Clients::owing() const {
-  return std::ranges::any_of(clients_, [](const auto& c) { return !c.first->idle(); });
+bool ClientListener::owing() const {
+  return std::ranges::any_of(client_listener_, [](const auto& c) { return !c.first->idle(); });
 }
 
 // A request that crosses the end of the answers is never read as one: its client sees that it was not taken.
-void Clients::close_idle() {
-  for (const auto& [client, held] : clients_) {
+void ClientListener::close_idle() {
+  for (const auto& [client, held] : client_listener_) {
     if (!client->idle() || client->stream_.has_unread()) continue;
-    if (client->phase_ == Client::Phase::open) count(guard::ClientClose::program_ends);
+    if (client->phase_ == ClientConnection::Phase::open) count(guard::ClientClose::program_ends);
     shut(*client);
   }
 }
--- a/src/net/clients.h
+++ b/src/net/client_listener.h
@@ -13,12 +13,12 @@
 #include <utility>
 #include <vector>
 
+#include "config/platform_config.h"
 #include "io/listener.h"
 #include "io/log.h"
 #include "io/scheduler.h"
 #include "io/stream.h"
-#include "net/config.h"
-#include "net/desk.h"
+#include "net/request_dispatcher.h"
 
 namespace walkpaddle::net {
 
@@ -27,7 +27,7 @@
  public:
   using Ids = std::unordered_set<std::uint64_t>;
   OpenId() = default;
-  OpenId(Ids& ids, std::uint64_t id);  // Malformed if it is open already
+  OpenId(Ids& ids, std::uint64_t id);  // InputError if it is open already
   OpenId(OpenId&& other) noexcept : ids_(std::exchange(other.ids_, nullptr)), id_(other.id_) {}
   OpenId& operator=(OpenId&& other) noexcept {
     std::swap(ids_, other.ids_), std::swap(id_, other.id_);
@@ -43,54 +43,54 @@
 };
 
 // What a client asked: what goes on unchanged as the bytes that came, the rest taken out.
-struct Order {
+struct Request {
   std::string tag, id_text, object_text, part_text, key, etag, body, rule_name;
   std::uint64_t id = 0;
   int rule = 0, part = 0;
   std::uint32_t group = 0;
   bool uncacheable = false, effect = false;
-  Sec expires = 0;
+  Seconds expires = 0;
   OpenId open;
 };
 
 // One connection. Its txns hold it until they are answered.
-class Client {
+class ClientConnection {
  public:
-  Client(Scheduler& scheduler, Outbox& outbox, Fd fd)
+  ClientConnection(Scheduler& scheduler, Outbox& outbox, Fd fd)
       : scheduler_(scheduler), outbox_(outbox), stream_(scheduler, outbox, std::move(fd)) {}
   void answer(const std::string& tag, std::string_view word, std::string_view fields = {},
               std::string_view body = {});
-  void opened(const std::string& tag, Seat& seat) { open_.emplace(tag, &seat); }
+  void opened(const std::string& tag, RequestHandle& handle) { open_.emplace(tag, &handle); }
   void over(const std::string& tag) { open_.erase(tag); }
 
  private:
-  friend class Clients;
+  friend class ClientListener;
   // ending: nothing that comes is taken; what was taken is answered, and then its answers end. shut: they
   // have; what still comes crossed that, and is read and dropped until its own end or a bound.
   enum class Phase { open, ending, shut };
   bool waits() const { return !open_.empty() || !held_.empty(); }
   bool idle() const { return !waits() && stream_.unsent() == 0; }
-  Sec quiet_since() const { return std::max(last_, answered_); }
+  Seconds quiet_since() const { return std::max(last_, answered_); }
   Scheduler& scheduler_;
   Outbox& outbox_;
   Stream stream_;
-  std::unordered_map<std::string, Seat*> open_;
-  std::deque<Order> held_;  // come while too much was unread: served once that is read
-  bool spoke_ = false;      // at least one whole message came
+  std::unordered_map<std::string, RequestHandle*> open_;
+  std::deque<Request> held_;  // come while too much was unread: served once that is read
+  bool spoke_ = false;        // at least one whole message came
   Phase phase_ = Phase::open;
-  Sec until_ = 0;                // of ending or shut: closed then
-  bool slow_reader_ = false;     // closed as such
-  Sec waited_ = 0;               // in the listener's queue at most, with what it wrote meanwhile
-  Sec last_ = 0, answered_ = 0;  // when it connected or last spoke; when it was last answered
+  Seconds until_ = 0;                // of ending or shut: closed then
+  bool slow_reader_ = false;         // closed as such
+  Seconds waited_ = 0;               // in the listener's queue at most, with what it wrote meanwhile
+  Seconds last_ = 0, answered_ = 0;  // when it connected or last spoke; when it was last answered
 };
 
-class Clients {
+class ClientListener {
  public:
-  using Serve = std::function<void(std::shared_ptr<Client>, Order)>;
+  using Serve = std::function<void(std::shared_ptr<ClientConnection>, Request)>;
   static constexpr std::size_t kLeaving = 4;  // past `most`, while their connections end
   // listener: what listens already.
-  Clients(Scheduler& scheduler, Outbox& outbox, Log& log, Fd listener, std::size_t most,
-          std::vector<RuleName> rules, Serve serve);
+  ClientListener(Scheduler& scheduler, Outbox& outbox, Log& log, Fd listener, std::size_t most,
+                 std::vector<RequestClassName> rules, Serve serve);
 
   void set_guard(guard::Guard& guard) { guard_ = &guard; }
   void set_word(std::string_view alive) { alive_ = alive; }  // what ALIVE is answered with
@@ -99,37 +99,37 @@
   void close_idle();
   void abort_open();   // the program ends: one answer for each txn that still waits, and for those to come
   bool owing() const;  // an answer, or bytes of one
-  std::size_t count() const { return clients_.size(); }
+  std::size_t count() const { return client_listener_.size(); }
 
  private:
   Task accept_all();
-  Task connection(std::shared_ptr<Client> client);
+  Task connection(std::shared_ptr<ClientConnection> client);
   bool make_room();
-  void end(Client& client);
-  void shut(Client& client);
-  bool over(Client& client);
+  void end(ClientConnection& client);
+  void shut(ClientConnection& client);
+  bool over(ClientConnection& client);
   void count(guard::ClientClose why) {
     if (guard_ != nullptr) guard_->counters().closed(why);
   }
-  void take_requests(const std::shared_ptr<Client>& client);
-  void serve_held(const std::shared_ptr<Client>& client);
-  void request(const std::shared_ptr<Client>& client, const std::vector<std::string_view>& words);
-  Order order_of(const std::vector<std::string_view>& words, Sec waited);
+  void take_requests(const std::shared_ptr<ClientConnection>& client);
+  void serve_held(const std::shared_ptr<ClientConnection>& client);
+  void request(const std::shared_ptr<ClientConnection>& client, const std::vector<std::string_view>& words);
+  Request order_of(const std::vector<std::string_view>& words, Seconds waited);
 
   Scheduler& scheduler_;
   Outbox& outbox_;
   Log& log_;
   const std::size_t most_;
-  std::vector<RuleName> rules_;
+  std::vector<RequestClassName> rules_;
   OpenId::Ids open_ids_;
   guard::Guard* guard_ = nullptr;  // null: no counts, no checks
   Serve serve_;
   std::string alive_;
-  std::size_t leaving_ = 0;    // of those connected, shut
-  Sec queue_since_ = kNoTime;  // callers wait in the listener's queue since then, as accepts fail
-  bool ended_ = false;         // nothing that comes is sent on any more
+  std::size_t leaving_ = 0;        // of those connected, shut
+  Seconds queue_since_ = kNoTime;  // callers wait in the listener's queue since then, as accepts fail
+  bool ended_ = false;             // nothing that comes is sent on any more
   Listener listener_;
-  std::unordered_map<Client*, std::weak_ptr<Client>> clients_;
+  std::unordered_map<ClientConnection*, std::weak_ptr<ClientConnection>> client_listener_;
 };
 
 }  // namespace walkpaddle::net
--- a/src/net/list.cpp
+++ b/src/net/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "net/list.h"
+#include "net/discovery_client.h"
 
 #include <fcntl.h>
 
@@ -7,65 +7,65 @@
 #include <cstring>
 #include <utility>
 
-#include "text.h"
+#include "base/text.h"
 
 namespace walkpaddle::net {
 
-void List::list_begin(bool whole) {
+void DiscoveryClient::begin_endpoint_list(bool whole) {
   whole_ = whole;
   in_list_.clear();
-  desk_.input().list_begin(whole);
+  dispatcher_.input().begin_endpoint_list(whole);
 }
 
-void List::list_member(std::string_view id, const Address& address, int location, int kind, int cell,
-                       Listed state, double weight, Sec started) {
-  const int m = caches_.member(id);
+void DiscoveryClient::update_endpoint(std::string_view id, const Address& address, int location, int kind,
+                                      int cell, EndpointState state, double weight, Seconds started) {
+  const int m = upstream_.member(id);
   if (whole_) in_list_.insert(m);
-  caches_.told(m, address, state);
-  desk_.purges().boxes().listed(m, state != Listed::gone);
-  desk_.input().list_member(m, stable_hash(id), location, kind, cell, state, weight,
-                            clock_.started_at(m, started, scheduler_.now()));
+  upstream_.told(m, address, state);
+  dispatcher_.purges().boxes().listed(m, state != EndpointState::gone);
+  dispatcher_.input().update_endpoint(m, stable_hash(id), location, kind, cell, state, weight,
+                                      clock_.started_at(m, started, scheduler_.now()));
   if (watch_ != nullptr)
     watch_->listed(m, {stable_hash(id), location, kind, cell, state, weight, started}, scheduler_.now());
 }
 
 // Who is not in a whole list is gone, for hops that wait as for the module.
-void List::list_end() {
-  for (int m = 0; whole_ && m < caches_.members(); ++m) {
+void DiscoveryClient::end_endpoint_list() {
+  for (int m = 0; whole_ && m < upstream_.members(); ++m) {
     if (in_list_.contains(m)) continue;
-    caches_.told(m, caches_.address(m), Listed::gone);
-    desk_.purges().boxes().listed(m, false);
+    upstream_.told(m, upstream_.address(m), EndpointState::gone);
+    dispatcher_.purges().boxes().listed(m, false);
   }
-  desk_.input().list_end();
+  dispatcher_.input().end_endpoint_list();
   tell_facts();
 }
 
-void List::tell_facts() {
+void DiscoveryClient::tell_facts() {
   if (watch_ == nullptr) return;
   const auto tells = watch_->to_tell(scheduler_.now());
   if (tells.empty()) return;
-  auto& brain = desk_.input();
-  brain.list_begin(false);
+  auto& brain = dispatcher_.input();
+  brain.begin_endpoint_list(false);
   for (const auto& [m, l] : tells) {
-    brain.list_member(m, l.hash, l.location, l.kind, l.cell, l.state, l.weight,
-                      clock_.started_at(m, l.started, scheduler_.now()));
-    log_("facts", "{}: {} as the fleet has it", caches_.id(m),
-         l.state == Listed::gone       ? "gone"
-         : l.state == Listed::draining ? "draining"
-                                       : "listed");
+    brain.update_endpoint(m, l.hash, l.location, l.kind, l.cell, l.state, l.weight,
+                          clock_.started_at(m, l.started, scheduler_.now()));
+    log_("facts", "{}: {} as the fleet has it", upstream_.id(m),
+         l.state == EndpointState::gone       ? "gone"
+         : l.state == EndpointState::draining ? "draining"
+                                              : "listed");
   }
-  brain.list_end();
+  brain.end_endpoint_list();
 }
 
-void List::purged(std::string_view object, Sec at) {
-  desk_.purges().bus_object(stable_hash(object), clock_.purged_at(at, scheduler_.now()));
+void DiscoveryClient::purged(std::string_view object, Seconds at) {
+  dispatcher_.purges().bus_object(stable_hash(object), clock_.purged_at(at, scheduler_.now()));
 }
 
-void List::purged_group(std::uint32_t group, Sec at) {
-  desk_.purges().bus_group(group, clock_.purged_at(at, scheduler_.now()));
+void DiscoveryClient::purged_group(std::uint32_t group, Seconds at) {
+  dispatcher_.purges().bus_group(group, clock_.purged_at(at, scheduler_.now()));
 }
 
-void List::follow(const Address& bus) {
+void DiscoveryClient::follow(const Address& bus) {
   bus_ = bus;
   if (!std::exchange(following_, true)) return scheduler_.start(follow_all());
   moved_ = true;
@@ -73,25 +73,25 @@
   pause_over_.set();
 }
 
-Task List::follow_all() {
+Task DiscoveryClient::follow_all() {
   // What breaks off counts as told 2 s later, what falls silent 4 s later: the pauses stay well under the
   // one, and one empty frame of each second that is missing, with a dial, under the other. The time runs from
   // the last whole frame, so that one that trickles or stops midway is silence too.
   // A large frame on a slow line is none as long as it moves on; a small one has to come whole.
-  constexpr Sec kSilence = 2.2, kDial = 0.5, kFirstPause = 0.05, kLongestPause = 0.4;
+  constexpr Seconds kSilence = 2.2, kDial = 0.5, kFirstPause = 0.05, kLongestPause = 0.4;
   constexpr std::size_t kMovesOn = 4096;
   const auto hold_spare = [&] {
     if (!spare_) spare_ = Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC));
   };
   hold_spare();
-  for (Sec pause = kFirstPause;; pause = std::min(pause * 2, kLongestPause)) {
+  for (Seconds pause = kFirstPause;; pause = std::min(pause * 2, kLongestPause)) {
     std::string why = "closed";
     Fd fd = dial(bus_);
     if (!fd && (errno == EMFILE || errno == ENFILE)) spare_ = Fd(), fd = dial(bus_);
     if (fd) {
       Stream stream(scheduler_, outbox_, std::move(fd));
       struct InUse {
-        List& list;
+        DiscoveryClient& list;
         ~InUse() { list.stream_ = nullptr; }
       } in_use{*this};
       stream_ = &stream;
@@ -101,7 +101,7 @@
       } else {
         stream.write(hello_text(last_));
         std::size_t moved_at = 0;  // so much of a frame was held when it last moved on
-        for (Sec whole_at = scheduler_.now();;) {
+        for (Seconds whole_at = scheduler_.now();;) {
           const auto came = stream.read();
           if (came == Stream::Came::end) break;
           if (came == Stream::Came::bytes) {
@@ -138,8 +138,8 @@
 // Numbers that are missing are asked for again, by a new connection from the last that is held; until they
 // came the ages of all copies are bounded. If the bus leaves the same out twice it will not tell them: all
 // copies from before then count as old, and what follows is taken.
-bool List::take_frames(Stream& stream) {
-  const Sec now = scheduler_.now();
+bool DiscoveryClient::take_frames(Stream& stream) {
+  const Seconds now = scheduler_.now();
   try {
     for (;;) {
       const auto held = last_;
@@ -153,14 +153,15 @@
         const bool again = std::exchange(gap_after_, held) == held;
         log_("bus", "events {} to {} never came{}", held + 1, seen - 1,
              again ? ", asked again: given up" : "");
-        desk_.purges().bus_gap(!again, now);
+        dispatcher_.purges().bus_gap(!again, now);
         if (!again) return false;
-        desk_.purges().bus_lost(now);
+        dispatcher_.purges().bus_lost(now);
         last_ = seen;
       }
-      if (gap_after_ != kNoGap && last_ > gap_after_) gap_after_ = kNoGap, desk_.purges().bus_gap(false, now);
+      if (gap_after_ != kNoGap && last_ > gap_after_)
+        gap_after_ = kNoGap, dispatcher_.purges().bus_gap(false, now);
     }
-  } catch (const Malformed& e) {
+  } catch (const InputError& e) {
     log_("bus", "{}", e.what());
     return false;
   }
--- a/src/net/list.h
+++ b/src/net/discovery_client.h
@@ -6,22 +6,23 @@
 #include <unordered_set>
 
 #include "io/log.h"
-#include "net/caches.h"
-#include "net/desk.h"
 #include "net/discovery_clock.h"
-#include "net/frames.h"
+#include "net/discovery_codec.h"
+#include "net/request_dispatcher.h"
+#include "net/upstream_pool.h"
 #include "replica/watch.h"
 
 namespace walkpaddle::net {
 
-class List final : public ListEvents {
+class DiscoveryClient final : public DiscoveryEvents {
  public:
-  List(Scheduler& scheduler, Outbox& outbox, Log& log, Desk& desk, Caches& caches)
+  DiscoveryClient(Scheduler& scheduler, Outbox& outbox, Log& log, RequestDispatcher& dispatcher,
+                  UpstreamPool& caches)
       : scheduler_(scheduler),
         outbox_(outbox),
         log_(log),
-        desk_(desk),
-        caches_(caches),
+        dispatcher_(dispatcher),
+        upstream_(caches),
         pause_over_(scheduler) {}
 
   void held(std::uint64_t last) { last_ = last, read_ = true; }
@@ -30,14 +31,14 @@
   void tell_facts();                // where the fleet's facts are worse than the list: the module is told
   void follow(const Address& bus);  // from the last event held; a second call moves to another address
 
-  void known_begin(Sec newest_stamp) override { clock_.begin_known(newest_stamp, scheduler_.now()); }
+  void known_begin(Seconds newest_stamp) override { clock_.begin_known(newest_stamp, scheduler_.now()); }
   void known_end() override { clock_.end_known(); }
-  void list_begin(bool whole) override;
-  void list_member(std::string_view id, const Address& address, int location, int kind, int cell,
-                   Listed state, double weight, Sec started) override;
-  void list_end() override;
-  void purged(std::string_view object, Sec at) override;
-  void purged_group(std::uint32_t group, Sec at) override;
+  void begin_endpoint_list(bool whole) override;
+  void update_endpoint(std::string_view id, const Address& address, int location, int kind, int cell,
+                       EndpointState state, double weight, Seconds started) override;
+  void end_endpoint_list() override;
+  void purged(std::string_view object, Seconds at) override;
+  void purged_group(std::uint32_t group, Seconds at) override;
 
  private:
   Task follow_all();
@@ -46,8 +47,8 @@
   Scheduler& scheduler_;
   Outbox& outbox_;
   Log& log_;
-  Desk& desk_;
-  Caches& caches_;
+  RequestDispatcher& dispatcher_;
+  UpstreamPool& upstream_;
   DiscoveryClock clock_;
   static constexpr std::uint64_t kNoGap = ~std::uint64_t{};
   std::uint64_t last_ = 0, gap_after_ = kNoGap;  // gap_after_: the last before a gap that is asked for again
--- a/src/net/discovery_clock.cpp
+++ b/src/net/discovery_clock.cpp
@@ -4,16 +4,16 @@
 
 namespace walkpaddle::net {
 
-void DiscoveryClock::begin_known(Sec newest_stamp, Sec now) {
+void DiscoveryClock::begin_known(Seconds newest_stamp, Seconds now) {
   known_ = true, heard_ = now;
   if (newest_stamp > 0) ahead_ = now - newest_stamp;
 }
 
-void DiscoveryClock::observe(Sec stamp, Sec now) {
+void DiscoveryClock::observe(Seconds stamp, Seconds now) {
   if (!ahead_ || now - stamp < *ahead_) ahead_ = now - stamp;
 }
 
-Sec DiscoveryClock::purged_at(Sec stamp, Sec now) {
+Seconds DiscoveryClock::purged_at(Seconds stamp, Seconds now) {
   if (!known_) {
     observe(stamp, now);
     return now;
@@ -21,15 +21,15 @@
   return ahead_ ? std::min(now, stamp + *ahead_) : now;
 }
 
-Sec DiscoveryClock::started_at(int member, Sec stamp, Sec now) {
+Seconds DiscoveryClock::started_at(int member, Seconds stamp, Seconds now) {
   // Whether or not it arrived, an event counts as told so long after it happened (the protocol page,
   // "Figures").
-  constexpr Sec kToldAtLatest = 7;
+  constexpr Seconds kToldAtLatest = 7;
   if (stamp <= 0) return 0;
   auto& start = starts_[member];
   if (start.stamp == stamp) return start.at;
   if (!known_) observe(stamp, now);
-  Sec at = ahead_ ? std::min(now, stamp + *ahead_) : now;
+  Seconds at = ahead_ ? std::min(now, stamp + *ahead_) : now;
   // Older than it can be: discovery's clock was set back since.
   if (!known_ && at < heard_ - kToldAtLatest) at = now, ahead_ = now - stamp;
   start = {stamp, at};
--- a/src/net/discovery_clock.h
+++ b/src/net/discovery_clock.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <unordered_map>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::net {
 
@@ -17,25 +17,25 @@
   // The events of the configuration follow, the newest of which has that stamp (0: none has one). Discovery's
   // clock was at that stamp or later when they were written, so each is at least as old as its distance to
   // the newest.
-  void begin_known(Sec newest_stamp, Sec now);
+  void begin_known(Seconds newest_stamp, Seconds now);
   void end_known() { known_ = false; }
-  void heard(Sec now) { heard_ = now; }  // a whole frame came
+  void heard(Seconds now) { heard_ = now; }  // a whole frame came
 
   // When the purge with this stamp happened, at the latest. A live one counts from its arrival: the copies
   // made between the two are fetched once more.
-  Sec purged_at(Sec stamp, Sec now);
+  Seconds purged_at(Seconds stamp, Seconds now);
   // When the endpoint started, at the latest; the same for the same stamp. 0 for a start long ago.
-  Sec started_at(int member, Sec stamp, Sec now);
+  Seconds started_at(int member, Seconds stamp, Seconds now);
 
  private:
   struct Start {
-    Sec stamp = 0, at = 0;
+    Seconds stamp = 0, at = 0;
   };
-  void observe(Sec stamp, Sec now);
+  void observe(Seconds stamp, Seconds now);
 
   // Our time less discovery's, at most: the least seen from a stamp to its arrival.
-  std::optional<Sec> ahead_;
-  Sec heard_ = 0;
+  std::optional<Seconds> ahead_;
+  Seconds heard_ = 0;
   bool known_ = false;
   std::unordered_map<int, Start> starts_;  // by member, of which there are as many as discovery lists
 };
--- a/src/net/teller.cpp
+++ b/src/net/purge_notifier.cpp
@@ -1,24 +1,25 @@
-#include "net/teller.h"
+#include "net/purge_notifier.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "net/resp.h"
-#include "text.h"
+#include "base/text.h"
+#include "net/resp_parser.h"
 
 namespace walkpaddle::net {
 
-Teller::Teller(Scheduler& scheduler, Log& log, fleet::Purges& purges, Caches& caches, std::string run)
-    : scheduler_(scheduler), log_(log), purges_(purges), caches_(caches), run_(std::move(run)) {
-  caches_.set_commands(*this);
+PurgeNotifier::PurgeNotifier(Scheduler& scheduler, Log& log, fleet::Purges& purges, UpstreamPool& caches,
+                             std::string run)
+    : scheduler_(scheduler), log_(log), purges_(purges), upstream_(caches), run_(std::move(run)) {
+  upstream_.set_commands(*this);
   scheduler_.start(tell_all());
 }
 
-Task Teller::tell_all() {
-  constexpr Sec kLook = 0.02;
+Task PurgeNotifier::tell_all() {
+  constexpr Seconds kLook = 0.02;
   Event look(scheduler_);
   for (;;) {
-    const Sec now = scheduler_.now();
+    const Seconds now = scheduler_.now();
     while (const auto s = purges_.boxes().next(now)) {
       std::string text;
       if (s->entry == nullptr) {
@@ -30,25 +31,25 @@
         text = words_text({"purges", "drop", run_, std::to_string(e.place),
                            fleet::kKindNames[static_cast<int>(e.kind)], age, e.what});
       }
-      if (!caches_.command(s->box, text)) purges_.boxes().unsent(s->box, now);
+      if (!upstream_.command(s->box, text)) purges_.boxes().unsent(s->box, now);
     }
     co_await look.wait(now + kLook);
   }
 }
 
-void Teller::command_answered(int member, const std::vector<std::string_view>& words) {
-  const Sec now = scheduler_.now();
+void PurgeNotifier::command_answered(int member, const std::vector<std::string_view>& words) {
+  const Seconds now = scheduler_.now();
   auto& boxes = purges_.boxes();
   if (words.size() >= 2 && words[1] == "unknown") {
     boxes.refused(member);
-    return log_("purge", "{} takes no purges: its copies are told apart by age alone", caches_.id(member));
+    return log_("purge", "{} takes no purges: its copies are told apart by age alone", upstream_.id(member));
   }
-  if (words.size() < 4) bad("answer to a purge", "");
+  if (words.size() < 4) throw_bad_value("answer to a purge", "");
   if (words[2] != run_) return;  // to an earlier run
   const auto place = parse<std::uint64_t>(words[3], "place");
   if (words[1] == "cursor") return boxes.cursor(member, place);
   if (words[1] == "dropped") return boxes.confirmed(member, place, now);
-  bad("answer to a purge", words[1]);
+  throw_bad_value("answer to a purge", words[1]);
 }
 
 }  // namespace walkpaddle::net
--- a/src/net/teller.h
+++ b/src/net/purge_notifier.h
@@ -6,14 +6,14 @@
 
 #include "fleet/purges.h"
 #include "io/log.h"
-#include "net/caches.h"
+#include "net/upstream_pool.h"
 
 namespace walkpaddle::net {
 
-class Teller final : Caches::Commands {
+class PurgeNotifier final : UpstreamPool::Commands {
  public:
   // `run` names this run of places: another run's cursors mean nothing.
-  Teller(Scheduler& scheduler, Log& log, fleet::Purges& purges, Caches& caches, std::string run);
+  PurgeNotifier(Scheduler& scheduler, Log& log, fleet::Purges& purges, UpstreamPool& caches, std::string run);
 
  private:
   void command_answered(int member, const std::vector<std::string_view>& words) override;
@@ -23,7 +23,7 @@
   Scheduler& scheduler_;
   Log& log_;
   fleet::Purges& purges_;
-  Caches& caches_;
+  UpstreamPool& upstream_;
   const std::string run_;
 };
 
--- a/src/net/resp.cpp
+++ b/src/net/resp_parser.cpp
@@ -1,6 +1,6 @@
-#include "net/resp.h"
+#include "net/resp_parser.h"
 
-#include "text.h"
+#include "base/text.h"
 
 namespace walkpaddle::net {
 
@@ -10,14 +10,14 @@
 bool take_length(std::string_view& rest, char mark, std::size_t most, std::size_t& length) {
   constexpr std::size_t kLongest = 12;  // mark, nine digits, line end
   if (rest.empty()) return false;
-  if (rest.front() != mark) bad("array", rest.substr(0, 1));
+  if (rest.front() != mark) throw_bad_value("array", rest.substr(0, 1));
   const auto end = rest.substr(0, kLongest).find("\r\n");
   if (end == std::string_view::npos) {
-    if (rest.size() >= kLongest) bad("length", rest.substr(0, kLongest));
+    if (rest.size() >= kLongest) throw_bad_value("length", rest.substr(0, kLongest));
     return false;
   }
   length = parse<std::size_t>(rest.substr(1, end - 1), "length");
-  if (length > most) bad("length", rest.substr(1, end - 1));
+  if (length > most) throw_bad_value("length", rest.substr(1, end - 1));
   rest.remove_prefix(end + 2);
   return true;
 }
@@ -35,7 +35,7 @@
     if (!take_length(rest, '$', most_bytes, length)) return;
     most_bytes -= length;
     if (rest.size() < length + 2) return;
-    if (rest.substr(length, 2) != "\r\n") bad("end of word", rest.substr(length, 2));
+    if (rest.substr(length, 2) != "\r\n") throw_bad_value("end of word", rest.substr(length, 2));
     into.words.push_back(rest.substr(0, length));
     rest.remove_prefix(length + 2);
   }
@@ -63,9 +63,9 @@
 std::optional<std::string_view> field(std::string_view fields, std::string_view name) {
   if (fields == "-") return std::nullopt;
   while (!fields.empty()) {
-    auto value = cut(fields, ',');
-    if (value.find('=') == std::string_view::npos) bad("field", value);
-    if (cut(value, '=') == name) return value;
+    auto value = take_field(fields, ',');
+    if (value.find('=') == std::string_view::npos) throw_bad_value("field", value);
+    if (take_field(value, '=') == name) return value;
   }
   return std::nullopt;
 }
@@ -74,8 +74,8 @@
   Told told;
   told.waited = std::max(0.0, parse_or(field(fields, "ttfb").value_or(""), 0.0) / 1e3);
   for (auto meter = field(fields, "meter").value_or(""); !meter.empty();) {
-    auto value = cut(meter, ';');
-    if (cut(value, ':') == "util") told.busy = parse_or(value, -1.0);
+    auto value = take_field(meter, ';');
+    if (take_field(value, ':') == "util") told.busy = parse_or(value, -1.0);
   }
   return told;
 }
--- a/src/net/resp.h
+++ b/src/net/resp_parser.h
@@ -8,12 +8,12 @@
 #include <string_view>
 #include <vector>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::net {
 
 // The words of the array that `bytes` begins with, and how many bytes it took: 0 while it is not whole. What
-// cannot become one, or claims more than `most_words` words or `most_bytes` bytes in all, is Malformed.
+// cannot become one, or claims more than `most_words` words or `most_bytes` bytes in all, is InputError.
 struct Words {
   std::vector<std::string_view> words;
   std::size_t used = 0;
@@ -23,13 +23,13 @@
 std::string words_text(std::initializer_list<std::string_view> words);
 
 // The value of a field in "name=value,name=value" (or "-"); nullopt if it is not there. A part without '=' is
-// Malformed.
+// InputError.
 std::optional<std::string_view> field(std::string_view fields, std::string_view name);
 
 // What the fields of an answer tell beside it; nonsense reads as not told.
 struct Told {
-  Sec waited = 0;    // until its source's first byte or failure, 0 where it is not told
-  double busy = -1;  // the share of its capacity in use that it reports, -1 where it does not
+  Seconds waited = 0;  // until its source's first byte or failure, 0 where it is not told
+  double busy = -1;    // the share of its capacity in use that it reports, -1 where it does not
 };
 Told told_by(std::string_view fields);
 
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -13,19 +13,19 @@
 #include <fstream>
 #include <iterator>
 #include <map>
-#include <system_error>
 
+#include "base/error.h"
+#include "base/text.h"
 #include "control/documents.h"
 #include "learning/learnt.h"
-#include "net/txn.h"
-#include "text.h"
+#include "net/request_handler.h"
 
 namespace walkpaddle::net {
 
 namespace {
 
-Sec longest_time_limit(const Settings& s) {
-  Sec longest = 0;
+Seconds longest_time_limit(const Settings& s) {
+  Seconds longest = 0;
   for (int n = 0; n < s.whole("categories.count"); ++n)
     longest = std::max(longest, s.ms("categories." + std::to_string(n) + ".deadline"));
   return longest;
@@ -72,7 +72,7 @@
   const auto set = heeded();
   hold_signals();
   fd = Fd(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
-  if (!fd) throw std::system_error(errno, std::generic_category(), "signalfd");
+  if (!fd) throw SystemError("signalfd", errno);
   scheduler.watch(fd.get(), *this);
 }
 
@@ -110,25 +110,28 @@
       share_(config_.sockets, file_),
       signals_(scheduler_),
       purges_(purges_setup(), scheduler_.now()),
-      desk_(scheduler_, fold_seed(config_.seed), config_.settings, purges_,
-            [this](guard::Invariant broken, std::uint64_t request) {
-              log_("guard", "{:016x}: not done, it would break {}", request,
-                   guard::kInvariants[static_cast<std::size_t>(broken)]);
-            }),
+      dispatcher_(scheduler_, fold_seed(config_.seed), config_.settings, purges_,
+                  [this](guard::Invariant broken, std::uint64_t request) {
+                    log_("guard", "{:016x}: not done, it would break {}", request,
+                         guard::kInvariants[static_cast<std::size_t>(broken)]);
+                  }),
       fleet_at_turns_end_(scheduler_, [this] { pull_fleet(); }),
       outbox_(scheduler_, bytes_to_hold(config_.memory_mb)),
-      caches_(scheduler_, outbox_, log, share_.caches, config_.settings.whole("allowed.streams_per_conn", 32),
-              config_.settings.ms("allowed.dial_timeout"), config_.settings.ms("allowed.idle_close"),
-              config_.settings.flag("allowed.cancel")),
-      list_(scheduler_, outbox_, log, desk_, caches_),
-      clients_(scheduler_, outbox_, log,
-               config_.listening >= 0 ? Fd(config_.listening) : listen_on(config_.listen), share_.clients,
-               rule_names(config_.settings), [this](std::shared_ptr<Client> client, Order order) {
-                 scheduler_.start_isolated(serve(scheduler_, log_, desk_, caches_, std::move(client),
-                                                 std::move(order), config_.bytes_a_second));
-               }) {
-  caches_.set_guard(desk_.guard());
-  clients_.set_guard(desk_.guard());
+      upstream_(scheduler_, outbox_, log, share_.caches,
+                config_.settings.whole("allowed.streams_per_conn", 32),
+                config_.settings.ms("allowed.dial_timeout"), config_.settings.ms("allowed.idle_close"),
+                config_.settings.flag("allowed.cancel")),
+      list_(scheduler_, outbox_, log, dispatcher_, upstream_),
+      client_listener_(
+          scheduler_, outbox_, log,
+          config_.listening >= 0 ? Fd(config_.listening) : listen_on(config_.listen), share_.clients,
+          request_class_names(config_.settings),
+          [this](std::shared_ptr<ClientConnection> client, Request order) {
+            scheduler_.start_isolated(serve(scheduler_, log_, dispatcher_, upstream_, std::move(client),
+                                            std::move(order), config_.bytes_a_second));
+          }) {
+  upstream_.set_guard(dispatcher_.guard());
+  client_listener_.set_guard(dispatcher_.guard());
   scheduler_.on_failure([this](std::exception_ptr failure) {
     try {
       std::rethrow_exception(failure);
@@ -160,12 +163,13 @@
     shared_ = std::make_unique<fleet::Share>(scheduler_, log_, share);
     list_.share(&shared_->watch());
   }
-  if (file_.tell_boxes) teller_ = std::make_unique<Teller>(scheduler_, log_, purges_, caches_, run_);
+  if (file_.tell_boxes)
+    purge_notifier_ = std::make_unique<PurgeNotifier>(scheduler_, log_, purges_, upstream_, run_);
   if (!file_.socket.empty()) {
     control::Operators::Names names{f.name,
                                     {},
-                                    [this](int box) { return std::string(caches_.id(box)); },
-                                    [this] { return caches_.members(); },
+                                    [this](int box) { return std::string(upstream_.id(box)); },
+                                    [this] { return upstream_.members(); },
                                     [this] { return counts(); }};
     for (const auto& p : f.peers) names.peers.push_back(p.name);
     operators_ = std::make_unique<control::Operators>(scheduler_, outbox_, log_, purges_, file_.socket, names,
@@ -175,29 +179,31 @@
 }
 
 fleet::Belief Router::belief() const {
-  const auto learnt = desk_.module().learnt();
-  fleet::Belief b{.link = learnt.link, .misses = learnt.misses};
-  for (const auto& r : learnt.rooms) b.rooms.push_back({stable_hash(caches_.id(r.member)), r.hops, r.fills});
+  const auto learnt = dispatcher_.module().snapshot();
+  fleet::Belief b{.link = learnt.link_limit, .misses = learnt.miss_ratio};
+  for (const auto& r : learnt.limits)
+    b.rooms.push_back({stable_hash(upstream_.id(r.endpoint)), r.attempts, r.fills});
   for (const auto& o : learnt.objects) b.objects.push_back({o.object, o.count});
-  for (const auto& r : learnt.rules) b.rules.push_back({r.sending, r.answers});
+  for (const auto& r : learnt.service_times) b.rules.push_back({r.mean, r.answers});
   return b;
 }
 
 void Router::take_back(const fleet::Belief& b) {
-  Learnt learnt{.link = b.link, .misses = b.misses, .age = std::max(0.0, scheduler_.now() - b.at)};
+  WarmStartSnapshot learnt{
+      .link_limit = b.link, .miss_ratio = b.misses, .age = std::max(0.0, scheduler_.now() - b.at)};
   for (const auto& o : b.objects) learnt.objects.push_back({o.object, o.count});
-  for (const auto& r : b.rules) learnt.rules.push_back({r.sending, r.answers});
+  for (const auto& r : b.rules) learnt.service_times.push_back({r.sending, r.answers});
   std::map<std::uint64_t, int> members;
-  for (int m = 0; m < caches_.members(); ++m) members[stable_hash(caches_.id(m))] = m;
+  for (int m = 0; m < upstream_.members(); ++m) members[stable_hash(upstream_.id(m))] = m;
   for (const auto& r : b.rooms)
     if (const auto it = members.find(r.server); it != members.end())
-      learnt.rooms.push_back({it->second, r.hops, r.fills});
-  desk_.input().set_learnt(learnt);
+      learnt.limits.push_back({it->second, r.hops, r.fills});
+  dispatcher_.input().restore_snapshot(learnt);
 }
 
 void Router::pull_fleet() {
-  constexpr Sec kTrim = 0.25;
-  if (const Sec now = scheduler_.now(); now >= trim_at_) purges_.trim(now), trim_at_ = now + kTrim;
+  constexpr Seconds kTrim = 0.25;
+  if (const Seconds now = scheduler_.now(); now >= trim_at_) purges_.trim(now), trim_at_ = now + kTrim;
   if (keeper_) keeper_->pull();
   if (links_) links_->pull();
   if (shared_) shared_->pull();
@@ -210,11 +216,11 @@
 
 namespace {
 
-constexpr Sec kWarmUp = 5;  // of a start; a change's own document says how long of a move
+constexpr Seconds kWarmUp = 5;  // of a start; a change's own document says how long of a move
 
 std::string text_in(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw Malformed("cannot read " + path);
+  if (!in) throw InputError("cannot read " + path);
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
@@ -223,11 +229,11 @@
   std::error_code error;
   for (const auto& entry : std::filesystem::directory_iterator(folder, error))
     if (entry.path().extension() == ".bin") requests.push_back(text_in(entry.path()));
-  if (error) throw Malformed("cannot read the folder " + folder.string());
+  if (error) throw InputError("cannot read the folder " + folder.string());
   return compat::read_release(requests, text_in(folder / "rules.json"));
 }
 
-std::uint64_t epoch_of(Sec now) { return static_cast<std::uint64_t>(now * 1e6); }
+std::uint64_t epoch_of(Seconds now) { return static_cast<std::uint64_t>(now * 1e6); }
 
 }  // namespace
 
@@ -254,20 +260,20 @@
                           .release =
                               [folder = c.protocol](const std::string& name) {
                                 if (folder.empty())
-                                  throw Malformed("the operator's file names no protocol folder");
+                                  throw InputError("the operator's file names no protocol folder");
                                 return release_in(std::filesystem::path(folder) / name);
                               },
                           .carry_out = [this](const change::Rollout::Move& m) { carry_out(m); },
                           .counted = [this] { return counted(); }};
   for (const auto& p : file_.fleet.peers) s.peers.push_back({p.name, p.site});
-  desk_.begin_tally(epoch_of(scheduler_.now()), scheduler_.now() + kWarmUp);
+  dispatcher_.begin_tally(epoch_of(scheduler_.now()), scheduler_.now() + kWarmUp);
   return s;
 }
 
 // All of the folder, or nothing of it and one line that says why.
 void Router::read_documents() {
   if (!shared_ || shared_->changes() == nullptr) return;
-  const Sec now = scheduler_.now();
+  const Seconds now = scheduler_.now();
   try {
     const auto documents = control::read_documents(file_.changes.folder, now);
     auto& calendar = shared_->changes()->calendar();
@@ -279,31 +285,31 @@
     for (const auto& [change, why] : documents.stops) rollout.stop(change, why, now);
     log_("change", "{}: {} windows, {} changes", file_.changes.folder, documents.windows.size(),
          documents.changes.size());
-  } catch (const Malformed& e) {
+  } catch (const InputError& e) {
     log_("change", "kept as it was: {}", e.what());
   }
 }
 
 change::Counters Router::counted() {
-  constexpr Sec kLoad = 1;
-  if (const Sec now = scheduler_.now(); now >= load_at_) {
+  constexpr Seconds kLoad = 1;
+  if (const Seconds now = scheduler_.now(); now >= load_at_) {
     load_at_ = now + kLoad;
     timespec cpu{};
     ::clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &cpu);
     long pages = 0, resident = 0;
     std::ifstream("/proc/self/statm") >> pages >> resident;
-    desk_.tally()->load(
+    dispatcher_.tally()->load(
         static_cast<double>(resident) * static_cast<double>(::sysconf(_SC_PAGESIZE)) / (1 << 20),
         static_cast<double>(cpu.tv_sec) + static_cast<double>(cpu.tv_nsec) * 1e-9, now);
   }
-  return desk_.tally()->counters();
+  return dispatcher_.tally()->counters();
 }
 
 // Settings are handed to the module between two turns: no txn notices. What the platform told stays under
 // them, so that going back is handing over what was before.
 void Router::carry_out(const change::Rollout::Move& move) {
   auto& rollout = shared_->changes()->rollout();
-  const Sec now = scheduler_.now();
+  const Seconds now = scheduler_.now();
   if (phase_ != Phase::serving) return;  // it ends, and no other program begins for it
   if (move.document.work == freeze::kRelease) {
     const char* earlier = std::getenv(kEarlier);
@@ -323,12 +329,12 @@
     auto settings = config_.settings;
     settings.put_lines(lines);
     check(settings);
-    desk_.settings_changed(settings);
-  } catch (const Malformed& e) {
+    dispatcher_.settings_changed(settings);
+  } catch (const InputError& e) {
     return rollout.move_failed(e.what(), now);
   }
   settings_lines_ = lines;
-  desk_.begin_tally(epoch_of(now), now + move.document.warm_up);
+  dispatcher_.begin_tally(epoch_of(now), now + move.document.warm_up);
   rollout.moved(now);
 }
 
@@ -343,20 +349,20 @@
 // New connections wait at the listener for the next program; those that are open end when nothing is open on
 // them, all within the time that a planned end has.
 Task Router::make_way() {
-  constexpr Sec kLook = 0.01, kMost = 3;
+  constexpr Seconds kLook = 0.01, kMost = 3;
   enter(Phase::yielding);
   log_("change", "makes way for {}", next_->move.to);
   Event look(scheduler_);
-  const Sec end = scheduler_.now() + std::min(longest_time_limit(config_.settings), kMost);
-  next_->listener = clients_.give_listener();
+  const Seconds end = scheduler_.now() + std::min(longest_time_limit(config_.settings), kMost);
+  next_->listener = client_listener_.give_listener();
   do {
-    clients_.close_idle();
+    client_listener_.close_idle();
     co_await look.wait(scheduler_.now() + kLook);
-  } while (scheduler_.now() < end && (clients_.count() > 0 || desk_.txns_open() > 0));
+  } while (scheduler_.now() < end && (client_listener_.count() > 0 || dispatcher_.txns_open() > 0));
   leave_learnt();
-  clients_.abort_open();
+  client_listener_.abort_open();
   co_await look.wait(scheduler_.now() + kLook);
-  clients_.close_idle();
+  client_listener_.close_idle();
   co_await look.wait(scheduler_.now() + kLook);
   scheduler_.stop();
 }
@@ -372,10 +378,10 @@
   constexpr std::string_view kAlive[] = {"UNREADY", "READY", "DRAIN", "READY", "DRAIN"};
   phase_ = phase;
   const bool says_ready = kAlive[static_cast<int>(phase)] == "READY";
-  if (says_ready && desk_.guard().may_say_ready(list_.read(), true) != guard::Invariant::none) return;
-  clients_.set_word(kAlive[static_cast<int>(phase)]);
-  log_("phase", "{}, {} clients, {} txns open", kNames[static_cast<int>(phase)], clients_.count(),
-       desk_.txns_open());
+  if (says_ready && dispatcher_.guard().may_say_ready(list_.read(), true) != guard::Invariant::none) return;
+  client_listener_.set_word(kAlive[static_cast<int>(phase)]);
+  log_("phase", "{}, {} clients, {} txns open", kNames[static_cast<int>(phase)], client_listener_.count(),
+       dispatcher_.txns_open());
 }
 
 void Router::tell_counters() {
@@ -386,16 +392,16 @@
 }
 
 std::vector<std::pair<std::string, std::uint64_t>> Router::counts() {
-  const auto& guard = desk_.guard();
+  const auto& guard = dispatcher_.guard();
   const auto& c = guard.counters();
-  const auto ejected = desk_.module().ejections();
+  const auto ejected = dispatcher_.module().ejections();
   std::vector<std::pair<std::string, std::uint64_t>> all = {{"served", c.served},
                                                             {"shed", c.shed},
                                                             {"failed", c.failed},
                                                             {"left", c.left},
                                                             {"attempts", c.attempts},
                                                             {"retries", c.retries},
-                                                            {"ejected_unreached", ejected.unreached},
+                                                            {"ejected_unreached", ejected.unreachable},
                                                             {"ejected_failing", ejected.failing},
                                                             {"ejected_silent", ejected.silent}};
   const auto add = [&](std::string_view prefix, const auto& names, const auto& values) {
@@ -426,7 +432,7 @@
 // Whatever is wrong with the file costs one line, and the start goes on with nothing learnt.
 void Router::take_over() {
   if (file_.learnt.empty()) return;
-  const Sec now = scheduler_.now();
+  const Seconds now = scheduler_.now();
   try {
     std::ifstream in(file_.learnt, std::ios::binary);
     if (!in) return log_("learnt", "no {} yet, all is learnt afresh", file_.learnt);
@@ -435,19 +441,20 @@
     text.resize(static_cast<std::size_t>(in.gcount()));
     const auto kept = learning::kept_of(text, config_.settings.text("family"),
                                         config_.settings.number("specifics.client_kb_per_s"), now);
-    Learnt learnt;
+    WarmStartSnapshot learnt;
     int rules = 0, members = 0;
-    for (const auto& own : rule_names(config_.settings)) {
+    for (const auto& own : request_class_names(config_.settings)) {
       const auto at = std::ranges::find(kept.rules, own.name, &learning::Kept::Rule::name);
-      learnt.rules.push_back(at == kept.rules.end() ? Learnt::Rule{}
-                                                    : Learnt::Rule{at->sending, at->answers});
-      rules += learnt.rules.back().answers > 0;
+      learnt.service_times.push_back(at == kept.rules.end()
+                                         ? WarmStartSnapshot::ServiceTime{}
+                                         : WarmStartSnapshot::ServiceTime{at->sending, at->answers});
+      rules += learnt.service_times.back().answers > 0;
     }
     // Only members that the list names; one that started since is as the list tells.
     for (const auto& u : kept.unreached)
-      for (int m = 0; m < caches_.members(); ++m)
-        if (caches_.id(m) == u.member) learnt.unreached.push_back({m, u.at}), ++members;
-    desk_.input().set_learnt(learnt);
+      for (int m = 0; m < upstream_.members(); ++m)
+        if (upstream_.id(m) == u.member) learnt.unreachable.push_back({m, u.at}), ++members;
+    dispatcher_.input().restore_snapshot(learnt);
     log_("learnt", "from {}, {:.0f} s old: {} sending times, {} members last not reached", file_.learnt,
          now - kept.written, rules, members);
   } catch (const std::exception& e) {
@@ -457,15 +464,16 @@
 
 void Router::leave_learnt() {
   if (file_.learnt.empty()) return;
-  const auto learnt = desk_.input().learnt();
+  const auto learnt = dispatcher_.input().snapshot();
   learning::Kept kept{.family = std::string(config_.settings.text("family")),
                       .pace = config_.settings.number("specifics.client_kb_per_s"),
                       .written = scheduler_.now()};
-  const auto names = rule_names(config_.settings);
-  for (std::size_t n = 0; n < std::min(names.size(), learnt.rules.size()); ++n)
-    if (learnt.rules[n].answers > 0)
-      kept.rules.push_back({names[n].name, learnt.rules[n].sending, learnt.rules[n].answers});
-  for (const auto& u : learnt.unreached) kept.unreached.push_back({std::string(caches_.id(u.member)), u.at});
+  const auto names = request_class_names(config_.settings);
+  for (std::size_t n = 0; n < std::min(names.size(), learnt.service_times.size()); ++n)
+    if (learnt.service_times[n].answers > 0)
+      kept.rules.push_back({names[n].name, learnt.service_times[n].mean, learnt.service_times[n].answers});
+  for (const auto& u : learnt.unreachable)
+    kept.unreached.push_back({std::string(upstream_.id(u.endpoint)), u.at});
   // Whole or not at all: a start that reads meanwhile finds the last one.
   const auto beside = file_.learnt + ".new";
   std::ofstream out(beside, std::ios::binary | std::ios::trunc);
@@ -485,8 +493,8 @@
 
   // A file that cannot be used is looked at again. Guards against a word that crosses the file's writing: the
   // bus that it names would never be followed. What it tells counts as told 4 s after the word.
-  constexpr Sec kAgain = 0.25, kLongest = 3;
-  Sec read_until = 0;
+  constexpr Seconds kAgain = 0.25, kLongest = 3;
+  Seconds read_until = 0;
   enter(Phase::serving);
   for (;;) {
     const int signal = signals_.take();
@@ -503,28 +511,29 @@
   // Clients that have not heard yet still come, for most of a second; those that are open have their time, as
   // far as the platform gives it: it kills after the longest time limit, counted as kMost at most, and kKill.
   // What is open then is answered kSpare before; further signals change nothing.
-  constexpr Sec kComing = 0.8, kLook = 0.02, kMost = 3, kKill = 0.7, kSpare = 0.1;
-  constexpr Sec kCrossing = 0.06;  // as long as a request may cross the close of its connection, and a little
+  constexpr Seconds kComing = 0.8, kLook = 0.02, kMost = 3, kKill = 0.7, kSpare = 0.1;
+  constexpr Seconds kCrossing =
+      0.06;  // as long as a request may cross the close of its connection, and a little
   enter(Phase::draining);
-  const Sec asked = scheduler_.now(),
-            last_end = asked + std::min(longest_time_limit(config_.settings), kMost) + kKill - kSpare;
+  const Seconds asked = scheduler_.now(),
+                last_end = asked + std::min(longest_time_limit(config_.settings), kMost) + kKill - kSpare;
   Event look(scheduler_);
   while (scheduler_.now() < last_end &&
-         (scheduler_.now() < asked + kComing || desk_.txns_open() > 0 || clients_.owing()))
+         (scheduler_.now() < asked + kComing || dispatcher_.txns_open() > 0 || client_listener_.owing()))
     co_await look.wait(scheduler_.now() + kLook);
 
   enter(Phase::stopped);
   tell_counters();
   leave_learnt();
-  clients_.stop_accepting();
-  clients_.abort_open();
+  client_listener_.stop_accepting();
+  client_listener_.abort_open();
   // What still comes is read and sent nowhere: a close over unread bytes would reset the connection, and what
   // its client was last sent goes with it.
-  const Sec end = scheduler_.now() + kCrossing;
+  const Seconds end = scheduler_.now() + kCrossing;
   do {
     co_await look.wait(scheduler_.now() + kLook / 2);
-    clients_.close_idle();
-  } while (scheduler_.now() < end && clients_.count() > 0);
+    client_listener_.close_idle();
+  } while (scheduler_.now() < end && client_listener_.count() > 0);
   scheduler_.stop();
 }
 
--- a/src/net/router.h
+++ b/src/net/router.h
@@ -9,18 +9,18 @@
 #include <utility>
 #include <vector>
 
+#include "config/platform_config.h"
 #include "control/file.h"
 #include "control/operators.h"
 #include "fleet/keeper.h"
 #include "fleet/links.h"
 #include "fleet/share.h"
 #include "io/log.h"
-#include "net/caches.h"
-#include "net/clients.h"
-#include "net/config.h"
-#include "net/desk.h"
-#include "net/list.h"
-#include "net/teller.h"
+#include "net/client_listener.h"
+#include "net/discovery_client.h"
+#include "net/purge_notifier.h"
+#include "net/request_dispatcher.h"
+#include "net/upstream_pool.h"
 
 namespace walkpaddle::net {
 
@@ -31,7 +31,7 @@
 
 class Router {
  public:
-  // `read_again` gives the configuration as it now stands, or is Malformed.
+  // `read_again` gives the configuration as it now stands, or is InputError.
   // What the operator's file switches on stands beside what the platform tells.
   Router(Config config, const control::File& file, std::function<Config()> read_again, Log& log);
   ~Router();
@@ -52,12 +52,12 @@
     Scheduler& scheduler;
     Outbox& outbox;
     Log& log;
-    Desk& desk;
-    Caches& caches;
+    RequestDispatcher& dispatcher;
+    UpstreamPool& caches;
     const Settings& settings;
   };
   void add(const std::function<std::shared_ptr<void>(const Parts&)>& front) {
-    fronts_.push_back(front({scheduler_, outbox_, log_, desk_, caches_, config_.settings}));
+    fronts_.push_back(front({scheduler_, outbox_, log_, dispatcher_, upstream_, config_.settings}));
   }
 
  private:
@@ -108,25 +108,25 @@
   std::unique_ptr<store::Store> store_;
   std::string run_;  // of this router's store, or of this start
   fleet::Purges purges_;
-  Sec trim_at_ = 0;
-  Desk desk_;  // before the outbox: what a turn decides goes out at its end
+  Seconds trim_at_ = 0;
+  RequestDispatcher dispatcher_;  // before the outbox: what a turn decides goes out at its end
   struct AtTurnsEnd {
     AtTurnsEnd(Scheduler& scheduler, std::function<void()> call) { scheduler.at_turns_end(std::move(call)); }
   } fleet_at_turns_end_;
   Outbox outbox_;
-  Caches caches_;
-  List list_;
-  Clients clients_;
+  UpstreamPool upstream_;
+  DiscoveryClient list_;
+  ClientListener client_listener_;
   std::unique_ptr<fleet::Keeper> keeper_;
   std::unique_ptr<fleet::Links> links_;
   std::unique_ptr<fleet::Share> shared_;
-  std::unique_ptr<Teller> teller_;
+  std::unique_ptr<PurgeNotifier> purge_notifier_;
   std::unique_ptr<control::Operators> operators_;
   std::vector<std::shared_ptr<void>> fronts_;
   std::optional<Next> next_;
   std::map<std::string, std::string> generations_;  // settings beyond the platform's, as lines, by generation
   std::string settings_lines_;                      // of the present one
-  Sec load_at_ = 0;
+  Seconds load_at_ = 0;
   bool ready_ = false;
 };
 
--- a/src/net/caches.h
+++ b/src/net/upstream_pool.h
@@ -10,49 +10,49 @@
 #include <unordered_map>
 #include <vector>
 
-#include "brain.h"
 #include "guard/guard.h"
 #include "io/log.h"
 #include "io/scheduler.h"
 #include "io/stream.h"
-#include "net/resp.h"
+#include "net/resp_parser.h"
+#include "routing/policy.h"
 
 namespace walkpaddle::net {
 
-class Caches;
-struct Connection;
+class UpstreamPool;
+struct UpstreamConnection;
 
 // How a hop ended, as the module is told it, with what goes on to the client.
-struct HopEnd {
-  Verdict verdict = Verdict::not_sent;
-  Note note = Note::none;
+struct AttemptResult {
+  AttemptOutcome verdict = AttemptOutcome::not_sent;
+  FillOutcome note = FillOutcome::none;
   Told told;
   bool still_good = false;
   std::string etag, body;
-  Sec age = -1;                     // of the copy, -1 where it is not told
+  Seconds age = -1;                 // of the copy, -1 where it is not told
   std::vector<std::uint64_t> tags;  // that it names, as stable hashes
   bool tags_told = false;
 };
 
 // One hop; lives in its txn's task. Dropped while it is out, it is given up at the cache server too.
-class Hop {
+class Attempt {
  public:
   struct What {
     int member = -1, source = -1;
     std::uint64_t id = 0;
     std::string_view id_text, body;          // as the client sent them
     std::string fields;                      // all but the limit, which is known only when it is written
-    Sec until = 0;                           // its time-out, on the clock
-    Sec by = kNoTime;                        // begins by then, or not at all
+    Seconds until = 0;                       // its time-out, on the clock
+    Seconds by = kNoTime;                    // begins by then, or not at all
     bool last = false;                       // no other hop can follow its time-out
     bool effect = false;                     // its txn may not simply run again
     guard::RequestRecord* record = nullptr;  // what the guard knows of its request; null: it is not asked
-    Sec copies_since = 0;                    // the purges that it was decided with
+    Seconds copies_made_since = 0;           // the purges that it was decided with
   };
-  Hop(Scheduler& scheduler, Caches& caches, What what);
-  Hop(const Hop&) = delete;
-  Hop& operator=(const Hop&) = delete;
-  ~Hop();
+  Attempt(Scheduler& scheduler, UpstreamPool& caches, What what);
+  Attempt(const Attempt&) = delete;
+  Attempt& operator=(const Attempt&) = delete;
+  ~Attempt();
 
   bool ended() const { return state_ == State::ended; }
   Event::Awaiter wait();  // until it has ended or time_came() is to be called
@@ -60,36 +60,36 @@
   void call_off();     // given up at the cache server; it ends once no answer can cross any more
   void drop();         // ends at once: nothing follows for its txn
   void drop_unsent();  // so does one of which no byte has left
-  HopEnd& end() { return end_; }
-  Sec started() const { return started_; }
+  AttemptResult& end() { return end_; }
+  Seconds started() const { return started_; }
 
  private:
-  friend class Caches;
+  friend class UpstreamPool;
   enum class State { waiting, written, settling, ended };
-  void finish(Verdict verdict);
-  void settle(Verdict verdict);
+  void finish(AttemptOutcome verdict);
+  void settle(AttemptOutcome verdict);
   void wait_again();
-  bool nothing_left() const;       // written, and the kernel has taken none of its bytes
-  void ended_as(Verdict verdict);  // for the guard, once for each that it let pass
+  bool nothing_left() const;              // written, and the kernel has taken none of its bytes
+  void ended_as(AttemptOutcome verdict);  // for the guard, once for each that it let pass
 
   Scheduler& scheduler_;
-  Caches& caches_;
+  UpstreamPool& upstream_;
   What what_;
   Event event_;
   State state_ = State::waiting;
-  Connection* over_ = nullptr;
-  std::list<Hop*>::iterator place_;  // among those that have not ended
-  bool begun_ = false;               // the guard let it pass, and does not know its end
-  Sec started_, written_at_ = 0, settled_at_ = 0;
+  UpstreamConnection* over_ = nullptr;
+  std::list<Attempt*>::iterator place_;  // among those that have not ended
+  bool begun_ = false;                   // the guard let it pass, and does not know its end
+  Seconds started_, written_at_ = 0, settled_at_ = 0;
   std::uint64_t first_byte_ = 0, last_byte_ = 0;  // its place in the connection's bytes
-  HopEnd end_;
+  AttemptResult end_;
 };
 
-class Caches {
+class UpstreamPool {
  public:
-  Caches(Scheduler& scheduler, Outbox& outbox, Log& log, std::size_t most_connections, int hops_a_connection,
-         Sec dial_within, Sec closed_when_idle, bool cancels);
-  ~Caches();
+  UpstreamPool(Scheduler& scheduler, Outbox& outbox, Log& log, std::size_t most_connections,
+               int hops_a_connection, Seconds dial_within, Seconds closed_when_idle, bool cancels);
+  ~UpstreamPool();
 
   int member(std::string_view id);  // its index, given at first sight
   std::string_view id(int member) const;
@@ -97,7 +97,7 @@
   int known(std::string_view id) const;  // -1 for none
   const Address& address(int member) const;
   bool listed_ready(int member) const;
-  void told(int member, const Address& address, Listed state);
+  void told(int member, const Address& address, EndpointState state);
   // Commands to a member beside the hops, and what comes back of them: over one connection, in order; a
   // dial if there is none. `commands` is told the words of each answer and of each connection that is lost.
   class Commands {
@@ -113,23 +113,23 @@
   bool command(int member, std::string_view text);  // false: no connection yet, one is dialled
 
  private:
-  friend class Hop;
+  friend class Attempt;
   struct Peer;
   Peer& peer(int member) const { return *peers_[member]; }
-  void start(Hop& hop);
-  void give_up(Hop& hop);
-  void cancel(Hop& hop);
-  bool take_back(Hop& hop);
-  void over_at(Connection& c, const Hop& hop, bool may_answer);
-  bool may_write(Hop& hop, const Connection& over, Sec deadline);
+  void start(Attempt& hop);
+  void give_up(Attempt& hop);
+  void cancel(Attempt& hop);
+  bool take_back(Attempt& hop);
+  void over_at(UpstreamConnection& c, const Attempt& hop, bool may_answer);
+  bool may_write(Attempt& hop, const UpstreamConnection& over, Seconds deadline);
   void closed_as(guard::EndpointClose why);
-  void write(Hop& hop, Connection& over);
+  void write(Attempt& hop, UpstreamConnection& over);
   void place(Peer& at);
   void dial_for(int member);
   bool make_room();
   Task connection(int member);
-  bool take_answers(Connection& c);
-  void answer(Connection& c, const std::vector<std::string_view>& words);
+  bool take_answers(UpstreamConnection& c);
+  void answer(UpstreamConnection& c, const std::vector<std::string_view>& words);
   void dial_failed(Peer& at, std::string_view why, guard::EndpointClose reason);
   template <class F>
   void drop_unsent(F&& concerned);
@@ -138,11 +138,11 @@
   Outbox& outbox_;
   Log& log_;
   const std::size_t most_connections_, hops_a_connection_;
-  const Sec dial_within_, idle_;
+  const Seconds dial_within_, idle_;
   const bool cancels_;
   std::size_t connections_ = 0;  // of all peers, dials included, that hold a descriptor
-  std::list<Connection*> all_connections_;
-  std::list<Hop*> hops_;  // those that have not ended
+  std::list<UpstreamConnection*> all_connections_;
+  std::list<Attempt*> hops_;  // those that have not ended
   std::vector<std::unique_ptr<Peer>> peers_;
   std::unordered_map<std::string, int> index_;
   Commands* commands_ = nullptr;
--- a/src/purge/book.cpp
+++ b/src/purge/book.cpp
@@ -4,8 +4,8 @@
 
 namespace walkpaddle::purge {
 
-const Entry& Book::issue(std::uint64_t self, Kind kind, std::string what, Sec now) {
-  constexpr Sec kAfter = 1e-6;  // the least step that a double of Unix seconds still holds
+const Entry& Book::issue(std::uint64_t self, Kind kind, std::string what, Seconds now) {
+  constexpr Seconds kAfter = 1e-6;  // the least step that a double of Unix seconds still holds
   auto& run = runs_[self];
   const Stamp stamp{std::max(now, last_at_ + kAfter), self, run.through + 1};
   run.told = std::max(run.told, stamp.number);
@@ -14,8 +14,8 @@
   return entry;
 }
 
-Took Book::restore(const Stamp& stamp, Kind kind, std::string_view what, Sec from, std::uint64_t place,
-                   Sec now, const Entry** taken) {
+Took Book::restore(const Stamp& stamp, Kind kind, std::string_view what, Seconds from, std::uint64_t place,
+                   Seconds now, const Entry** taken) {
   if (!room_for(stamp.issuer)) return Took::full;
   auto& run = runs_[stamp.issuer];
   run.told = std::max(run.told, stamp.number);
@@ -29,7 +29,8 @@
   return Took::fresh;
 }
 
-const Entry& Book::add(const Stamp& stamp, Kind kind, std::string_view what, Sec from, std::uint64_t place) {
+const Entry& Book::add(const Stamp& stamp, Kind kind, std::string_view what, Seconds from,
+                       std::uint64_t place) {
   last_at_ = std::max(last_at_, stamp.at);
   places_ = std::max(places_ + 1, place);
   numbers_[{stamp.issuer, stamp.number}] = stamp;
@@ -37,14 +38,14 @@
   return entries_.emplace(stamp, Entry{stamp, kind, std::string(what), from, places_}).first->second;
 }
 
-void Book::grow(std::uint64_t issuer, Sec now) {
+void Book::grow(std::uint64_t issuer, Seconds now) {
   auto& run = runs_[issuer];
   run.last = now;
   ++run.through;
   while (numbers_.contains({issuer, run.through + 1})) ++run.through, --early_;
 }
 
-void Book::skip(std::uint64_t issuer, std::uint64_t base, Sec given_up, Sec now) {
+void Book::skip(std::uint64_t issuer, std::uint64_t base, Seconds given_up, Seconds now) {
   if (!room_for(issuer)) return;
   auto& run = runs_[issuer];
   run.given_up = std::max(run.given_up, given_up);
@@ -94,7 +95,7 @@
 
 // An issuer of whom nothing is held and nothing came for two lives is forgotten: it will not come back, since
 // a router without a store starts under a new id and one with a store keeps its numbers there.
-void Book::forget_issuers(Sec now) {
+void Book::forget_issuers(Seconds now) {
   if (runs_.size() < bounds_.issuers) return;
   std::erase_if(runs_, [&](const auto& r) {
     return r.second.base == r.second.through && now - r.second.last > 2 * bounds_.life;
--- a/src/purge/boxes.cpp
+++ b/src/purge/boxes.cpp
@@ -17,8 +17,8 @@
   b.told = b.confirmed, b.retry_at = 0;
 }
 
-void Boxes::unsent(int box, Sec now) {
-  constexpr Sec kDialled = 0.05;  // a connection is up within some milliseconds, or not for a while
+void Boxes::unsent(int box, Seconds now) {
+  constexpr Seconds kDialled = 0.05;  // a connection is up within some milliseconds, or not for a while
   auto& b = at(box);
   b.told = b.confirmed, b.retry_at = now + kDialled;
   if (b.state != State::telling) b.state = State::unknown;
@@ -31,14 +31,14 @@
   b.retry_at = 0;
 }
 
-void Boxes::confirmed(int box, std::uint64_t place, Sec now) {
+void Boxes::confirmed(int box, std::uint64_t place, Seconds now) {
   auto& b = at(box);
   if (b.state != State::telling || place > b.told) return;  // of an earlier connection
   b.confirmed = std::max(b.confirmed, place);
   b.retry_at = b.told > b.confirmed ? now + kRetry : 0;
 }
 
-std::optional<Boxes::Send> Boxes::next(Sec now) {
+std::optional<Boxes::Send> Boxes::next(Seconds now) {
   for (std::size_t n = 0; n < boxes_.size(); ++n) {
     auto& b = boxes_[n];
     const int box = static_cast<int>(n);
--- a/src/purge/boxes.h
+++ b/src/purge/boxes.h
@@ -18,7 +18,7 @@
     State state = State::unknown;
     bool listed = false;
     std::uint64_t confirmed = 0, told = 0;  // places
-    Sec retry_at = 0;
+    Seconds retry_at = 0;
   };
   struct Send {
     int box = -1;
@@ -30,12 +30,12 @@
   void listed(int box, bool is);
   void may_tell(std::uint64_t place) { most_ = place; }  // what would be lost in a restart is not told
   void connection_lost(int box);                         // what was told and not confirmed is told again
-  void unsent(int box, Sec now);              // there is no connection yet: what was to be sent is sent later
+  void unsent(int box, Seconds now);          // there is no connection yet: what was to be sent is sent later
   void cursor(int box, std::uint64_t place);  // its answer, 0 if it holds none from this router
-  void confirmed(int box, std::uint64_t place, Sec now);  // in order: all up to there
-  void refused(int box) { at(box).state = State::deaf; }  // it does not know the command
+  void confirmed(int box, std::uint64_t place, Seconds now);  // in order: all up to there
+  void refused(int box) { at(box).state = State::deaf; }      // it does not know the command
 
-  std::optional<Send> next(Sec now);  // until none
+  std::optional<Send> next(Seconds now);  // until none
 
   // Whether every listed box that understands purges has confirmed the place; those that have not are named.
   std::vector<int> missing(std::uint64_t place) const;
@@ -44,7 +44,7 @@
 
  private:
   static constexpr std::uint64_t kAhead = 32;  // a batch of a few kilobytes on its way to one box
-  static constexpr Sec kRetry = 0.5;  // without an answer, as long as a frozen box is left alone at first
+  static constexpr Seconds kRetry = 0.5;  // without an answer, as long as a frozen box is left alone at first
   Box& at(int box);
   const Book& book_;
   std::uint64_t most_ = ~std::uint64_t{};
--- a/src/purge/cover.cpp
+++ b/src/purge/cover.cpp
@@ -2,12 +2,12 @@
 
 #include <algorithm>
 
-#include "settings.h"
-#include "text.h"
+#include "base/text.h"
+#include "config/settings.h"
 
 namespace walkpaddle::purge {
 
-void Cover::Keyed::add(std::uint64_t key, Sec from, std::size_t most) {
+void Cover::Keyed::add(std::uint64_t key, Seconds from, std::size_t most) {
   newest_ = std::max(newest_, from);
   auto& at = held_.try_emplace(key, 0).first->second;
   if (from <= at) return;
@@ -29,21 +29,21 @@
   at = std::max(at, from);
 }
 
-Sec Cover::Keyed::newest(std::uint64_t key) const {
-  const Sec coarse = folded_.empty() ? 0 : folded_[slot(key)];
+Seconds Cover::Keyed::newest(std::uint64_t key) const {
+  const Seconds coarse = folded_.empty() ? 0 : folded_[slot(key)];
   const auto it = held_.find(key);
   return it == held_.end() ? coarse : std::max(coarse, it->second);
 }
 
-void Cover::Keyed::trim(Sec least) {
+void Cover::Keyed::trim(Seconds least) {
   for (std::size_t n = 0; n < kATrim && !order_.empty() && order_.front().first < least; ++n) pop(false);
 }
 
 Cover::Cover(const Bounds& bounds) : bounds_(bounds), known_(bounds.objects) {}
 
-void Cover::tag(std::uint64_t hash, Sec from) { tags_.add(hash, from, bounds_.most); }
+void Cover::tag(std::uint64_t hash, Seconds from) { tags_.add(hash, from, bounds_.most); }
 
-void Cover::pattern(std::string_view pattern, Sec from) {
+void Cover::pattern(std::string_view pattern, Seconds from) {
   patterns_.add(pattern, from);
   all(patterns_.trim(0));
 }
@@ -63,8 +63,8 @@
   }
 }
 
-Sec Cover::newest(std::uint64_t object, std::uint32_t group, std::string_view name, Sec now) {
-  Sec from = std::max({all_, objects_.newest(object), groups_.newest(group)});
+Seconds Cover::newest(std::uint64_t object, std::uint32_t group, std::string_view name, Seconds now) {
+  Seconds from = std::max({all_, objects_.newest(object), groups_.newest(group)});
   const auto* known = known_.find(object);
   if (tags_.newest() > from) {
     // Unknown tags may be any: stricter, never laxer.
@@ -82,18 +82,18 @@
   return now - from > bounds_.life ? 0 : from;
 }
 
-Sec Cover::newest_of(std::span<const std::uint64_t> tags, Sec now) const {
-  Sec from = 0;
+Seconds Cover::newest_of(std::span<const std::uint64_t> tags, Seconds now) const {
+  Seconds from = 0;
   for (const auto tag : tags) from = std::max(from, tags_.newest(tag));
   return now - from > bounds_.life ? 0 : from;
 }
 
-void Cover::learn(std::uint64_t object, std::span<const std::uint64_t> tags, Sec now) {
+void Cover::learn(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now) {
   known_.learn(object, tags, now);
 }
 
-void Cover::trim(Sec now) {
-  const Sec least = now - bounds_.life;
+void Cover::trim(Seconds now) {
+  const Seconds least = now - bounds_.life;
   objects_.trim(least), groups_.trim(least), tags_.trim(least);
   all(patterns_.trim(least));
 }
--- a/src/purge/cover.h
+++ b/src/purge/cover.h
@@ -20,54 +20,54 @@
 class Cover {
  public:
   struct Bounds {
-    Sec life = 7;                 // no copy is older: for so long a purge is in force
+    Seconds life = 7;             // no copy is older: for so long a purge is in force
     std::size_t most = 4096;      // of a kind, before the oldest fold
     std::size_t objects = 16384;  // whose tags and patterns are remembered
   };
   explicit Cover(const Bounds& bounds);
 
-  void object(std::uint64_t hash, Sec from) { objects_.add(hash, from, bounds_.most); }
-  void group(std::uint32_t group, Sec from) { groups_.add(group, from, bounds_.most); }
-  void tag(std::uint64_t hash, Sec from);
-  void pattern(std::string_view pattern, Sec from);  // one that Patterns::refusal() lets pass
-  void all(Sec from) { all_ = std::max(all_, from); }
+  void object(std::uint64_t hash, Seconds from) { objects_.add(hash, from, bounds_.most); }
+  void group(std::uint32_t group, Seconds from) { groups_.add(group, from, bounds_.most); }
+  void tag(std::uint64_t hash, Seconds from);
+  void pattern(std::string_view pattern, Seconds from);  // one that Patterns::refusal() lets pass
+  void all(Seconds from) { all_ = std::max(all_, from); }
   void add(const Entry& entry);  // any kind, by the entry's own text
 
   // Copies of this object made before the time returned are old; 0 if none is in force. `name` is read for
   // patterns alone.
-  Sec newest(std::uint64_t object, std::uint32_t group, std::string_view name, Sec now);
+  Seconds newest(std::uint64_t object, std::uint32_t group, std::string_view name, Seconds now);
   // The newest purge of any of these tags: what an answer itself says of its copy.
-  Sec newest_of(std::span<const std::uint64_t> tags, Sec now) const;
+  Seconds newest_of(std::span<const std::uint64_t> tags, Seconds now) const;
 
-  void learn(std::uint64_t object, std::span<const std::uint64_t> tags, Sec now);
-  void trim(Sec now);  // drops what is out of force; a bounded part a call
+  void learn(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now);
+  void trim(Seconds now);  // drops what is out of force; a bounded part a call
   std::size_t size() const { return objects_.size() + groups_.size() + tags_.size() + patterns_.size(); }
 
  private:
   // Purges by a key, the newest of each.
   class Keyed {
    public:
-    void add(std::uint64_t key, Sec from, std::size_t most);
-    Sec newest(std::uint64_t key) const;
-    Sec newest() const { return newest_; }  // of all
-    void trim(Sec least);
+    void add(std::uint64_t key, Seconds from, std::size_t most);
+    Seconds newest(std::uint64_t key) const;
+    Seconds newest() const { return newest_; }  // of all
+    void trim(Seconds least);
     std::size_t size() const { return held_.size(); }
 
    private:
     static constexpr std::size_t kSlots = 1024, kATrim = 4096;
     static std::size_t slot(std::uint64_t key) { return key >> 7 & (kSlots - 1); }
     void pop(bool fold);
-    std::unordered_map<std::uint64_t, Sec> held_;
-    std::deque<std::pair<Sec, std::uint64_t>> order_;  // as they came
-    std::vector<Sec> folded_;                          // none before the first fold
-    Sec newest_ = 0;
+    std::unordered_map<std::uint64_t, Seconds> held_;
+    std::deque<std::pair<Seconds, std::uint64_t>> order_;  // as they came
+    std::vector<Seconds> folded_;                          // none before the first fold
+    Seconds newest_ = 0;
   };
 
   const Bounds bounds_;
   Keyed objects_, groups_, tags_;
   Patterns patterns_;
   Tags known_;
-  Sec all_ = 0;
+  Seconds all_ = 0;
 };
 
 }  // namespace walkpaddle::purge
--- a/src/purge/entry.h
+++ b/src/purge/entry.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::purge {
 
@@ -16,7 +16,7 @@
 // The place of a purge in the one order that every router ends with. `at` is the issuer's clock, moved past
 // every stamp that the issuer had seen.
 struct Stamp {
-  Sec at = 0;
+  Seconds at = 0;
   std::uint64_t issuer = 0, number = 0;  // numbers of one issuer run from 1 without a gap
   auto operator<=>(const Stamp&) const = default;
 };
@@ -27,7 +27,7 @@
   std::string what;  // object id, group number, tag or pattern, as the operator gave it
   // On this router's clock: copies made before then are old. It is the time of hearing, which is never before
   // the time of issuing, whatever the clocks of the two routers say.
-  Sec from = 0;
+  Seconds from = 0;
   std::uint64_t place = 0;  // in this router's own order of hearing, from 1
 };
 
--- a/src/purge/patterns.cpp
+++ b/src/purge/patterns.cpp
@@ -23,9 +23,9 @@
 }  // namespace
 
 struct Patterns::Set {
-  std::vector<std::pair<std::string, Sec>> items;
+  std::vector<std::pair<std::string, Seconds>> items;
   std::uint64_t first = 0;  // number of the first
-  Sec newest = 0;
+  Seconds newest = 0;
   std::unique_ptr<RE2::Set> compiled;  // none: it could not be, all count as matching
 
   void compile() {
@@ -37,12 +37,12 @@
       }
     if (compiled && !compiled->Compile()) compiled.reset();
   }
-  Sec match(std::string_view name, std::vector<int>& hits) const {
+  Seconds match(std::string_view name, std::vector<int>& hits) const {
     if (!compiled) return newest;
     RE2::Set::ErrorInfo error{};
     if (!compiled->Match(re2::StringPiece(name.data(), name.size()), &hits, &error))
       return error.kind == RE2::Set::kNoError ? 0 : newest;
-    Sec found = 0;
+    Seconds found = 0;
     for (const int n : hits) found = std::max(found, items[static_cast<std::size_t>(n)].second);
     return found;
   }
@@ -63,7 +63,7 @@
   return std::nullopt;
 }
 
-void Patterns::add(std::string_view pattern, Sec from) {
+void Patterns::add(std::string_view pattern, Seconds from) {
   if (sets_.empty() || sets_.back()->items.size() >= kASet)
     sets_.emplace_back(std::make_unique<Set>())->first = added_;
   auto* set = sets_.back().get();
@@ -81,8 +81,8 @@
   ++added_, ++size_;
 }
 
-Sec Patterns::newest(std::string_view name, std::uint64_t since) const {
-  Sec found = 0;
+Seconds Patterns::newest(std::string_view name, std::uint64_t since) const {
+  Seconds found = 0;
   std::vector<int> hits;
   for (auto set = sets_.rbegin(); set != sets_.rend(); ++set) {
     if ((*set)->first + (*set)->items.size() <= since) break;
@@ -93,8 +93,8 @@
   return found;
 }
 
-Sec Patterns::trim(Sec least) {
-  Sec given_up = 0;
+Seconds Patterns::trim(Seconds least) {
+  Seconds given_up = 0;
   while (!sets_.empty() && (sets_.front()->newest < least || sets_.size() > kMostSets)) {
     if (sets_.front()->newest >= least) given_up = std::max(given_up, sets_.front()->newest);
     size_ -= sets_.front()->items.size();
--- a/src/purge/patterns.h
+++ b/src/purge/patterns.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace re2 {
 class RE2;
@@ -25,15 +25,15 @@
   // Why the pattern cannot be used, or nothing. A pattern is matched against the whole name.
   static std::optional<std::string> refusal(std::string_view pattern);
 
-  void add(std::string_view pattern, Sec from);
+  void add(std::string_view pattern, Seconds from);
   // The newest `from` of those that match and were added as number `since` or later; 0 for none. Where a
   // match cannot be had within its memory, all of that set count as matching.
-  Sec newest(std::string_view name, std::uint64_t since) const;
+  Seconds newest(std::string_view name, std::uint64_t since) const;
   std::uint64_t added() const { return added_; }
   std::size_t size() const { return size_; }
   // Drops what is older than `least`, and past the bound the oldest set, whose newest `from` is returned (0
   // if none was): from then on the caller counts everything older than that as covered.
-  Sec trim(Sec least);
+  Seconds trim(Seconds least);
 
  private:
   struct Set;
--- a/src/purge/tags.cpp
+++ b/src/purge/tags.cpp
@@ -12,7 +12,7 @@
   return nullptr;
 }
 
-Tags::Known& Tags::at(std::uint64_t object, Sec now) {
+Tags::Known& Tags::at(std::uint64_t object, Seconds now) {
   if (table_.empty()) table_.resize(sets_ * kWays);
   auto* set = &table_[(object >> 20) % sets_ * kWays];
   auto* oldest = set;
@@ -25,7 +25,7 @@
   return *oldest;
 }
 
-void Tags::learn(std::uint64_t object, std::span<const std::uint64_t> tags, Sec now) {
+void Tags::learn(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now) {
   auto& k = at(object, now);
   k.told = true;
   for (const auto tag : tags) {
--- a/src/purge/tags.h
+++ b/src/purge/tags.h
@@ -8,7 +8,7 @@
 #include <span>
 #include <vector>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::purge {
 
@@ -18,8 +18,8 @@
     static constexpr std::size_t kMost = 6;  // an object with more counts as unknown
     std::uint64_t object = 0;
     std::array<std::uint64_t, kMost> tags{};  // stable hashes
-    Sec used = 0;
-    Sec pattern_from = 0;             // newest purge by pattern that covers it, of those asked so far
+    Seconds used = 0;
+    Seconds pattern_from = 0;         // newest purge by pattern that covers it, of those asked so far
     std::uint64_t patterns_seen = 0;  // how many that were
     std::uint8_t count = 0;
     bool told = false, too_many = false;
@@ -31,9 +31,9 @@
   explicit Tags(std::size_t objects) : sets_(std::max<std::size_t>(1, (objects + kWays - 1) / kWays)) {}
 
   const Known* find(std::uint64_t object) const;
-  Known& at(std::uint64_t object, Sec now);  // a new one takes the place of the one longest unused
+  Known& at(std::uint64_t object, Seconds now);  // a new one takes the place of the one longest unused
   // Adds to what is known: copies of some age may still have the tags that were told before.
-  void learn(std::uint64_t object, std::span<const std::uint64_t> tags, Sec now);
+  void learn(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now);
 
  private:
   static constexpr std::size_t kWays = 4;
--- a/src/replica/clock.cpp
+++ b/src/replica/clock.cpp
@@ -6,9 +6,9 @@
 
 namespace walkpaddle::replica {
 
-std::int64_t Clock::micros(Sec physical) { return std::llround(std::max(0.0, physical) * 1e6); }
+std::int64_t Clock::micros(Seconds physical) { return std::llround(std::max(0.0, physical) * 1e6); }
 
-Stamp Clock::tick(Sec physical) {
+Stamp Clock::tick(Seconds physical) {
   const auto pt = micros(physical);
   if (pt > last_.micros) {
     last_ = {pt, 0};
@@ -20,7 +20,7 @@
   return last_;
 }
 
-std::optional<Stamp> Clock::heard(Stamp remote, Sec physical) {
+std::optional<Stamp> Clock::heard(Stamp remote, Seconds physical) {
   const auto pt = micros(physical);
   if (remote.micros > pt + micros(most_ahead_)) return std::nullopt;
   const auto top = std::max({last_.micros, remote.micros, pt});
--- a/src/replica/clock.h
+++ b/src/replica/clock.h
@@ -8,7 +8,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::replica {
 
@@ -16,22 +16,22 @@
   std::int64_t micros = 0;
   std::uint32_t count = 0;
   auto operator<=>(const Stamp&) const = default;
-  Sec seconds() const { return static_cast<double>(micros) * 1e-6; }
+  Seconds seconds() const { return static_cast<double>(micros) * 1e-6; }
 };
 
 class Clock {
  public:
   // most_ahead: how far a heard stamp may lead the physical clock here. One second: more than loopback and a
   // data centre's clocks stray apart under NTP, less than a fact's life, so a wild clock cannot outlive news.
-  explicit Clock(Sec most_ahead = 1.0) : most_ahead_(most_ahead) {}
+  explicit Clock(Seconds most_ahead = 1.0) : most_ahead_(most_ahead) {}
 
-  Stamp tick(Sec physical);                                // something happens here, or is sent
-  std::optional<Stamp> heard(Stamp remote, Sec physical);  // nullopt: refused, too far ahead
+  Stamp tick(Seconds physical);                                // something happens here, or is sent
+  std::optional<Stamp> heard(Stamp remote, Seconds physical);  // nullopt: refused, too far ahead
   Stamp last() const { return last_; }
 
  private:
-  static std::int64_t micros(Sec physical);
-  const Sec most_ahead_;
+  static std::int64_t micros(Seconds physical);
+  const Seconds most_ahead_;
   Stamp last_;
 };
 
--- a/src/replica/facts.cpp
+++ b/src/replica/facts.cpp
@@ -25,7 +25,7 @@
   return XXH3_64bits(words, sizeof words) | 1;
 }
 
-Sec age(Stamp seen, Stamp now) { return now.seconds() - seen.seconds(); }
+Seconds age(Stamp seen, Stamp now) { return now.seconds() - seen.seconds(); }
 
 }  // namespace
 
@@ -114,7 +114,7 @@
   return at == it->second.by_observer.end() ? nullptr : &at->second;
 }
 
-Stamp Facts::last_said(std::uint64_t id, Sec started, Health at_least) const {
+Stamp Facts::last_said(std::uint64_t id, Seconds started, Health at_least) const {
   Stamp last;
   const auto it = servers_.find(id);
   if (it == servers_.end() || it->second.started != started) return last;
@@ -123,7 +123,7 @@
   return last;
 }
 
-void Facts::trim(Sec now) {
+void Facts::trim(Seconds now) {
   for (auto it = servers_.begin(); it != servers_.end();) {
     std::erase_if(it->second.by_observer, [&](const auto& held) {
       const bool old = held.second.seen.seconds() < now - bounds_.keep;
--- a/src/replica/facts.h
+++ b/src/replica/facts.h
@@ -32,7 +32,7 @@
 
 struct Fact {
   std::uint64_t server = 0;    // stable hash of its id
-  Sec started = 0;             // its start as the list tells it, on the list's clock; 0: long ago
+  Seconds started = 0;         // its start as the list tells it, on the list's clock; 0: long ago
   std::uint64_t observer = 0;  // stable hash of the name of the router that saw it
   Stamp seen;
   Health health = Health::ready;
@@ -50,19 +50,19 @@
     std::size_t observers = 512;
     // Slow, cold and a limit hold this long after they were seen unless seen again: a cold server is warm
     // within 18 to 22 s at the deployments on record, a slow spell lasts 14 to 33 s.
-    Sec life = 20;
+    Seconds life = 20;
     // A drain or a going holds this long unless its observer says it again. Its observer renews it a third of
     // this: two renewals may be lost. One whose observer is gone for good ends, so no server is left idle by
     // a word that nobody can take back.
-    Sec hard_life = 30;
+    Seconds hard_life = 30;
     int quorum = 2;  // other observers that saw it ready later outweigh one's bad news
     // Nothing that is read lasts longer than hard_life; ten of these, for routers that were away.
-    Sec keep = 300;
+    Seconds keep = 300;
   };
   static constexpr int kRanges = 64;  // a digest of 512 bytes; a troubled fleet's 1,000 facts are 16 a range
   enum class Took { news, known, old_start, refused };
   struct View {
-    Sec started = 0;
+    Seconds started = 0;
     Health health = Health::ready;
     double limit = 0;   // the lowest of those in force; 0: none
     int observers = 0;  // that have a fact of this start
@@ -78,8 +78,8 @@
 
   const Fact* find(std::uint64_t server, std::uint64_t observer) const;
   // The newest word of this start that was as bad or worse; zero if there is none.
-  Stamp last_said(std::uint64_t server, Sec started, Health at_least) const;
-  void trim(Sec now);  // what is past `keep`
+  Stamp last_said(std::uint64_t server, Seconds started, Health at_least) const;
+  void trim(Seconds now);  // what is past `keep`
 
   std::uint64_t digest(int range) const { return sums_[static_cast<std::size_t>(range)]; }  // 0: empty
   std::vector<Fact> of_range(int range) const;
@@ -93,7 +93,7 @@
 
  private:
   struct Server {
-    Sec started = 0;
+    Seconds started = 0;
     std::map<std::uint64_t, Fact> by_observer;
   };
   static bool later(const Fact& a, const Fact& b);  // a outranks b from the same observer
--- a/src/replica/flat.h
+++ b/src/replica/flat.h
@@ -1,5 +1,5 @@
-// Cap'n Proto messages as flat bytes, and back: what cannot be read is Malformed, whatever the library threw,
-// and what reads too much of a small message (a bomb of pointers) ends at a bound. No I/O.
+// Cap'n Proto messages as flat bytes, and back: what cannot be read is InputError, whatever the library
+// threw, and what reads too much of a small message (a bomb of pointers) ends at a bound. No I/O.
 #pragma once
 
 #include <capnp/message.h>
@@ -12,8 +12,8 @@
 #include <string_view>
 #include <vector>
 
-#include "sec.h"
-#include "text.h"
+#include "base/text.h"
+#include "base/time.h"
 
 namespace walkpaddle::replica {
 
@@ -36,12 +36,12 @@
     capnp::FlatArrayMessageReader reader({words.data(), words.size()}, bounds);
     return read(reader.getRoot<T>());
   } catch (const kj::Exception& e) {
-    throw Malformed(std::string("a message that cannot be read: ") + e.getDescription().cStr());
+    throw InputError(std::string("a message that cannot be read: ") + e.getDescription().cStr());
   }
 }
 
-inline Sec time_of(double value) {
-  if (!std::isfinite(value) || value < 0 || value > 1e11) bad("time", std::to_string(value));
+inline Seconds time_of(double value) {
+  if (!std::isfinite(value) || value < 0 || value > 1e11) throw_bad_value("time", std::to_string(value));
   return value;
 }
 
--- a/src/replica/kind.h
+++ b/src/replica/kind.h
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::replica {
 
@@ -44,19 +44,21 @@
     return it == items_.end() ? std::string() : it->second;
   }
   virtual std::size_t place_of(std::uint64_t /*id*/) const { return 0; }  // lower ones are to be taken first
-  virtual bool take(std::string_view bytes, Sec now) = 0;  // the join; true: news. Malformed if unreadable
+  virtual bool take(std::string_view bytes,
+                    Seconds now) = 0;  // the join; true: news. InputError if unreadable
 
   // What goes from one router to another and to nobody else: to peers by their number among the members.
   struct Letter {
     int peer = -1;
     std::string bytes;
   };
-  virtual std::optional<Letter> next_letter(Sec /*now*/) { return std::nullopt; }  // until none
-  virtual void letter(int /*from*/, std::string_view /*bytes*/, Sec /*now*/) {}    // Malformed if unreadable
+  virtual std::optional<Letter> next_letter(Seconds /*now*/) { return std::nullopt; }  // until none
+  virtual void letter(int /*from*/, std::string_view /*bytes*/, Seconds /*now*/) {
+  }  // InputError if unreadable
   // What this router must not forget though it is nobody else's: it goes to the store alone.
   virtual std::string own() const { return {}; }
-  virtual void own_back(std::string_view /*bytes*/) {}  // Malformed if unreadable
-  virtual Sec next_due() const { return 1e15; }         // when next_letter() may have more without an input
+  virtual void own_back(std::string_view /*bytes*/) {}  // InputError if unreadable
+  virtual Seconds next_due() const { return 1e15; }     // when next_letter() may have more without an input
 
  protected:
   static std::uint64_t id_of(std::string_view item) { return XXH3_64bits(item.data(), item.size()) | 1; }
--- a/src/replica/watch.cpp
+++ b/src/replica/watch.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr Sec kNever = 1e15;
+constexpr Seconds kNever = 1e15;
 
-int badness(Listed s) { return s == Listed::gone ? 2 : s == Listed::draining ? 1 : 0; }
+int badness(EndpointState s) { return s == EndpointState::gone ? 2 : s == EndpointState::draining ? 1 : 0; }
 
 }  // namespace
 
 Watch::Watch(std::uint64_t self, int routers, const Facts::Bounds& facts, const Bounds& bounds,
-             Sec most_ahead, std::uint32_t seed)
+             Seconds most_ahead, std::uint32_t seed)
     : self_(self),
       bounds_(bounds),
       wait_(std::min(bounds.wait_most, bounds.wait_each * (routers - 1))),
@@ -23,9 +23,9 @@
       facts_(facts),
       look_at_(kNever) {}
 
-Sec Watch::by_chance() { return wait_ * std::uniform_real_distribution<>(0, 1)(chance_); }
+Seconds Watch::by_chance() { return wait_ * std::uniform_real_distribution<>(0, 1)(chance_); }
 
-void Watch::listed(int m, const Listing& listing, Sec now) {
+void Watch::listed(int m, const Listing& listing, Seconds now) {
   if (m < 0 || static_cast<std::size_t>(m) >= bounds_.members) return;
   if (static_cast<std::size_t>(m) >= members_.size())
     members_.resize(static_cast<std::size_t>(m) + 1, Member{.own = {}, .told = {}, .look_at = kNever});
@@ -34,13 +34,13 @@
   member.told.reset();  // the list has just told the module this itself
   if (before && before->state == listing.state && before->started == listing.started) return;
   member.since = now;
-  member.recovered = before && before->state != Listed::ready && listing.state == Listed::ready &&
-                     before->started == listing.started;
+  member.recovered = before && before->state != EndpointState::ready &&
+                     listing.state == EndpointState::ready && before->started == listing.started;
   member.look_at = now + by_chance();
   look_at_ = std::min(look_at_, member.look_at);
 }
 
-void Watch::say(const Member& member, Health health, Sec now) {
+void Watch::say(const Member& member, Health health, Seconds now) {
   facts_.take({.server = member.own->hash,
                .started = member.own->started,
                .observer = self_,
@@ -51,17 +51,17 @@
 }
 
 // Whether the list says something that the fleet does not know, and when to look again.
-void Watch::look(Member& member, Sec now) {
+void Watch::look(Member& member, Seconds now) {
   // A server gone from the list is gone from every router's list within seconds: two minutes of renewals are
   // plenty, and the table of facts is not asked to carry the fleet's history. A drain lasts as long as it
   // does.
-  constexpr Sec kGoneFor = 120, kAgain = 1;
+  constexpr Seconds kGoneFor = 120, kAgain = 1;
   const bool fresh = now <= list_heard_ + bounds_.list_fresh;  // else old beliefs: not said as new
   member.look_at = kNever;
   const auto& own = *member.own;
   const auto view = facts_.view(own.hash, clock_.last());
   if (view && view->started > own.started) return;  // this list is behind
-  if (own.state == Listed::ready) {
+  if (own.state == EndpointState::ready) {
     const auto* said = facts_.find(own.hash, self_);
     const bool bad_said = said != nullptr && said->started == own.started && said->health >= Health::draining;
     // A start that the facts do not know yet is a restart: the server is cold for every router.
@@ -76,13 +76,13 @@
       member.look_at = now + kAgain;
     return;
   }
-  if (own.state == Listed::gone && now > member.since + kGoneFor) return;
-  const Health health = own.state == Listed::gone ? Health::down : Health::draining;
+  if (own.state == EndpointState::gone && now > member.since + kGoneFor) return;
+  const Health health = own.state == EndpointState::gone ? Health::down : Health::draining;
   // Renewed a third of its life after the last that anybody said: two renewals may be lost. What is outvoted
   // was not said.
   const bool stands = view && view->health >= health;
-  const Sec last = stands ? facts_.last_said(own.hash, own.started, health).seconds() : 0;
-  const Sec due = last > 0 ? last + facts_.bounds().hard_life / 3 : now;
+  const Seconds last = stands ? facts_.last_said(own.hash, own.started, health).seconds() : 0;
+  const Seconds due = last > 0 ? last + facts_.bounds().hard_life / 3 : now;
   if (now < due) {
     member.look_at = due + by_chance();
   } else if (!fresh) {
@@ -93,8 +93,8 @@
   }
 }
 
-void Watch::speak(Sec now) {
-  constexpr Sec kTrim = 1;
+void Watch::speak(Seconds now) {
+  constexpr Seconds kTrim = 1;
   if (now >= trim_at_) facts_.trim(now), trim_at_ = now + kTrim;
   if (now < look_at_) return;
   look_at_ = kNever;
@@ -104,7 +104,7 @@
   }
 }
 
-Facts::Took Watch::heard(const Fact& fact, Sec now) {
+Facts::Took Watch::heard(const Fact& fact, Seconds now) {
   const bool stranger = !fleet_.empty() && std::ranges::find(fleet_, fact.observer) == fleet_.end();
   const bool past = fact.seen.seconds() < now - facts_.bounds().keep;
   if (stranger || past || !clock_.heard(fact.seen, now)) return ++ahead_, Facts::Took::refused;
@@ -118,14 +118,14 @@
   Listing told = own;
   if (view.started > own.started) told.started = view.started;
   if (view.started < own.started) return told;  // the facts are of an earlier start
-  const Listed state = view.health == Health::down       ? Listed::gone
-                       : view.health == Health::draining ? Listed::draining
-                                                         : Listed::ready;
+  const EndpointState state = view.health == Health::down       ? EndpointState::gone
+                              : view.health == Health::draining ? EndpointState::draining
+                                                                : EndpointState::ready;
   if (badness(state) > badness(own.state)) told.state = state;
   return told;
 }
 
-std::vector<Watch::Tell> Watch::to_tell(Sec now) {
+std::vector<Watch::Tell> Watch::to_tell(Seconds now) {
   std::vector<Tell> tells;
   const Stamp stamp{.micros = std::max(clock_.last().micros, static_cast<std::int64_t>(now * 1e6)),
                     .count = 0};
@@ -143,6 +143,6 @@
   return tells;
 }
 
-Sec Watch::next_due() const { return std::min(look_at_, trim_at_); }
+Seconds Watch::next_due() const { return std::min(look_at_, trim_at_); }
 
 }  // namespace walkpaddle::replica
--- a/src/replica/watch.h
+++ b/src/replica/watch.h
@@ -15,9 +15,9 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
 #include "replica/clock.h"
 #include "replica/facts.h"
+#include "routing/policy.h"
 
 namespace walkpaddle::replica {
 
@@ -28,9 +28,9 @@
   struct Listing {
     std::uint64_t hash = 0;
     int location = 0, kind = 0, cell = 0;
-    Listed state = Listed::ready;
+    EndpointState state = EndpointState::ready;
     double weight = 0;
-    Sec started = 0;
+    Seconds started = 0;
     bool operator==(const Listing&) const = default;
   };
   struct Tell {
@@ -44,30 +44,30 @@
   struct Bounds {
     std::size_t members = 4096;
     // The platform's bus says something every second: two may be missed.
-    Sec list_fresh = 3;
+    Seconds list_fresh = 3;
     // Waiting time before a word: half a millisecond a router, so that of 300 a few dozen speak before they
     // hear the first, and 150 ms at most, well under the half second that is aimed at.
-    Sec wait_each = 0.0005, wait_most = 0.15;
+    Seconds wait_each = 0.0005, wait_most = 0.15;
   };
 
   // routers: of the fleet, this one included.
-  Watch(std::uint64_t self, int routers, const Facts::Bounds& facts, const Bounds& bounds, Sec most_ahead,
+  Watch(std::uint64_t self, int routers, const Facts::Bounds& facts, const Bounds& bounds, Seconds most_ahead,
         std::uint32_t seed);
 
   // The router's own list: a member, and that its bus spoke now. Until it has, the list of the start is old
   // belief.
-  void listed(int member, const Listing& listing, Sec now);
-  void list_heard(Sec now) { list_heard_ = now; }
+  void listed(int member, const Listing& listing, Seconds now);
+  void list_heard(Seconds now) { list_heard_ = now; }
   // A fact from another router, or from this one's last start: news, known, or refused.
-  Facts::Took heard(const Fact& fact, Sec now);
+  Facts::Took heard(const Fact& fact, Seconds now);
   // The observers of this fleet: a fact of any other is refused, so that no router passes on what a stranger
   // said. Empty: any.
   void members_of_fleet(std::vector<std::uint64_t> observers) { fleet_ = std::move(observers); }
 
-  std::vector<Tell> to_tell(Sec now);  // members whose standing in the module is to change
+  std::vector<Tell> to_tell(Seconds now);  // members whose standing in the module is to change
   std::vector<Key> take_news() { return std::exchange(news_, {}); }  // facts that changed here; once
-  void speak(Sec now);   // says what is due; drops what is past its time
-  Sec next_due() const;  // when to_tell() or speak() may have more without an input
+  void speak(Seconds now);   // says what is due; drops what is past its time
+  Seconds next_due() const;  // when to_tell() or speak() may have more without an input
 
   const Facts& facts() const { return facts_; }
   std::uint64_t refused() const { return facts_.refused() + ahead_; }
@@ -75,25 +75,25 @@
  private:
   struct Member {
     std::optional<Listing> own, told;
-    Sec since = 0;           // of the state that the list says
-    Sec look_at;             // when to see whether there is something to say
+    Seconds since = 0;       // of the state that the list says
+    Seconds look_at;         // when to see whether there is something to say
     bool recovered = false;  // the list said it drains, and then that it is ready
   };
-  Sec by_chance();
-  void look(Member& member, Sec now);
-  void say(const Member& member, Health health, Sec now);
+  Seconds by_chance();
+  void look(Member& member, Seconds now);
+  void say(const Member& member, Health health, Seconds now);
   Listing worse(const Listing& own, const Facts::View& view) const;
 
   const std::uint64_t self_;
   const Bounds bounds_;
-  const Sec wait_;
+  const Seconds wait_;
   std::mt19937 chance_;
   Clock clock_;
   Facts facts_;
   std::vector<Member> members_;
   std::vector<std::uint64_t> fleet_;
   std::vector<Key> news_;
-  Sec list_heard_ = 0, look_at_, trim_at_ = 0;
+  Seconds list_heard_ = 0, look_at_, trim_at_ = 0;
   std::uint64_t ahead_ = 0;  // facts refused for a stamp too far ahead, past their time, or of a stranger
 };
 
--- a/src/routing/concurrency_limit.h
+++ b/src/routing/concurrency_limit.h
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::routing {
 
@@ -15,7 +15,7 @@
   double cap = 16, used = 0, late = 0, least = 4;
   bool full = false;     // was so by half when the last hop ended: more would have been used
   bool crowded = false;  // since it was cut or is cold: until then it may grow by one with each answer
-  Sec cut_at = -1e15, rests_until = 0, judged_at = 0;
+  Seconds cut_at = -1e15, rests_until = 0, judged_at = 0;
   // Each of many routers starts with its part of a small machine's work: three hops at least, or objects
   // move. Cut, it comes down to its part of what one machine still does, under one hop where many share it.
   void share(int routers, double floor = 1) {
@@ -24,25 +24,27 @@
   }
   // Under one the limit is a share of the time: after each use it rests. Guards against floors of one each
   // that sum to many times what a source can do, where hundreds of routers share it.
-  bool room(double weight, Sec now) const { return used <= 0 ? now >= rests_until : used + weight <= cap; }
-  void hold(double weight, int sign, Sec took, Sec now) {
+  bool room(double weight, Seconds now) const {
+    return used <= 0 ? now >= rests_until : used + weight <= cap;
+  }
+  void hold(double weight, int sign, Seconds took, Seconds now) {
     used += sign * weight;
     if (used < 1e-6) used = 0;  // what rounding leaves is no hop
     if (sign > 0) return;
-    constexpr Sec kMost = 20;  // some clients' patience
+    constexpr Seconds kMost = 20;  // some clients' patience
     full = used + weight > cap / 2;
     if (cap < 1) rests_until = now + std::min(kMost, (1 / cap - 1) * took);
   }
   // Lost answers alone cut nothing: a hop without one speaks of a crowd only where answers come late too.
-  void lost(Sec now) {
+  void lost(Seconds now) {
     if (late > kTooMany / 3) answered(1, now);
   }
   // quick: no queue, by a known own time. Then a start finds its size in seconds; a guess would overshoot.
-  void answered(double lateness, Sec now, bool quick = false) {
+  void answered(double lateness, Seconds now, bool quick = false) {
     // Of ten answers, or, where hundreds of routers see few each, of ten seconds; one alone is never the
     // half.
     constexpr double kLately = 0.1;
-    constexpr Sec kOver = 10;
+    constexpr Seconds kOver = 10;
     late += (lateness - late) * std::clamp((now - judged_at) / kOver, kLately, 0.3);
     judged_at = now;
     if (late > kTooMany)
@@ -50,8 +52,8 @@
     else if (lateness <= 0 && full)
       cap += cap < 1 ? 0.1 : quick && !crowded ? 1 : 1 / cap;
   }
-  void cut(Sec now) {
-    constexpr Sec kPause = 0.5;  // one cut for one crowding: about an answer's time
+  void cut(Seconds now) {
+    constexpr Seconds kPause = 0.5;  // one cut for one crowding: about an answer's time
     crowded = true;
     if (now - cut_at < kPause) return;
     cut_at = now, cap = std::max(least, cap * 0.8);
--- a/src/routing/reference_counter.h
+++ b/src/routing/reference_counter.h
@@ -10,11 +10,11 @@
 #include <utility>
 #include <vector>
 
-#include "sec.h"
+#include "base/time.h"
 
 namespace walkpaddle::routing {
 
-constexpr Sec kLongAgo = -1e15;
+constexpr Seconds kLongAgo = -1e15;
 
 class ReferenceCounters {
  public:
@@ -22,10 +22,10 @@
     std::uint64_t object = 0;
     float count = 0, kbytes = 0;  // its size as last answered, 0 while untold
     int sib = -1, owed = 0;
-    Sec sib_at = kLongAgo, owed_at = kLongAgo, used = kLongAgo;
+    Seconds sib_at = kLongAgo, owed_at = kLongAgo, used = kLongAgo;
   };
   // A set of four that is full gives up its lowest count, of equals the one longest unused.
-  Entry& at(std::uint64_t object, Sec now) {
+  Entry& at(std::uint64_t object, Seconds now) {
     auto* set = &table_[(object >> 20) % kSets * kWays];
     auto* worst = set;
     for (auto* e = set; e != set + kWays; ++e) {
--- a/src/sec.h
+++ /dev/null
@@ -1,8 +0,0 @@
-// Times are seconds with fractions, everywhere.
-#pragma once
-
-namespace walkpaddle {
-
-using Sec = double;
-
-}  // namespace walkpaddle
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -9,10 +9,11 @@
 #include <cerrno>
 #include <chrono>
 #include <cstring>
-#include <system_error>
 #include <utility>
 #include <vector>
 
+#include "base/error.h"
+
 namespace walkpaddle::store {
 
 namespace {
@@ -64,7 +65,7 @@
   MDB_dbi table = 0;
   moodycamel::ReaderWriterQueue<Job> jobs{kMostWaiting};
 
-  [[noreturn]] void refuse(const std::string& why) const { throw Unusable("store " + folder + ": " + why); }
+  [[noreturn]] void refuse(const std::string& why) const { throw StoreError("store " + folder + ": " + why); }
   void must(int code, const char* what) const {
     if (code != 0) refuse(std::string(what) + ": " + mdb_strerror(code));
   }
@@ -85,7 +86,7 @@
       parts_(std::make_unique<Parts>()),
       told_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
       wanted_(::eventfd(0, EFD_CLOEXEC)) {
-  if (!told_ || !wanted_) throw std::system_error(errno, std::generic_category(), "eventfd");
+  if (!told_ || !wanted_) throw SystemError("eventfd", errno);
   open(setup);
   check();
   writer_ = std::thread([this] { write_all(); });
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,8 +1,8 @@
 // A small durable table in a folder, by LMDB: values under keys, each with a check sum. Read whole at the
 // start, written by a thread of its own in batches, so that no disk holds up the loop. Errors: a store that
-// is torn, foreign or of a newer form is refused when it is opened, as Unusable with one plain line. A write
-// that fails later (a full disk, a failing one) is told by failed() and made again until it succeeds, in
-// order: what was taken on stays owed, and nothing behind it is reported as written before it.
+// is torn, foreign or of a newer form is refused when it is opened, as StoreError with one plain line. A
+// write that fails later (a full disk, a failing one) is told by failed() and made again until it succeeds,
+// in order: what was taken on stays owed, and nothing behind it is reported as written before it.
 #pragma once
 
 #include <atomic>
@@ -10,7 +10,6 @@
 #include <functional>
 #include <memory>
 #include <mutex>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <thread>
@@ -19,10 +18,6 @@
 
 namespace walkpaddle::store {
 
-struct Unusable : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
 class Store {
  public:
   struct Setup {
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "settings.h"
+#include "config/settings.h"
 
 namespace walkpaddle::wirehost {
 
@@ -13,32 +13,32 @@
 Settings settings_of(std::string_view rest) {
   Settings s;
   while (!rest.empty()) {
-    auto pair = cut(rest, ' ');
+    auto pair = take_field(rest, ' ');
     if (pair.empty()) continue;
-    if (pair.find('=') == std::string_view::npos) bad("settings pair", pair);
-    const auto path = cut(pair, '=');
+    if (pair.find('=') == std::string_view::npos) throw_bad_value("settings pair", pair);
+    const auto path = take_field(pair, '=');
     s.put(std::string(path), std::string(pair));
   }
   return s;
 }
 
-Verdict verdict_of(std::uint64_t code) {
-  if (code < 1 || code > 9) bad("verdict", std::to_string(code));
-  return static_cast<Verdict>(code - 1);
+AttemptOutcome verdict_of(std::uint64_t code) {
+  if (code < 1 || code > 9) throw_bad_value("verdict", std::to_string(code));
+  return static_cast<AttemptOutcome>(code - 1);
 }
 
 }  // namespace
 
 std::optional<std::string_view> Fields::take() {
   if (rest_.empty()) return std::nullopt;
-  const auto field = cut(rest_, ' ');
+  const auto field = take_field(rest_, ' ');
   if (field == "-") return std::nullopt;
   return field;
 }
 
 std::string_view Fields::text(const char* name) {
   const auto field = take();
-  if (!field || field->empty()) throw Malformed(std::string("missing ") + name);
+  if (!field || field->empty()) throw InputError(std::string("missing ") + name);
   return *field;
 }
 
@@ -58,7 +58,7 @@
 
 bool Fields::flag(const char* name) {
   const auto value = integer(name);
-  if (value > 1) bad(name, std::to_string(value));
+  if (value > 1) throw_bad_value(name, std::to_string(value));
   return value == 1;
 }
 
@@ -66,8 +66,8 @@
   Fields f(text);
   const auto name = f.text("message name");
   if (!inside_) {
-    if (name != "BEGIN_BATCH") throw Malformed("expected BEGIN_BATCH");
-    const Sec now = f.number("clock") / 1e3;
+    if (name != "BEGIN_BATCH") throw InputError("expected BEGIN_BATCH");
+    const Seconds now = f.number("clock") / 1e3;
     seq_ = f.text("batch number");
     parse<std::uint64_t>(seq_, "batch number");
     inside_ = true;
@@ -79,7 +79,7 @@
     return false;
   }
   if (entries_due_ > 0) {
-    if (name != "SERVER") throw Malformed("expected SERVER, the list is short of entries");
+    if (name != "SERVER") throw InputError("expected SERVER, the list is short of entries");
     server_entry(f);
     --entries_due_;
     return false;
@@ -88,7 +88,7 @@
     event(name, f);
     return false;
   }
-  if (!f.rest().empty()) throw Malformed("END takes no values");
+  if (!f.rest().empty()) throw InputError("END takes no values");
   for (const int number : touched_) {
     const auto it = instances_.find(number);
     if (it != instances_.end()) guarded(number, [&] { pull(number, it->second); });
@@ -104,7 +104,7 @@
 void Host::guarded(int number, F&& call) {
   try {
     call();
-  } catch (const Malformed&) {
+  } catch (const InputError&) {
     throw;
   } catch (const std::exception& e) {
     faults_.emplace_back(number, e.what());
@@ -118,7 +118,7 @@
 void Host::event(std::string_view name, Fields& f) {
   if (name == "ROSTER") {
     bank_ = f.integer("bank");
-    if (bank_ >= rosters_.size()) bad("bank", std::to_string(bank_));
+    if (bank_ >= rosters_.size()) throw_bad_value("bank", std::to_string(bank_));
     entries_due_ = f.integer("members");
     rosters_[bank_].clear();
     return;
@@ -127,10 +127,10 @@
   constexpr std::string_view kKnown[] = {"QUERY", "COMPLETED",      "TOPOLOGY", "ELAPSED",   "HANGUP",
                                          "KILL",  "WITHDRAWN_COPY", "PONG",     "STREAMING", "WHISPER"};
   if (std::find(std::begin(kKnown), std::end(kKnown), name) == std::end(kKnown))
-    throw Malformed("unknown message");
+    throw InputError("unknown message");
   const int number = static_cast<int>(f.integer("i"));
   const auto it = instances_.find(number);
-  if (it == instances_.end()) bad("instance", std::to_string(number));
+  if (it == instances_.end()) throw_bad_value("instance", std::to_string(number));
   if (name == "KILL") {
     instances_.erase(it);
     return;
@@ -141,16 +141,16 @@
     if (name == "QUERY") return query(in, f);
     if (name == "COMPLETED") return completed(in, f);
     if (name == "TOPOLOGY") return topology(in, f);
-    if (name == "ELAPSED") return in.brain->woken();
+    if (name == "ELAPSED") return in.brain->timer_fired();
     if (name == "HANGUP") {
       const auto at = in.txn_of.find(static_cast<std::uint32_t>(f.integer("msg_id")));
       if (at == in.txn_of.end()) return;
       in.txns[at->second].over = true;
-      in.brain->txn_left(at->second);
+      in.brain->client_left(at->second);
       return close_if_done(in, at->second);
     }
     if (name == "WITHDRAWN_COPY") {
-      const Sec ago = f.number("oldness") / 1e3;
+      const Seconds ago = f.number("oldness") / 1e3;
       const auto tag = static_cast<std::uint32_t>(f.integer_or(0, "tag"));
       return purged(in, f.text_or("0"), tag, clock_ - ago);
     }
@@ -167,7 +167,7 @@
   touch(number);
   guarded(number, [&] {
     in.brain->clock(clock_);
-    hand_over(s, *in.brain);
+    apply_settings(s, *in.brain);
     // A second more than the settling: servers' clocks and the way to them.
     in.purges = std::make_unique<purge::Cover>(
         purge::Cover::Bounds{.life = s.ms("specifics.purge_settles") + 1, .most = 4096, .objects = 4});
@@ -179,13 +179,13 @@
 
 void Host::server_entry(Fields& f) {
   const auto server = f.text("server");
-  Entry e{std::string(server), stable_hash(server), 0, 0, 0, Listed::ready, 1, 0};
+  Entry e{std::string(server), stable_hash(server), 0, 0, 0, EndpointState::ready, 1, 0};
   e.location = static_cast<int>(f.integer_or(0, "hall"));
   e.kind = static_cast<int>(f.integer_or(0, "generation_hw"));
   e.cell = static_cast<int>(f.integer_or(0, "pack"));
   const auto state = f.integer("lifecycle");
-  if (state > 2) bad("lifecycle", std::to_string(state));
-  e.state = static_cast<Listed>(state);
+  if (state > 2) throw_bad_value("lifecycle", std::to_string(state));
+  e.state = static_cast<EndpointState>(state);
   e.weight = f.number_or(1, "nominal");
   e.started = f.ms_or(0, "start_time");
   rosters_[bank_].push_back(std::move(e));
@@ -193,25 +193,25 @@
 
 void Host::topology(Instance& in, Fields& f) {
   const auto how = f.integer("how");
-  if (how > 3) bad("how", std::to_string(how));
-  if (how == 3) return in.brain->list_failed();
+  if (how > 3) throw_bad_value("how", std::to_string(how));
+  if (how == 3) return in.brain->endpoint_list_failed();
   f.integer_or(0, "serial");
   const auto bank = f.integer("bank");
-  if (bank >= rosters_.size()) bad("bank", std::to_string(bank));
-  in.brain->list_begin(how != 1);
+  if (bank >= rosters_.size()) throw_bad_value("bank", std::to_string(bank));
+  in.brain->begin_endpoint_list(how != 1);
   for (const auto& e : rosters_[bank])
-    in.brain->list_member(member(in, e.server), e.hash, e.location, e.kind, e.cell, e.state, e.weight,
-                          e.started);
-  in.brain->list_end();
+    in.brain->update_endpoint(member(in, e.server), e.hash, e.location, e.kind, e.cell, e.state, e.weight,
+                              e.started);
+  in.brain->end_endpoint_list();
 }
 
 void Host::query(Instance& in, Fields& f) {
   const auto id = static_cast<std::uint32_t>(f.integer("msg_id"));
   const int rule = static_cast<int>(f.integer("profile"));
-  if (rule < 0 || rule >= in.rules) bad("profile", std::to_string(rule));
+  if (rule < 0 || rule >= in.rules) throw_bad_value("profile", std::to_string(rule));
   f.integer_or(0, "owner");
   const auto object = stable_hash(f.text_or("0"));
-  const Sec expires = f.number("expires") / 1e3;
+  const Seconds expires = f.number("expires") / 1e3;
   const double kbytes = f.number_or(0, "kbytes");
   const auto group = static_cast<std::uint32_t>(f.integer_or(0, "label_no"));
   const int part = static_cast<int>(f.integer_or(0, "piece"));
@@ -225,11 +225,11 @@
   }
   in.txns[slot] = {id, 0, false, object, group};
   in.txn_of[id] = slot;
-  in.brain->txn_taken(slot, rule, object, part, group, kbytes, expires, repeat);
-  in.brain->copies_since(slot, in.purges->newest(object, group, {}, clock_));
+  in.brain->request_received(slot, rule, object, part, group, kbytes, expires, repeat);
+  in.brain->copies_made_since(slot, in.purges->newest(object, group, {}, clock_));
 }
 
-void Host::purged(Instance& in, std::string_view object, std::uint32_t group, Sec from) {
+void Host::purged(Instance& in, std::string_view object, std::uint32_t group, Seconds from) {
   in.purges->trim(clock_);
   if (object == "0")
     in.purges->group(group, from);
@@ -237,7 +237,7 @@
     in.purges->object(stable_hash(object), from);
   for (const auto& [id, slot] : in.txn_of) {
     const auto& t = in.txns[slot];
-    in.brain->copies_since(slot, in.purges->newest(t.object, t.group, {}, clock_));
+    in.brain->copies_made_since(slot, in.purges->newest(t.object, t.group, {}, clock_));
   }
 }
 
@@ -245,23 +245,24 @@
   const auto id = static_cast<std::uint32_t>(f.integer("msg_id"));
   const bool over = f.flag("ended");
   const auto server = f.text("server");
-  const Sec waited = f.ms_or(0, "fill_wait");
+  const Seconds waited = f.ms_or(0, "fill_wait");
   const auto verdict = verdict_of(f.integer("verdict"));
   const auto note = f.integer_or(0, "note");
   const int hop = static_cast<int>(f.integer_or(0, "n"));
-  const Sec took = f.ms_or(0, "time_taken");
+  const Seconds took = f.ms_or(0, "time_taken");
   auto report = f.text_or("");
-  for (int n = 0; n < in.util_at; ++n) cut(report, ',');
-  if (const auto util = cut(report, ','); in.util_at >= 0 && !util.empty())
-    in.brain->load_told(member(in, server), parse<double>(util, "telemetry"));
+  for (int n = 0; n < in.util_at; ++n) take_field(report, ',');
+  if (const auto util = take_field(report, ','); in.util_at >= 0 && !util.empty())
+    in.brain->load_reported(member(in, server), parse<double>(util, "telemetry"));
   const auto at = in.txn_of.find(id);
   if (at == in.txn_of.end()) return;
   const int txn = at->second;
   auto& t = in.txns[txn];
   if (t.out > 0) --t.out;
   t.over = t.over || over;
-  in.brain->hop_ended(txn, hop, verdict, note < 0 || note > 10 ? Note::none : static_cast<Note>(note), took,
-                      waited, 0, over);
+  in.brain->attempt_ended(txn, hop, verdict,
+                          note < 0 || note > 10 ? FillOutcome::none : static_cast<FillOutcome>(note), took,
+                          waited, 0, over);
   close_if_done(in, txn);
 }
 
@@ -305,37 +306,37 @@
     out_ += in.members[who];
   };
   switch (d.kind) {
-    case Kind::deliver: {
+    case Kind::forward: {
       head("DELIVER_VIA");
-      whole(in.txns[d.txn].id);
-      ++in.txns[d.txn].out;
-      server(d.member);
+      whole(in.txns[d.request].id);
+      ++in.txns[d.request].out;
+      server(d.endpoint);
       put_ms(d.time);
       server(d.source);
-      whole(d.rank);
-      put_ms(d.age);
-      whole((d.join ? 1 : 0) + (d.held_only ? 2 : 0));
+      whole(d.retention_rank);
+      put_ms(d.max_age);
+      whole((d.join_fill ? 1 : 0) + (d.cached_only ? 2 : 0));
       break;
     }
     case Kind::reject:
-    case Kind::abort:
+    case Kind::fail:
       head(d.kind == Kind::reject ? "DECLINE" : "LOSE");
-      whole(in.txns[d.txn].id);
+      whole(in.txns[d.request].id);
       if (d.kind == Kind::reject) put_ms(d.time);
-      in.txns[d.txn].over = true;
-      close_if_done(in, d.txn);
+      in.txns[d.request].over = true;
+      close_if_done(in, d.request);
       break;
-    case Kind::call_off:
+    case Kind::cancel:
       head("RECALL");
-      whole(in.txns[d.txn].id);
-      whole(d.hop);
+      whole(in.txns[d.request].id);
+      whole(d.attempt);
       break;
-    case Kind::wake:
+    case Kind::wake_up:
       head("AFTER");
       put_ms(d.time);
       out_ += " wake";
       break;
-    case Kind::subscribe:
+    case Kind::poll_discovery:
       head("SUBSCRIBE");
       whole(1);
       break;
--- a/src/wirehost/host.h
+++ b/src/wirehost/host.h
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
+#include "base/text.h"
 #include "purge/cover.h"
-#include "text.h"
+#include "routing/policy.h"
 
 namespace walkpaddle::wirehost {
 
@@ -26,7 +26,7 @@
   std::int64_t integer_or(std::int64_t absent, const char* name);
   double number(const char* name);
   double number_or(double absent, const char* name);
-  Sec ms_or(Sec absent, const char* name) { return number_or(absent * 1e3, name) / 1e3; }
+  Seconds ms_or(Seconds absent, const char* name) { return number_or(absent * 1e3, name) / 1e3; }
   bool flag(const char* name);
   std::string_view rest() const { return rest_; }
 
@@ -47,9 +47,9 @@
     std::string server;
     std::uint64_t hash;
     int location, kind, cell;
-    Listed state;
+    EndpointState state;
     double weight;
-    Sec started;
+    Seconds started;
   };
   struct Txn {
     std::uint32_t id = 0;
@@ -59,8 +59,8 @@
     std::uint32_t group = 0;
   };
   struct Instance {
-    explicit Instance(std::uint32_t seed) : brain(make_brain(seed)) {}
-    std::unique_ptr<Brain> brain;
+    explicit Instance(std::uint32_t seed) : brain(make_routing_policy(seed)) {}
+    std::unique_ptr<RoutingPolicy> brain;
     std::unordered_map<std::string, int> member_of;
     std::vector<std::string> members;
     std::unordered_map<std::uint32_t, int> txn_of;
@@ -80,12 +80,12 @@
   void guarded(int number, F&& call);
   void touch(int number);
   int member(Instance& in, std::string_view server);
-  void purged(Instance& in, std::string_view object, std::uint32_t group, Sec from);
+  void purged(Instance& in, std::string_view object, std::uint32_t group, Seconds from);
   static void close_if_done(Instance& in, int txn);
   void pull(int number, Instance& in);
   void write(int number, Instance& in, const Decision& d);
   void put_number(double value);
-  void put_ms(Sec value) { put_number(value * 1e3); }
+  void put_ms(Seconds value) { put_number(value * 1e3); }
 
   std::unordered_map<int, Instance> instances_;
   std::vector<int> touched_;
@@ -95,7 +95,7 @@
   std::string seq_;
   std::size_t entries_due_ = 0;
   std::size_t bank_ = 0;
-  Sec clock_ = 0;
+  Seconds clock_ = 0;
   bool inside_ = false;
 };
 
--- a/standins/world.cpp
+++ b/standins/world.cpp
@@ -7,10 +7,10 @@
 #include <algorithm>
 #include <cerrno>
 #include <stdexcept>
-#include <system_error>
 
-#include "net/resp.h"
-#include "text.h"
+#include "base/error.h"
+#include "base/text.h"
+#include "net/resp_parser.h"
 
 namespace walkpaddle::standins {
 
@@ -20,7 +20,7 @@
 
 // What has no descriptor left is asked for again. Guards against an accept that is given up for good, as its
 // listener tells of a caller once.
-constexpr Sec kAgain = 0.05;
+constexpr Seconds kAgain = 0.05;
 bool wants_descriptor() { return errno == EMFILE || errno == ENFILE; }
 
 }  // namespace
@@ -32,7 +32,7 @@
       const Address at{kLoopback, static_cast<std::uint16_t>(port)};
       listen_on(at), datagrams_on(at);
       return true;
-    } catch (const std::system_error&) {
+    } catch (const SystemError&) {
       return false;
     }
   };
@@ -43,7 +43,7 @@
     try {
       claims_.push_back(listen_on(Address{kLoopback, static_cast<std::uint16_t>(first)}));
       next_ = first + 1, end_ = first + kBlock;
-    } catch (const std::system_error&) {  // another's block
+    } catch (const SystemError&) {  // another's block
     }
   }
   throw std::runtime_error("no port free from 20000 to 32000");
@@ -136,7 +136,7 @@
   });
 }
 
-bool Server::good(const std::string& object, const Copy& copy, Sec oldest) const {
+bool Server::good(const std::string& object, const Copy& copy, Seconds oldest) const {
   if (habits_.lies) return true;
   return (oldest <= 0 || scheduler_.now() - copy.made <= oldest) && !dropped(object, copy);
 }
@@ -156,9 +156,9 @@
         net::words_text({"purges", "cursor", run, it == drops_.cursors.end() ? "0" : it->second}));
   }
   const auto kind = w[4];
-  const Sec before = scheduler_.now() - parse<double>(w[5], "age") / 1e3;
+  const Seconds before = scheduler_.now() - parse<double>(w[5], "age") / 1e3;
   const std::string what(w[6]);
-  const auto later = [&](Sec& at) { at = std::max(at, before); };
+  const auto later = [&](Seconds& at) { at = std::max(at, before); };
   if (kind == "object") later(drops_.objects[what]);
   if (kind == "tag") later(drops_.tags[what]);
   if (kind == "all" || kind == "group") later(drops_.all);
@@ -176,7 +176,7 @@
   const std::string object(net::field(fields, "item").value_or(""));
   const std::string source(net::field(fields, "src").value_or(""));
   const auto oldest_text = net::field(fields, "maxage");
-  const Sec oldest = oldest_text ? parse<double>(*oldest_text, "maxage") / 1e3 : 0;
+  const Seconds oldest = oldest_text ? parse<double>(*oldest_text, "maxage") / 1e3 : 0;
   const bool kept = net::field(fields, "keep").has_value();
   Event wait(scheduler_);
   // While frozen; what the other side has closed is not waited for.
@@ -242,7 +242,7 @@
   } over{*this, object, fill};
   Copy copy;
   bool found = false;
-  const Sec began = scheduler_.now();
+  const Seconds began = scheduler_.now();
   co_await wait.wait(scheduler_.now() + habits_.fill);
   while (scheduler_.now() < from->frozen_until_) co_await wait.wait(from->frozen_until_);
   if (const auto* there = from->held(object);
@@ -282,7 +282,7 @@
   scheduler_.start(accept_all());
 }
 
-void Relay::cut(Sec until) {
+void Relay::cut(Seconds until) {
   cut_until_ = until;
   for (const auto& s : open_) s->close();
 }
--- a/standins/world.h
+++ b/standins/world.h
@@ -35,7 +35,7 @@
 
 struct Copy {
   int version = 0;
-  Sec made = 0;
+  Seconds made = 0;
   std::vector<std::string> tags;
 };
 
@@ -43,8 +43,8 @@
  public:
   enum class Kind { box, parent, origin };
   struct Habits {
-    Sec hit = 0.001, fill = 0.01;  // to answer; to fetch from a source, each way
-    bool lies = false;             // confirms purges and answers from its copies all the same
+    Seconds hit = 0.001, fill = 0.01;  // to answer; to fetch from a source, each way
+    bool lies = false;                 // confirms purges and answers from its copies all the same
     bool takes_purges = true;
     bool tells_tags = true;
   };
@@ -58,7 +58,7 @@
   void know(const std::vector<Server*>& all) { all_ = all; }
   void change(const std::string& object, std::vector<std::string> tags);  // at the origin: a new version
   int version(const std::string& object) const;
-  void freeze(Sec until) { frozen_until_ = until; }
+  void freeze(Seconds until) { frozen_until_ = until; }
   void restart_cold();  // its connections end, its copies and what it knew of purges are gone
   void set_lies(bool lies) { habits_.lies = lies; }
   const Counts& counts() const { return counts_; }
@@ -70,9 +70,9 @@
   };
   // What it was told to drop; it takes no older copy from a source either.
   struct Drops {
-    std::map<std::string, Sec> objects, tags;
-    std::vector<std::pair<std::unique_ptr<RE2>, Sec>> patterns;
-    Sec all = 0;
+    std::map<std::string, Seconds> objects, tags;
+    std::vector<std::pair<std::unique_ptr<RE2>, Seconds>> patterns;
+    Seconds all = 0;
     std::map<std::string, std::string> cursors;  // by router's run
   };
   Task accept_all();
@@ -80,7 +80,7 @@
   Task serve(std::shared_ptr<Connection> c, std::string id, std::string fields);
   void purges(Connection& c, const std::vector<std::string_view>& words);
   bool dropped(const std::string& object, const Copy& copy) const;
-  bool good(const std::string& object, const Copy& copy, Sec oldest) const;
+  bool good(const std::string& object, const Copy& copy, Seconds oldest) const;
   const Copy* held(const std::string& object) const;
 
   Scheduler& scheduler_;
@@ -94,7 +94,7 @@
   std::map<std::string, Copy> copies_;
   std::map<std::string, std::shared_ptr<Copy>> filling_;  // by object; version 0 until it is there
   Drops drops_;
-  Sec frozen_until_ = 0;
+  Seconds frozen_until_ = 0;
   std::uint64_t starts_ = 0;
   std::set<std::shared_ptr<Connection>> open_;
   Counts counts_;
@@ -106,7 +106,7 @@
  public:
   Relay(Scheduler& scheduler, Outbox& outbox, int to);
   int port() const { return port_; }
-  void cut(Sec until);
+  void cut(Seconds until);
   std::uint64_t passed() const { return passed_; }
 
  private:
@@ -117,7 +117,7 @@
   Outbox& outbox_;
   Listener listener_;
   int port_ = 0, to_ = 0;
-  Sec cut_until_ = 0;
+  Seconds cut_until_ = 0;
   std::uint64_t passed_ = 0;
   std::set<std::shared_ptr<Stream>> open_;
 };
--- a/tests/change_sockets.cpp
+++ b/tests/change_sockets.cpp
@@ -95,26 +95,26 @@
   Task settings() {
     auto& s = fleet.scheduler();
     Event e(s);
-    const auto pause = [&](Sec t) { return e.wait(s.now() + t); };
+    const auto pause = [&](Seconds t) { return e.wait(s.now() + t); };
     co_await pause(8);  // routers vote for nobody before their lease has passed once
     if (!all_say("runs g1, the fleet stands at g1; its calendar is current")) tell_all();
     say("eight routers stand at g1, their calendars current",
         all_say("runs g1, the fleet stands at g1; its calendar is current"));
 
     fleet.document(3, "c1", settings_text("c1", "g1", "g2"));
-    for (const Sec until = s.now() + 40; s.now() < until && !(driver() >= 0 && all_say("stage 1 of 3"));)
+    for (const Seconds until = s.now() + 40; s.now() < until && !(driver() >= 0 && all_say("stage 1 of 3"));)
       co_await pause(0.3);
     const int first = driver();
     say("a change of settings reaches its canary, driven by one", first >= 0 && all_say("stage 1 of 3"));
     fleet.kill(first);
-    for (const Sec until = s.now() + 40; s.now() < until && driver() < 0;) co_await pause(0.3);
+    for (const Seconds until = s.now() + 40; s.now() < until && driver() < 0;) co_await pause(0.3);
     say("its driver killed, another drives", driver() >= 0 && driver() != first);
     fleet.start(first);
     const int second = driver();
     fleet.stall(second, true);
     co_await pause(8);
     fleet.stall(second, false);
-    for (const Sec until = s.now() + 30; s.now() < until && driver() < 0;) co_await pause(0.3);
+    for (const Seconds until = s.now() + 30; s.now() < until && driver() < 0;) co_await pause(0.3);
     say("the other stalled past its lease, it is replaced, or drives again under another term",
         driver() >= 0);
 
@@ -127,7 +127,7 @@
     for (const int away : {a, b})
       for (int n = 0; n < kRouters; ++n)
         if (n != a && n != b) fleet.cut(away, n, 0);
-    for (const Sec until = s.now() + 90; s.now() < until && !all_say("runs g2, the fleet stands at g2");)
+    for (const Seconds until = s.now() + 90; s.now() < until && !all_say("runs g2, the fleet stands at g2");)
       co_await pause(0.5);
     if (!idle || !all_say("runs g2, the fleet stands at g2")) tell_all();
     say("two cut off through a stage drive nothing, and all come to g2",
@@ -138,17 +138,18 @@
 
     for (int n = 0; n < kRouters; ++n) fleet.kill(n);
     for (int n = 0; n < kRouters; ++n) fleet.start(n);
-    for (const Sec until = s.now() + 20; s.now() < until && !all_say("runs g2, the fleet stands at g2");)
+    for (const Seconds until = s.now() + 20; s.now() < until && !all_say("runs g2, the fleet stands at g2");)
       co_await pause(0.5);
     say("the whole fleet killed and started again is at g2", all_say("runs g2, the fleet stands at g2"));
 
     fleet.document(5, "c2", settings_text("c2", "g2", "g3"));
-    for (const Sec until = s.now() + 60; s.now() < until && !all_say("stage 2 of 3");) co_await pause(0.3);
+    for (const Seconds until = s.now() + 60; s.now() < until && !all_say("stage 2 of 3");)
+      co_await pause(0.3);
     const bool reached = all_say("stage 2 of 3");
     fleet.kill(6);
-    const Sec stopped = s.now();
+    const Seconds stopped = s.now();
     fleet.document(1, "stop", "stop \"c2\" { why = \"the pager rang\" }\n");
-    for (const Sec until = s.now() + 20; s.now() < until && !all_say("runs g2, the fleet stands at g2");)
+    for (const Seconds until = s.now() + 20; s.now() < until && !all_say("runs g2, the fleet stands at g2");)
       co_await pause(0.1);
     std::fprintf(stderr, "from the stop to the last router back: %.1f s\n", s.now() - stopped);
     say("a stop that one is told is heeded by all, and all go back",
@@ -186,11 +187,11 @@
   Task release(std::string program) {
     auto& s = fleet.scheduler();
     Event e(s);
-    const auto pause = [&](Sec t) { return e.wait(s.now() + t); };
+    const auto pause = [&](Seconds t) { return e.wait(s.now() + t); };
     co_await pause(8);
     const auto before = sums();
     fleet.document(2, "c1", release_text("present", program, true));
-    for (const Sec until = s.now() + 200;
+    for (const Seconds until = s.now() + 200;
          s.now() < until && !all_say("runs present, the fleet stands at present");)
       co_await pause(0.5);
     if (!all_say("runs present, the fleet stands at present")) tell_all();
@@ -202,7 +203,8 @@
     say("nobody else started anything", once && same);
     fleet.kill(4);
     fleet.start(4);
-    for (const Sec until = s.now() + 30; s.now() < until && !says(4, "runs present");) co_await pause(0.5);
+    for (const Seconds until = s.now() + 30; s.now() < until && !says(4, "runs present");)
+      co_await pause(0.5);
     say("one that its keeper starts as it was takes the fleet's release again", says(4, "runs present"));
     co_await pause(2);
     const auto after = sums();
@@ -218,10 +220,10 @@
   Task faulty(std::string program, std::string kind) {
     auto& s = fleet.scheduler();
     Event e(s);
-    const auto pause = [&](Sec t) { return e.wait(s.now() + t); };
+    const auto pause = [&](Seconds t) { return e.wait(s.now() + t); };
     co_await pause(8);
     fleet.document(2, "c1", release_text("present", program, false));
-    for (const Sec until = s.now() + 100; s.now() < until && !(all_say("STOPPED") && all_say("runs g1"));)
+    for (const Seconds until = s.now() + 100; s.now() < until && !(all_say("STOPPED") && all_say("runs g1"));)
       co_await pause(0.5);
     int tried = 0;
     for (int n = 0; n < kRouters; ++n) tried += logged(n, "makes way for present");
@@ -236,7 +238,7 @@
     Event e(s);
     co_await e.wait(s.now() + 8);
     fleet.document(2, "c1", release_text("broken", program, false));
-    for (const Sec until = s.now() + 40; s.now() < until && !all_say("STOPPED");)
+    for (const Seconds until = s.now() + 40; s.now() < until && !all_say("STOPPED");)
       co_await e.wait(s.now() + 0.5);
     say("a release whose schema a live router would misread is refused before its canary, with field and "
         "router",
@@ -252,7 +254,7 @@
     Event e(s);
     co_await e.wait(s.now() + 8);
     fleet.document(2, "c1", settings_text("c1", "g1", "g2"));
-    for (const Sec until = s.now() + 30; s.now() < until && !says(0, "STOPPED");)
+    for (const Seconds until = s.now() + 30; s.now() < until && !says(0, "STOPPED");)
       co_await e.wait(s.now() + 0.5);
     bool named = true;
     for (int n = 0; n < kRouters - 1; ++n) named = named && says(n, "refused: r7 takes no part in changes");
