--- a/src/base/time.h
+++ b/src/base/time.h
@@ -7,4 +7,8 @@
 /// A span of time or a point on the monotonic clock, in seconds with fractions.
 using Seconds = double;
 
+/// Later than any time that occurs, and earlier. Finite, so that differences of them stay ordinary numbers.
+constexpr Seconds kNever = 1e15;
+constexpr Seconds kLongAgo = -kNever;
+
 }  // namespace walkpaddle
--- a/src/routing/concurrency_limit.h
+++ b/src/routing/concurrency_limit.h
@@ -1,63 +1,73 @@
-// How many attempts, or how much work, may be out at an endpoint, a source or a link at a time: grown by one
-// with each capful of answers in time, cut by a share when too many come late or are turned away (additive
-// increase, multiplicative decrease; Chiu and Jain, 1989). Prevents crowding of any cause: places, links in
-// and out, fills. Units: attempts of mean work; seconds on the router's clock.
+/// \file
+/// How many attempts, or how much work, may be in flight at an endpoint, a source or a link: grown by one
+/// with each limit's worth of answers in time, reduced by a share when too many come late or are rejected
+/// (additive increase, multiplicative decrease; Chiu and Jain, 1989). Prevents congestion of any cause:
+/// connection places, links in and out, fills.
 #pragma once
 
-#include <algorithm>
-
 #include "base/time.h"
 
 namespace walkpaddle::routing {
 
-struct ConcurrencyLimit {
-  static constexpr double kTooMany = 0.15;  // late; sizes vary: a tenth looks late on a good day
-  double cap = 16, used = 0, late = 0, least = 4;
-  bool full = false;     // was so by half when the last hop ended: more would have been used
-  bool crowded = false;  // since it was cut or is cold: until then it may grow by one with each answer
-  Seconds cut_at = -1e15, rests_until = 0, judged_at = 0;
-  // Each of many routers starts with its part of a small machine's work: three hops at least, or objects
-  // move. Cut, it comes down to its part of what one machine still does, under one hop where many share it.
-  void share(int routers, double floor = 1) {
-    cap = std::clamp(32.0 / routers, 1.5, cap);
-    least = std::clamp(8.0 / routers, floor, least);
-  }
-  // Under one the limit is a share of the time: after each use it rests. Guards against floors of one each
-  // that sum to many times what a source can do, where hundreds of routers share it.
-  bool room(double weight, Seconds now) const {
-    return used <= 0 ? now >= rests_until : used + weight <= cap;
-  }
-  void hold(double weight, int sign, Seconds took, Seconds now) {
-    used += sign * weight;
-    if (used < 1e-6) used = 0;  // what rounding leaves is no hop
-    if (sign > 0) return;
-    constexpr Seconds kMost = 20;  // some clients' patience
-    full = used + weight > cap / 2;
-    if (cap < 1) rests_until = now + std::min(kMost, (1 / cap - 1) * took);
-  }
-  // Lost answers alone cut nothing: a hop without one speaks of a crowd only where answers come late too.
-  void lost(Seconds now) {
-    if (late > kTooMany / 3) answered(1, now);
-  }
-  // quick: no queue, by a known own time. Then a start finds its size in seconds; a guess would overshoot.
-  void answered(double lateness, Seconds now, bool quick = false) {
-    // Of ten answers, or, where hundreds of routers see few each, of ten seconds; one alone is never the
-    // half.
-    constexpr double kLately = 0.1;
-    constexpr Seconds kOver = 10;
-    late += (lateness - late) * std::clamp((now - judged_at) / kOver, kLately, 0.3);
-    judged_at = now;
-    if (late > kTooMany)
-      cut(now);
-    else if (lateness <= 0 && full)
-      cap += cap < 1 ? 0.1 : quick && !crowded ? 1 : 1 / cap;
-  }
-  void cut(Seconds now) {
-    constexpr Seconds kPause = 0.5;  // one cut for one crowding: about an answer's time
-    crowded = true;
-    if (now - cut_at < kPause) return;
-    cut_at = now, cap = std::max(least, cap * 0.8);
-  }
+/// One adaptive limit. Amounts are in attempts of mean work.
+class ConcurrencyLimit {
+ public:
+  /// Share of late answers above which the limit is reduced. Sizes vary: a tenth looks late on a good day.
+  static constexpr double kTooManyLate = 0.15;
+
+  struct Bounds {
+    double initial = 16;
+    double floor = 4;  ///< never reduced below
+  };
+  /// Whether an answer came without waiting in a queue, as far as its own time was known.
+  enum class Queueing { possible, none };
+
+  ConcurrencyLimit() = default;
+  explicit ConcurrencyLimit(const Bounds& bounds) : limit_(bounds.initial), floor_(bounds.floor) {}
+
+  /// Takes this router's part where `routers` share the resource. Each starts with its part of a small
+  /// machine's work: three attempts at least, or objects move between caches. The floor comes down to this
+  /// router's part of what one machine still does, but not below `least_floor`; under one attempt where many
+  /// share it.
+  void divide_among(int routers, double least_floor = 1);
+
+  /// Whether so much more may go out. A limit under one is a share of the time: after each use it rests.
+  /// Prevents floors of one each that sum to many times what a source can do, where hundreds of routers share
+  /// it.
+  bool admits(double weight, Seconds now) const;
+  void reserve(double weight);
+  /// `took`: how long it was in flight.
+  void release(double weight, Seconds took, Seconds now);
+
+  /// An answer came: `lateness` is 0 for one in time, up to 1 for one surely late. An answer without queueing
+  /// lets a start find its size in seconds; where that is a guess the limit would overshoot.
+  void record_answer(double lateness, Seconds now, Queueing queueing = Queueing::possible);
+  /// An attempt ended without an answer: that speaks of congestion only where answers come late too.
+  void record_lost(Seconds now);
+  /// Reduces the limit, at most once for one congestion.
+  void reduce(Seconds now);
+
+  /// A cold endpoint's limit: it begins at `initial` and grows by grow() with each answer.
+  void restart_at(double initial);
+  void grow(double by) { limit_ += by; }
+  /// Raises the limit to one reached before, unless it was reduced since.
+  void raise_to(double limit);
+
+  double limit() const { return limit_; }
+  double in_flight() const { return in_flight_; }
+  double late_share() const { return late_share_; }
+  bool congested() const { return congested_; }  ///< it was reduced once, or is cold
+
+ private:
+  double limit_ = Bounds{}.initial;
+  double floor_ = Bounds{}.floor;
+  double in_flight_ = 0;
+  double late_share_ = 0;
+  bool half_used_ = false;  // when the last one ended: more would have been used
+  bool congested_ = false;  // until then it may grow by one with each answer
+  Seconds reduced_at_ = kLongAgo;
+  Seconds rests_until_ = 0;
+  Seconds last_answer_at_ = 0;
 };
 
 }  // namespace walkpaddle::routing
--- /dev/null
+++ b/src/routing/endpoint.h
@@ -0,0 +1,62 @@
+/// \file
+/// What the policy knows of one endpoint. Plain state: each part that decides by it names the fields that it
+/// writes.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+
+#include "base/time.h"
+#include "routing/concurrency_limit.h"
+
+namespace walkpaddle::routing {
+
+enum class Role { cache, parent, origin };
+constexpr std::size_t kRoles = 3;
+
+struct Endpoint {
+  /// \name As discovery lists it (EndpointTable)
+  /// @{
+  std::uint64_t hash = 0;
+  int location = -1;
+  int cell = -1;
+  Role role = Role::cache;
+  double weight = 1;
+  bool listed = false;
+  bool ready = false;
+  bool seen = false;              ///< it was listed at least once
+  bool named = false;             ///< in the complete list that is being read
+  bool counted = false;           ///< among the ready ones here,
+  Role counted_as = Role::cache;  ///< ... of this role
+  /// @}
+
+  /// \name Slow start (SlowStart)
+  /// @{
+  Seconds started = kLongAgo;
+  bool may_be_cold = false;
+  double budget_spent = 0;  ///< work that still counts against its budget
+  Seconds spent_at = 0;     ///< when that was reckoned
+  /// @}
+
+  /// \name Health (OutlierDetector)
+  /// @{
+  double failure_rate = 0;
+  Seconds ejected_until = kLongAgo;
+  Seconds ejection_time = 0;  ///< of the last ejection; doubled with each
+  int trials_left = 0;        ///< half-open: so many have to be served, one at a time
+  bool unreachable = false;   ///< no connection came up, and no answer since
+  Seconds heard_at = kLongAgo;
+  Seconds answer_gap = 0.1;  ///< mean time between two answers while attempts are in flight
+  /// @}
+
+  /// \name Load (AttemptAccounting, OutcomeEvaluator)
+  /// @{
+  int in_flight = 0;  ///< attempts, and fills that it is the source of
+  Seconds busy_since = 0;
+  double reported_load = -1;  ///< share of its capacity in use, as it reports; -1 if it does not
+  ConcurrencyLimit attempts{};
+  ConcurrencyLimit fills{{.floor = 1}};
+  /// @}
+};
+
+}  // namespace walkpaddle::routing
--- /dev/null
+++ b/src/routing/freshness.h
@@ -0,0 +1,19 @@
+/// \file
+/// How old a copy may be that answers a request, by its class and by the purges.
+#pragma once
+
+#include "base/time.h"
+
+namespace walkpaddle::routing {
+
+struct FreshnessBounds {
+  Seconds class_max_age = 0;    ///< of the request's class; 0: no limit
+  Seconds copies_since = 0;     ///< copies made before are purged; 0: none
+  Seconds oldest_anywhere = 0;  ///< no older copy of any object will do; 0: no limit
+};
+
+/// The oldest copy that will do: 0 for the class's own limit, never 0 where a purge covers it. It goes with
+/// the attempt to its source and to the fill that it joins.
+Seconds copy_age_limit(const FreshnessBounds& bounds, Seconds now);
+
+}  // namespace walkpaddle::routing
--- /dev/null
+++ b/src/routing/outlier_detection.cpp
@@ -0,0 +1,86 @@
+#include "routing/outlier_detection.h"
+
+#include <algorithm>
+
+namespace walkpaddle::routing {
+
+namespace {
+
+constexpr double kFailureGain = 0.1;      // of the failure rate: about ten attempts
+constexpr double kTooManyFailures = 0.3;  // rate above which a soft failure ejects
+
+}  // namespace
+
+bool OutlierDetector::usable(const Endpoint& endpoint) const {
+  return endpoint.listed && endpoint.ready && !ejected(endpoint) &&
+         (endpoint.trials_left == 0 || endpoint.in_flight == 0);
+}
+
+void OutlierDetector::eject(Endpoint& endpoint) {
+  constexpr Seconds kShortest = 0.5;  // about a client's patience for one attempt
+  constexpr Seconds kLongest = 4;     // about a restart's time
+  constexpr int kTrials = 3;
+  endpoint.ejection_time = std::clamp(endpoint.ejection_time * 2, kShortest, kLongest);
+  endpoint.ejected_until = context_.now + endpoint.ejection_time;
+  endpoint.trials_left = kTrials;
+}
+
+void OutlierDetector::record_failure(int index, Severity severity) {
+  auto& endpoint = endpoints_[index];
+  endpoint.failure_rate += (1 - endpoint.failure_rate) * kFailureGain;
+  const bool hard = severity == Severity::hard;
+  const bool too_many = endpoint.failure_rate > kTooManyFailures || endpoint.trials_left > 0;
+  if ((!hard && !too_many) || ejected(endpoint)) return;
+  ++(hard ? ejections_.unreachable : ejections_.failing);
+  eject(endpoint);
+}
+
+void OutlierDetector::record_success(int index) {
+  auto& endpoint = endpoints_[index];
+  endpoint.failure_rate *= 1 - kFailureGain;
+  if (endpoint.trials_left == 0 || ejected(endpoint)) return;
+  --endpoint.trials_left;
+  if (endpoint.trials_left == 0) endpoint.ejection_time = 0;
+}
+
+void OutlierDetector::record_answer(int index) {
+  constexpr Seconds kLongestGap = 1;
+  constexpr double kGain = 0.1;
+  auto& endpoint = endpoints_[index];
+  if (endpoint.heard_at > 0) {
+    const Seconds waiting_since = std::max(endpoint.heard_at, endpoint.busy_since);
+    endpoint.answer_gap +=
+        (std::min(kLongestGap, context_.now - waiting_since) - endpoint.answer_gap) * kGain;
+  }
+  endpoint.heard_at = context_.now;
+}
+
+bool OutlierDetector::silent(const Endpoint& endpoint, Seconds sent_at) const {
+  constexpr double kGaps = 8;
+  constexpr Seconds kShortest = 0.6;
+  constexpr Seconds kLongest = 5;
+  const Seconds since = std::max({endpoint.heard_at, endpoint.busy_since, sent_at});
+  return context_.now - since > std::clamp(kGaps * endpoint.answer_gap, kShortest, kLongest);
+}
+
+int OutlierDetector::silent_endpoint(const AttemptState& attempt) const {
+  if (silent(endpoints_[attempt.endpoint], attempt.sent_at)) return attempt.endpoint;
+  if (attempt.may_fill && silent(endpoints_[attempt.source], attempt.sent_at)) return attempt.source;
+  return -1;
+}
+
+void OutlierDetector::eject_silent(int index) {
+  auto& endpoint = endpoints_[index];
+  if (ejected(endpoint)) return;
+  ++ejections_.silent;
+  eject(endpoint);
+}
+
+void OutlierDetector::forget_failures(Endpoint& endpoint) {
+  endpoint.failure_rate = 0;
+  endpoint.ejection_time = 0;
+  endpoint.trials_left = 0;
+  endpoint.ejected_until = kLongAgo;
+}
+
+}  // namespace walkpaddle::routing
--- /dev/null
+++ b/src/routing/route_selection.h
@@ -0,0 +1,69 @@
+/// \file
+/// Where an attempt goes: the first cache in the object's order that is usable and has capacity, and from
+/// where a miss there is filled. Where none has, the smallest departures from that order (docs/design.md).
+#pragma once
+
+#include <cstdint>
+
+#include "routing/endpoint_table.h"
+#include "routing/outlier_detection.h"
+#include "routing/reference_counter.h"
+#include "routing/request_state.h"
+#include "routing/service_time.h"
+#include "routing/slow_start.h"
+
+namespace walkpaddle::routing {
+
+/// Where one attempt goes.
+struct Route {
+  int endpoint = -1;  ///< -1: none can take it now
+  int source = -1;    ///< who supplies a miss; the endpoint itself for none
+  bool cached_only = false;
+};
+
+/// What is known of misses, and of the link that fills come over.
+struct FillKnowledge {
+  ConcurrencyLimit link{
+      {.initial = 8, .floor = 1.5}};  ///< this router's fills over the location's incoming link
+  QuietMean cache_misses{0.5};        ///< share of attempts at a cache that draw a fill
+  QuietMean parent_misses{0.5};       ///< share of fills that a parent fetches from the origin
+};
+
+class RouteSelector {
+ public:
+  /// All of them must outlive it.
+  struct Parts {
+    const PolicyContext& context;
+    const EndpointTable& endpoints;
+    const OutlierDetector& outliers;
+    const SlowStart& slow_start;
+    const ServiceTimes& service_times;
+    const FillKnowledge& fills;
+    ReferenceCounters& counters;
+  };
+  explicit RouteSelector(const Parts& parts) : parts_(parts) {}
+
+  Route select(const RequestState& request) const;
+  /// Of a class that is not cached: straight to the origin, or through a cache where the origin takes no
+  /// attempts.
+  Route select_uncacheable(const RequestState& request) const;
+
+ private:
+  class CacheCapacity;
+  /// A cache that lately had the object.
+  struct KnownCopy {
+    int cache = -1;
+    bool recent = false;
+  };
+  Route fill_through(const RequestState& request, int cache, const KnownCopy& copy) const;
+  Route past_the_caches(const RequestState& request) const;
+  int select_source(const RequestState& request) const;
+  KnownCopy known_copy(const RequestState& request) const;
+  bool sibling_supplies(const RequestState& request, int cache, const KnownCopy& copy) const;
+  template <class Fits>
+  int first_usable(EndpointOrder::Ranking& ranking, Fits&& fits) const;
+
+  Parts parts_;
+};
+
+}  // namespace walkpaddle::routing
