--- a/src/routing/endpoint_order.cpp
+++ b/src/routing/endpoint_order.cpp
@@ -17,6 +17,11 @@
 
 }  // namespace
 
+void EndpointOrder::clear() {
+  all_.clear();
+  weighted_ = 0;
+}
+
 void EndpointOrder::add(int index, std::uint64_t hash, double weight) {
   remove(index);
   const auto at = std::ranges::lower_bound(all_, index, {}, &Endpoint::index);
@@ -38,31 +43,31 @@
 
 // With equal weights the logarithm changes no order, and is left out.
 double EndpointOrder::Ranking::cost_of(const Endpoint& e) const {
-  const double uniform = (static_cast<double>(mix(object_ ^ e.spread) >> 11) + 0.5) * 0x1p-53;
+  const double uniform = (static_cast<double>(mix(object_ ^ e.mixed_hash) >> 11) + 0.5) * 0x1p-53;
   return order_->weighted_ == 0 ? 1 - uniform : -std::log(uniform) / e.weight;
 }
 
 // The first few, by insertion into a short list: nearly all fail the first comparison.
 void EndpointOrder::Ranking::rank_first() {
-  ranked_.reserve(kFirst + 1);
+  ranked_.reserve(kRankedAtFirst + 1);
   for (const auto& e : order_->all_) {
     const Ranked r{cost_of(e), e.index};
-    if (ranked_.size() == kFirst && !(r < ranked_.back())) continue;
+    if (ranked_.size() == kRankedAtFirst && !(r < ranked_.back())) continue;
     ranked_.insert(std::upper_bound(ranked_.begin(), ranked_.end(), r), r);
-    if (ranked_.size() > kFirst) ranked_.pop_back();
+    if (ranked_.size() > kRankedAtFirst) ranked_.pop_back();
   }
-  whole_ = ranked_.size() == order_->all_.size();
+  complete_ = ranked_.size() == order_->all_.size();
 }
 
 void EndpointOrder::Ranking::rank_all() {
   ranked_.clear();
   for (const auto& e : order_->all_) ranked_.push_back({cost_of(e), e.index});
   std::ranges::sort(ranked_, [](const Ranked& a, const Ranked& b) { return a < b; });
-  whole_ = true;
+  complete_ = true;
 }
 
 int EndpointOrder::Ranking::at(std::size_t place) {
-  if (place >= ranked_.size() && !whole_) rank_all();
+  if (place >= ranked_.size() && !complete_) rank_all();
   return place < ranked_.size() ? ranked_[place].index : -1;
 }
 
--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -5,9 +5,7 @@
 #include "routing/policy.h"
 
 #include <algorithm>
-#include <cmath>
 #include <cstddef>
-#include <map>
 #include <random>
 #include <utility>
 
@@ -23,6 +21,8 @@
 #include "routing/route_selection.h"
 #include "routing/service_time.h"
 #include "routing/slow_start.h"
+#include "routing/stuck_attempts.h"
+#include "routing/warm_start.h"
 
 namespace walkpaddle {
 
@@ -57,8 +57,10 @@
   void set_client_habits(const ClientSettings& clients) override { context_.clients = clients; }
   void set_discovery_polling(bool must_poll) override { context_.polls_discovery = must_poll; }
 
-  WarmStartSnapshot snapshot() const override;
-  void restore_snapshot(const WarmStartSnapshot& snapshot) override;
+  WarmStartSnapshot snapshot() const override { return take_snapshot(learnt_); }
+  void restore_snapshot(const WarmStartSnapshot& snapshot) override {
+    routing::restore_snapshot(learnt_, snapshot, random_);
+  }
   Ejections ejections() const override { return outliers_.ejections(); }
 
   void clock(Seconds now) override { context_.now = now; }
@@ -95,14 +97,9 @@
   ShedReason reason_to_shed(const RequestState& request) const;
   bool may_go_to(const RequestState& request, int endpoint) const;
   void forward(int index, const Route& route);
-  AttemptState attempt_on(const RequestState& request, const Route& route);
-  void spend_slow_start_budgets(const RequestState& request, const Route& route);
   int retention_rank(const RequestState& request, const Route& route) const;
 
   void tick();
-  void eject_silent_endpoints();
-  void cancel_stuck_attempts();
-  int stuck_at(const RequestState& request, const AttemptState& attempt);
   std::optional<Decision> take_decision();
 
   std::mt19937 random_;
@@ -118,6 +115,8 @@
   RouteSelector routes_;
   OutcomeEvaluator outcomes_;
   AdmissionQueue queue_;
+  StuckAttempts stuck_attempts_;
+  LearntState learnt_;
   std::vector<Decision> decisions_;
   std::size_t next_decision_ = 0;
   Seconds wakes_at_ = kNever;  // the host was asked to call then
@@ -133,10 +132,12 @@
       outliers_(context_, endpoints_),
       slow_start_(context_, endpoints_),
       service_times_(context_),
-      accounting_(context_, endpoints_, fills_.link),
+      accounting_({context_, endpoints_, slow_start_, service_times_, fills_, counters_}),
       routes_({context_, endpoints_, outliers_, slow_start_, service_times_, fills_, counters_}),
       outcomes_({context_, endpoints_, outliers_, slow_start_, service_times_, fills_, counters_, random_}),
-      queue_(context_, requests_, service_times_) {}
+      queue_(context_, requests_, service_times_),
+      stuck_attempts_({context_, endpoints_, outliers_, service_times_, requests_}),
+      learnt_{context_, endpoints_, slow_start_, service_times_, fills_, counters_} {}
 
 // ---- settings and endpoints ------------------------------------------------------------------------------
 
@@ -173,63 +174,6 @@
   endpoints_.find_or_add(endpoint).reported_load = busy;
 }
 
-// ---- warm start ------------------------------------------------------------------------------------------
-
-WarmStartSnapshot Policy::snapshot() const {
-  WarmStartSnapshot snapshot;
-  for (const auto& sending : service_times_.by_class())
-    snapshot.service_times.push_back({sending.mean(), sending.samples()});
-  for (const auto& entry : counters_.all())
-    if (entry.count > kForwardingThreshold) snapshot.objects.push_back({entry.object, entry.count});
-  const auto& misses = fills_.cache_misses;
-  snapshot.link_limit = fills_.link.limit();
-  snapshot.miss_ratio = misses.quiet_samples() > 0 ? misses.quiet_mean() : -1;
-  for (int index = 0; index < endpoints_.size(); ++index) {
-    const auto& endpoint = endpoints_[index];
-    if (!endpoint.listed) continue;
-    if (endpoint.unreachable)
-      snapshot.unreachable.push_back({index, endpoint.started});
-    else if (!slow_start_.is_cold(endpoint))
-      snapshot.limits.push_back({index, endpoint.attempts.limit(), endpoint.fills.limit()});
-  }
-  return snapshot;
-}
-
-void Policy::restore_snapshot(const WarmStartSnapshot& snapshot) {
-  constexpr Seconds kLimitsHalve = 60;  // a minute halves what limits count
-  constexpr Seconds kCountsHalve = 30;  // as the design halves them
-  constexpr Seconds kOldestCounts = 300;
-  constexpr int kMissSamples = 10;
-  const auto classes = std::min(context_.classes.size(), snapshot.service_times.size());
-  for (std::size_t n = 0; n < classes; ++n) {
-    const auto& [mean, answers] = snapshot.service_times[n];
-    if (answers > 0 && mean > 0 && mean < context_.classes[n].deadline)
-      service_times_.restore(static_cast<int>(n), mean, answers);
-  }
-  // Limits that were reached before, never of a cold endpoint, nor where one was reduced since. Prevents a
-  // router that returns from rejecting what it bore before it went.
-  const double kept = std::exp2(-snapshot.age / kLimitsHalve);
-  fills_.link.raise_to(snapshot.link_limit * kept);
-  for (const auto& [object, count] : snapshot.objects) {
-    auto& counter = counters_.at(object, context_.now).count;
-    if (snapshot.age < kOldestCounts)
-      counter = std::max<float>(counter, count * std::exp2(-snapshot.age / kCountsHalve));
-  }
-  if (snapshot.miss_ratio >= 0) fills_.cache_misses = QuietMean::restored(snapshot.miss_ratio, kMissSamples);
-  for (const auto& limits : snapshot.limits) {
-    auto& endpoint = endpoints_.find_or_add(limits.endpoint);
-    if (!endpoint.listed || slow_start_.is_cold(endpoint)) continue;
-    endpoint.attempts.raise_to(limits.attempts * kept);
-    endpoint.fills.raise_to(limits.fills * kept);
-  }
-  for (const auto& [index, last_tried] : snapshot.unreachable) {
-    auto& endpoint = endpoints_.find_or_add(index);
-    if (!endpoint.listed || endpoint.started >= last_tried || last_tried > context_.now) continue;
-    slow_start_.restart(endpoint, last_tried, service_times_.mean_request(), random_);
-    endpoint.unreachable = true;
-  }
-}
-
 // ---- requests --------------------------------------------------------------------------------------------
 
 void Policy::request_received(int request, int request_class, std::uint64_t object, int part,
@@ -252,15 +196,13 @@
 }
 
 void Policy::count_reference(RequestState& request, int part, bool is_retry) {
-  constexpr Seconds kRetriesComeWithin = 2;
   auto& counter = counters_.at(request.object, context_.now);
   if (request.kbytes <= 0) request.kbytes = counter.kbytes;
   service_times_.record_request(request);
-  const bool expected =
-      counter.expected_retries > 0 && context_.now - counter.retry_expected_at < kRetriesComeWithin;
-  const bool again = is_retry || (!context_.clients.marks_retries && expected);
-  if (again && counter.expected_retries > 0) --counter.expected_retries;
-  if (!again && part == 0) counter.count += 1;
+  if (is_retry || (!context_.clients.marks_retries && counter.retry_expected(context_.now)))
+    counter.count_retry();
+  else if (part == 0)
+    counter.count += 1;
   request.keep_fill = counter.count > kForwardingThreshold;
 }
 
@@ -274,13 +216,8 @@
   close(at(request));
 }
 
-// A client that got no answer may come again; that is no new demand.
 void Policy::expect_retry(const RequestState& request) {
-  constexpr int kMostExpected = 20;
-  if (class_of(request).uncacheable) return;
-  auto& counter = counters_.at(request.object, context_.now);
-  counter.expected_retries = std::min(counter.expected_retries + 1, kMostExpected);
-  counter.retry_expected_at = context_.now;
+  if (!class_of(request).uncacheable) counters_.at(request.object, context_.now).expect_retry(context_.now);
 }
 
 void Policy::close(RequestState& request) {
@@ -338,46 +275,11 @@
   return context_.placement.routers_here > 1 && route.source != route.endpoint ? kLowestRank : 0;
 }
 
-AttemptState Policy::attempt_on(const RequestState& request, const Route& route) {
-  const auto& endpoint = endpoints_[route.endpoint];
-  const auto& counter = counters_.at(request.copy, context_.now);
-  AttemptState attempt{.endpoint = route.endpoint,
-                       .source = route.source,
-                       .cached_only = route.cached_only,
-                       .sent_at = context_.now,
-                       .weight = service_times_.weight(request)};
-  const bool has_copy = counter.cache == route.endpoint && counter.recently_cached(context_.now);
-  attempt.may_fill = route.source != route.endpoint && !has_copy;
-  if (attempt.may_fill && endpoint.role == Role::cache && !request.cache_probed &&
-      !class_of(request).uncacheable)
-    attempt.fill_probability = fills_.cache_misses.mean();
-  if (attempt.may_fill && endpoints_[route.source].role == Role::parent && !route.cached_only) {
-    attempt.origin = endpoints_.first_origin();
-    attempt.origin_weight = attempt.weight * attempt.fill_probability * fills_.parent_misses.mean();
-  }
-  return attempt;
-}
-
-// Attempts count at the mean of their class, fills at a parent at their own work.
-void Policy::spend_slow_start_budgets(const RequestState& request, const Route& route) {
-  const Seconds work = service_times_.work(request);
-  const Seconds cold_work = service_times_.cold_work(request.request_class);
-  const auto cost = [&](const Endpoint& endpoint) { return endpoint.role == Role::cache ? cold_work : work; };
-  auto& endpoint = endpoints_[route.endpoint];
-  slow_start_.spend(endpoint, cost(endpoint) * std::max(1.0, request.represented_requests));
-  if (route.source == route.endpoint) return;
-  auto& source = endpoints_[route.source];
-  slow_start_.spend(source, cost(source));
-}
-
 void Policy::forward(int index, const Route& route) {
   auto& request = at(index);
   const auto& request_class = class_of(request);
-  auto attempt = attempt_on(request, route);
   const bool to_cache = endpoints_[route.endpoint].role == Role::cache;
-  request.cache_probed = request.cache_probed || (route.source == route.endpoint && to_cache);
-  accounting_.begin(request, attempt);
-  spend_slow_start_budgets(request, route);
+  const auto attempt = accounting_.begin(request, route);
   Decision decision{.kind = Decision::Kind::forward,
                     .request = index,
                     .endpoint = route.endpoint,
@@ -440,8 +342,8 @@
     if (halve_at_ > 0) counters_.halve();
     halve_at_ = context_.now + kHalving;
   }
-  eject_silent_endpoints();
-  if (context_.retries.can_cancel) cancel_stuck_attempts();
+  stuck_attempts_.eject_silent_endpoints();
+  if (context_.retries.can_cancel) stuck_attempts_.cancel(decisions_);
   slow_start_.update_warm_rates(kTick);
   // Once; again only after a failed call.
   if (!context_.polls_discovery || context_.now < poll_at_) return;
@@ -449,53 +351,6 @@
   decisions_.push_back({.kind = Decision::Kind::poll_discovery});
 }
 
-void Policy::eject_silent_endpoints() {
-  constexpr int kSeveral = 2;
-  std::map<int, int> waiting;  // attempts, by the endpoint that is silent
-  for (const auto& request : requests_) {
-    if (request.represented_requests > 0) continue;  // what follows a lookup is never heard of
-    for (const auto& attempt : request.attempts) {
-      if (!attempt.in_flight) continue;
-      if (const int silent = outliers_.silent_endpoint(attempt); silent >= 0) ++waiting[silent];
-    }
-  }
-  for (const auto& [endpoint, attempts] : waiting)
-    if (attempts >= kSeveral) outliers_.eject_silent(endpoint);
-}
-
-// Where an attempt waits in vain: an endpoint that is ejected, or one past all patience; -1 if it may still
-// be answered.
-int Policy::stuck_at(const RequestState& request, const AttemptState& attempt) {
-  const int silent = outliers_.silent_endpoint(attempt);
-  if (silent >= 0 && outliers_.ejected(endpoints_[silent])) return silent;
-  // Prevents attempts that are lost one by one while their endpoint answers others from waiting for their
-  // deadline.
-  if (context_.now - attempt.sent_at < service_times_.patience(request)) return -1;
-  const int lost_at = attempt.may_fill ? attempt.source : attempt.endpoint;
-  auto& endpoint = endpoints_[lost_at];
-  (attempt.may_fill ? endpoint.fills : endpoint.attempts).record_lost(context_.now);
-  return lost_at;
-}
-
-void Policy::cancel_stuck_attempts() {
-  for (std::size_t index = 0; index < requests_.size(); ++index) {
-    auto& request = requests_[index];
-    if (!request.open || request.represented_requests > 0) continue;
-    if (class_of(request).idempotency != Idempotency::idempotent) continue;
-    for (std::size_t n = 0; n < request.attempts.size(); ++n) {
-      auto& attempt = request.attempts[n];
-      if (!attempt.in_flight || attempt.being_cancelled) continue;
-      const int endpoint = stuck_at(request, attempt);
-      if (endpoint < 0) continue;
-      attempt.being_cancelled = true;
-      (endpoint == attempt.endpoint ? attempt.endpoint_failed : attempt.source_failed) = true;
-      decisions_.push_back({.kind = Decision::Kind::cancel,
-                            .request = static_cast<int>(index),
-                            .attempt = static_cast<int>(n)});
-    }
-  }
-}
-
 std::optional<Decision> Policy::take_decision() {
   if (next_decision_ < decisions_.size()) return decisions_[next_decision_++];
   return std::nullopt;
--- a/src/routing/reference_counter.cpp
+++ b/src/routing/reference_counter.cpp
@@ -1,5 +1,6 @@
 #include "routing/reference_counter.h"
 
+#include <algorithm>
 #include <utility>
 
 namespace walkpaddle::routing {
@@ -19,6 +20,21 @@
   return *worst;
 }
 
+void ReferenceCounters::Entry::expect_retry(Seconds now) {
+  constexpr int kMostExpected = 20;
+  expected_retries = std::min(expected_retries + 1, kMostExpected);
+  retry_expected_at = now;
+}
+
+bool ReferenceCounters::Entry::retry_expected(Seconds now) const {
+  constexpr Seconds kRetriesComeWithin = 2;
+  return expected_retries > 0 && now - retry_expected_at < kRetriesComeWithin;
+}
+
+void ReferenceCounters::Entry::count_retry() {
+  if (expected_retries > 0) --expected_retries;
+}
+
 void ReferenceCounters::halve() {
   for (auto& entry : table_) entry.count /= 2;
 }
--- /dev/null
+++ b/src/routing/stuck_attempts.cpp
@@ -0,0 +1,61 @@
+#include "routing/stuck_attempts.h"
+
+#include <cstddef>
+#include <map>
+
+namespace walkpaddle::routing {
+
+void StuckAttempts::eject_silent_endpoints() {
+  constexpr int kSeveral = 2;
+  std::map<int, int> waiting;  // attempts, by the endpoint that is silent
+  for (const auto& request : parts_.requests) {
+    if (request.represented_requests > 0) continue;  // what follows a lookup is never heard of
+    for (const auto& attempt : request.attempts) {
+      if (!attempt.in_flight) continue;
+      if (const int silent = parts_.outliers.silent_endpoint(attempt); silent >= 0) ++waiting[silent];
+    }
+  }
+  for (const auto& [endpoint, attempts] : waiting)
+    if (attempts >= kSeveral) parts_.outliers.eject_silent(endpoint);
+}
+
+bool StuckAttempts::may_cancel(const RequestState& request) const {
+  const auto& request_class = parts_.context.classes[static_cast<std::size_t>(request.request_class)];
+  return request.open && request.represented_requests <= 0 &&
+         request_class.idempotency == Idempotency::idempotent;
+}
+
+// Where an attempt waits in vain: an endpoint that is ejected, or one past all patience; -1 if it may still
+// be answered.
+int StuckAttempts::lost_at(const RequestState& request, const AttemptState& attempt) {
+  const int silent = parts_.outliers.silent_endpoint(attempt);
+  if (silent >= 0 && parts_.outliers.ejected(parts_.endpoints[silent])) return silent;
+  // Prevents attempts that are lost one by one while their endpoint answers others from waiting for their
+  // deadline.
+  const Seconds now = parts_.context.now;
+  if (now - attempt.sent_at < parts_.service_times.patience(request)) return -1;
+  const int lost_at = attempt.may_fill ? attempt.source : attempt.endpoint;
+  auto& endpoint = parts_.endpoints[lost_at];
+  (attempt.may_fill ? endpoint.fills : endpoint.attempts).record_lost(now);
+  return lost_at;
+}
+
+void StuckAttempts::cancel(std::vector<Decision>& decisions) {
+  for (std::size_t index = 0; index < parts_.requests.size(); ++index) {
+    auto& request = parts_.requests[index];
+    if (!may_cancel(request)) continue;
+    for (std::size_t n = 0; n < request.attempts.size(); ++n) {
+      auto& attempt = request.attempts[n];
+      if (!attempt.in_flight || attempt.being_cancelled) continue;
+      const int endpoint = lost_at(request, attempt);
+      if (endpoint < 0) continue;
+      attempt.being_cancelled = true;
+      (endpoint == attempt.endpoint ? attempt.endpoint_failed : attempt.source_failed) = true;
+      decisions.push_back({.kind = Decision::Kind::cancel,
+                           .request = static_cast<int>(index),
+                           .attempt = static_cast<int>(n)});
+    }
+  }
+}
+
+}  // namespace walkpaddle::routing
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -62,43 +62,45 @@
 
 /// What the settings say of one class of requests.
 struct RequestClass {
-  Idempotency idempotency = Idempotency::idempotent;
-  DeduplicationScope deduplication = DeduplicationScope::all;
+  Idempotency idempotency = Idempotency::idempotent;           ///< whether it may run more than once
+  DeduplicationScope deduplication = DeduplicationScope::all;  ///< who drops repeats
   Seconds deduplication_window = 0;  ///< of requests with a key: how long repeats are dropped
   Seconds latency_objective = 0;     ///< answered by then: full value
   double latency_objective_stretch =
-      0;                 ///< the objective grows by this multiple of the answer's own sending time
-  Seconds deadline = 0;  ///< from its receipt
-  double priority = 1;
-  Seconds max_age = 0;  ///< of a copy; 0: no limit
-  bool in_parts = false;
-  bool uncacheable = false;
+      0;                     ///< the objective grows by this multiple of the answer's own sending time
+  Seconds deadline = 0;      ///< from its receipt
+  double priority = 1;       ///< value of an answer in time
+  Seconds max_age = 0;       ///< of a copy; 0: no limit
+  bool in_parts = false;     ///< objects are asked for part by part
+  bool uncacheable = false;  ///< passed to the origin
 };
 
 /// Where this router stands.
 struct RouterPlacement {
-  int location = 0;
+  int location = 0;      ///< index among the settings' locations
   int routers_here = 1;  ///< that serve this location
   int routers = 1;       ///< in all
 };
 
 /// How the models of endpoints map to their roles; -1 for none.
 struct EndpointRoles {
-  int parent_kind = -1;
-  int origin_kind = -1;
-  bool direct = false;  ///< parents and the origin take attempts too
+  int parent_kind = -1;  ///< of parent caches
+  int origin_kind = -1;  ///< of origins
+  bool direct = false;   ///< parents and the origin take attempts too
 };
 
+/// What the platform allows of retries.
 struct RetrySettings {
-  int max_attempts = 1;
-  bool can_cancel = false;
+  int max_attempts = 1;     ///< of one request
+  bool can_cancel = false;  ///< an attempt can be cancelled at its endpoint
 };
 
+/// What the platform's caches can do.
 struct FillSettings {
-  SiblingFills siblings = SiblingFills::none;
-  bool coalesces = false;  ///< an attempt can wait for a fill under way
-  FillReporting reporting = FillReporting::none;
-  double client_rate = 0;  ///< KB a second that a client is sent at most
+  SiblingFills siblings = SiblingFills::none;     ///< that can supply a fill
+  bool coalesces = false;                         ///< an attempt can wait for a fill under way
+  FillReporting reporting = FillReporting::none;  ///< of an answer
+  double client_rate = 0;                         ///< KB a second that a client is sent at most
 };
 
 /// What a cold endpoint may be sent (slow start).
@@ -109,35 +111,40 @@
   Seconds window = 1;
 };
 
+/// What clients do.
 struct ClientSettings {
-  bool marks_retries = false;
+  bool marks_retries = false;       ///< a retry says that it is one
   Seconds longest_retry_after = 0;  ///< 0: no pause is told
 };
 
 /// What one start of a router may leave to the next. Nothing of it loosens a rule.
 struct WarmStartSnapshot {
+  /// Of one class.
   struct ServiceTime {
     double mean = 0;  ///< seconds, the answers' own sending time
     int answers = 0;  ///< that it is the mean of
   };
+  /// An endpoint that no connection came up to.
   struct Unreachable {
-    int endpoint = -1;
-    Seconds at = 0;  ///< last not reached then, and no answer since
+    int endpoint = -1;  ///< its index
+    Seconds at = 0;     ///< last not reached then, and no answer since
   };
+  /// Of one endpoint.
   struct Limits {
-    int endpoint = -1;
+    int endpoint = -1;    ///< its index
     double attempts = 0;  ///< concurrency limit
     double fills = 0;     ///< concurrency limit
   };
+  /// Of one object.
   struct ObjectCount {
-    std::uint64_t object = 0;
-    double count = 0;  ///< the design's reference counter, of this router's own requests
+    std::uint64_t object = 0;  ///< its stable hash
+    double count = 0;          ///< the design's reference counter, of this router's own requests
   };
   std::vector<ServiceTime> service_times{};  ///< by class
-  std::vector<Unreachable> unreachable{};
-  std::vector<Limits> limits{};
-  std::vector<ObjectCount> objects{};
-  double link_limit = 0;   ///< of fills over the location's link; 0: not known
+  std::vector<Unreachable> unreachable{};    ///< endpoints
+  std::vector<Limits> limits{};              ///< by endpoint, of those that were warm
+  std::vector<ObjectCount> objects{};        ///< above the forwarding threshold
+  double link_limit = 0;                     ///< of fills over the location's link; 0: not known
   double miss_ratio = -1;  ///< share of attempts at a cache that draw a fill; under 0: not known
   Seconds age = 0;         ///< of limits and objects
 };
@@ -154,6 +161,7 @@
 
 /// One thing for the host to carry out.
 struct Decision {
+  /// What is to be done.
   enum class Kind {
     forward,
     reject,  ///< shed the request: it never ran
@@ -162,18 +170,18 @@
     wake_up,        ///< call timer_fired() at `time`
     poll_discovery  ///< ask for the endpoint list
   };
-  Kind kind = Kind::wake_up;
-  int request = -1;
-  int endpoint = -1;
-  int source = -1;           ///< forward: who supplies a miss; the endpoint itself for none
-  int attempt = 0;           ///< cancel: which attempt of the request, from 0
-  int retention_rank = 0;    ///< forward: 0 keeps no copy, 1 to 3 is the rank of the one that is cached
-  Seconds time = 0;          ///< time-out of an attempt, Retry-After of a rejection, or when to wake up
-  Seconds start_by = 0;      ///< forward: it begins by then or not at all; 0 for no such time
-  Seconds max_age = 0;       ///< forward: the oldest copy that will do; 0 for the class's own
-  bool join_fill = false;    ///< forward: wait for a fill under way
-  bool cached_only = false;  ///< forward: the source gives only what it holds
-  ShedReason reason = ShedReason::none;
+  Kind kind = Kind::wake_up;  ///< which fields count follows from it
+  int request = -1;           ///< all but wake_up and poll_discovery
+  int endpoint = -1;          ///< forward: where to
+  int source = -1;            ///< forward: who supplies a miss; the endpoint itself for none
+  int attempt = 0;            ///< cancel: which attempt of the request, from 0
+  int retention_rank = 0;     ///< forward: 0 keeps no copy, 1 to 3 is the rank of the one that is cached
+  Seconds time = 0;           ///< time-out of an attempt, Retry-After of a rejection, or when to wake up
+  Seconds start_by = 0;       ///< forward: it begins by then or not at all; 0 for no such time
+  Seconds max_age = 0;        ///< forward: the oldest copy that will do; 0 for the class's own
+  bool join_fill = false;     ///< forward: wait for a fill under way
+  bool cached_only = false;   ///< forward: the source gives only what it holds
+  ShedReason reason = ShedReason::none;  ///< reject and fail
 };
 
 }  // namespace walkpaddle
