--- a/bench/purges.cpp
+++ b/bench/purges.cpp
@@ -1,6 +1,4 @@
 // What a txn pays for the purges in force, what they take of memory, and a restart with many.
-#include "fleet/purges.h"
-
 #include <benchmark/benchmark.h>
 #include <fmt/core.h>
 #include <malloc.h>
@@ -13,46 +11,47 @@
 #include "fleet/keeper.h"
 #include "fleet/wire.h"
 #include "io/log.h"
+#include "purge/purge_registry.h"
 
 namespace {
 
 using namespace walkpaddle;
-using purge::Kind;
+using purge::PurgeKind;
 
 std::string object_name(std::uint64_t n) { return fmt::format("{:016x}", n * 0x9e3779b97f4a7c15u); }
 
-fleet::Purges::Setup setup(std::size_t entries) {
-  fleet::Purges::Setup s;
-  s.fleet = true, s.self = 1, s.entries = entries, s.objects = 65536;
+purge::PurgeRegistry::Setup setup(std::size_t entries) {
+  purge::PurgeRegistry::Setup s;
+  s.replicated = true, s.self = 1, s.max_entries = entries, s.max_objects = 65536;
   return s;
 }
 
 // Nine in ten by object, the others by tag, sixty by pattern; half of the objects' tags are known.
 void cost_a_txn(benchmark::State& state) {
   const auto before = mallinfo2().uordblks;
-  fleet::Purges purges(setup(200'000), 1e9);
+  purge::PurgeRegistry purges(setup(200'000), 1e9);
   const auto count = static_cast<std::uint64_t>(state.range(0));
   for (std::uint64_t n = 0; n < count; ++n) {
     const Seconds now = 1e9 + static_cast<Seconds>(n) * 1e-3;
     if (n % std::max<std::uint64_t>(1, count / 60) == 7)
-      purges.issue(Kind::pattern, fmt::format("{:02x}.*{:02x}", n % 251, n % 13), now);
+      purges.issue(PurgeKind::pattern, fmt::format("{:02x}.*{:02x}", n % 251, n % 13), now);
     else if (n % 10 == 0)
-      purges.issue(Kind::tag, fmt::format("contract{}", n), now);
+      purges.issue(PurgeKind::tag, fmt::format("contract{}", n), now);
     else
-      purges.issue(Kind::object, object_name(n), now);
+      purges.issue(PurgeKind::object, object_name(n), now);
   }
   constexpr std::uint64_t kObjects = 20'000;
   std::vector<std::pair<std::uint64_t, std::string>> objects;
   for (std::uint64_t n = 0; n < kObjects; ++n) {
     objects.emplace_back(stable_hash(object_name(n * 3)), object_name(n * 3));
     const std::uint64_t tags[] = {stable_hash(fmt::format("contract{}", n)), stable_hash("all")};
-    if (n % 2 == 0) purges.learn(objects.back().first, tags, 1e9 + 200);
+    if (n % 2 == 0) purges.learn_tags(objects.back().first, tags, 1e9 + 200);
   }
   state.counters["MB"] = static_cast<double>(mallinfo2().uordblks - before) / (1 << 20);
   std::size_t n = 0;
   for (auto _ : state) {
     const auto& [hash, name] = objects[n++ % kObjects];
-    benchmark::DoNotOptimize(purges.since(hash, 3, name, 1e9 + 201));
+    benchmark::DoNotOptimize(purges.valid_since(hash, 3, name, 1e9 + 201));
   }
 }
 BENCHMARK(cost_a_txn)->Arg(0)->Arg(1000)->Arg(100'000);
@@ -65,9 +64,10 @@
   Scheduler scheduler;
   {
     store::Store store({folder, 1024});
-    purge::Book book({.entries = 2});
+    purge::PurgeLog book({.entries = 2});
     for (std::uint64_t n = 1; n <= count; ++n) {
-      const purge::Entry e{{scheduler.now(), 1, n}, Kind::object, object_name(n), scheduler.now(), n};
+      const purge::PurgeEntry e{
+          {scheduler.now(), 1, n}, PurgeKind::object, object_name(n), scheduler.now(), n};
       std::string key = "e";
       for (const auto part : {e.stamp.issuer, e.stamp.number})
         for (int shift = 56; shift >= 0; shift -= 8) key += static_cast<char>(part >> shift & 255);
@@ -76,13 +76,13 @@
     }
   }
   auto s = setup(4 * count);
-  s.lasting = true;
+  s.storage = purge::LogStorage::disk;
   Log log("bench");
   for (auto _ : state) {
     store::Store store({folder, 1024});
-    fleet::Purges purges(s, scheduler.now());
+    purge::PurgeRegistry purges(s, scheduler.now());
     fleet::Keeper keeper(scheduler, log, purges, store);
-    if (purges.book().size() != count) state.SkipWithError("not all came back");
+    if (purges.log().size() != count) state.SkipWithError("not all came back");
   }
   std::filesystem::remove_all(folder);
 }
@@ -100,23 +100,24 @@
     std::mt19937 chance(1);
     std::uniform_real_distribution<> roll(0, 1);
     auto s = setup(65536);
-    fleet::Purges purges(s, 1e9);
+    purge::PurgeRegistry purges(s, 1e9);
     std::vector<std::uint64_t> hashes(kObjects);
     std::vector<Seconds> made(kObjects, 0);
     for (int n = 0; n < kObjects; ++n) {
       hashes[n] = stable_hash(object_name(static_cast<std::uint64_t>(n)));
       const std::uint64_t tags[] = {stable_hash(fmt::format("t{}", n % kTags)),
                                     stable_hash(fmt::format("t{}", n * 7 / 3 % kTags))};
-      if (n % 100 < state.range(0)) purges.learn(hashes[n], tags, 1e9);
+      if (n % 100 < state.range(0)) purges.learn_tags(hashes[n], tags, 1e9);
     }
     for (int second = 0; second < kSeconds; ++second) {
-      purges.issue(Kind::tag, fmt::format("t{}", chance() % kTags), 1e9 + second);
+      purges.issue(PurgeKind::tag, fmt::format("t{}", chance() % kTags), 1e9 + second);
       for (int t = 0; t < kTxns; ++t, ++asked) {
         const Seconds now = 1e9 + second + static_cast<Seconds>(t) / kTxns;
         const double u = roll(chance);
         const int n = static_cast<int>(kObjects * u * u * u);
         const Seconds limit = static_cast<Seconds>(state.range(1)) / 1e3;
-        const Seconds least = std::max(purges.since(hashes[n], 0, {}, now), limit > 0 ? now - limit : 0);
+        const Seconds least =
+            std::max(purges.valid_since(hashes[n], 0, {}, now), limit > 0 ? now - limit : 0);
         if (made[n] == 0 || made[n] < least) made[n] = now, ++filled;
       }
     }
--- a/src/control/operators.cpp
+++ b/src/control/operators.cpp
@@ -18,14 +18,14 @@
 namespace {
 
 // A purge's number as every router understands it.
-std::string issuer_text(const purge::Stamp& s) { return fmt::format("{:016x}:{}", s.issuer, s.number); }
+std::string issuer_text(const purge::PurgeStamp& s) { return fmt::format("{:016x}:{}", s.issuer, s.number); }
 
 json refused(const std::string& why) { return {{"ok", false}, {"why", why}}; }
 
 }  // namespace
 
-Operators::Operators(Scheduler& scheduler, Outbox& outbox, Log& log, fleet::Purges& purges, std::string path,
-                     Names names, const fleet::Share* share)
+Operators::Operators(Scheduler& scheduler, Outbox& outbox, Log& log, purge::PurgeRegistry& purges,
+                     std::string path, Names names, const fleet::Share* share)
     : scheduler_(scheduler),
       outbox_(outbox),
       log_(log),
@@ -76,18 +76,18 @@
   }
 }
 
-std::string Operators::number_text(const purge::Stamp& s) const {
+std::string Operators::number_text(const purge::PurgeStamp& s) const {
   if (s.issuer == purges_.setup().self) return names_.self + ":" + std::to_string(s.number);
   return issuer_text(s);
 }
 
-const purge::Entry* Operators::entry_of(const std::string& number) const {
+const purge::PurgeEntry* Operators::entry_of(const std::string& number) const {
   auto rest = std::string_view(number);
   auto issuer = purges_.setup().self;
   if (number.find(':') != std::string::npos)
     if (const auto who = take_field(rest, ':'); who != names_.self)
       issuer = parse<std::uint64_t>(who, "issuer", 16);
-  return purges_.book().find(issuer, parse<std::uint64_t>(rest, "number of a purge"));
+  return purges_.log().find(issuer, parse<std::uint64_t>(rest, "number of a purge"));
 }
 
 // Who is of the fleet, and what it knows of the cache servers that a list may not tell: from whom, how old.
@@ -179,21 +179,21 @@
 
 std::string Operators::answer(const std::string& line) {
   const Seconds now = scheduler_.now();
-  const auto standing = [&](const purge::Entry& e) {
-    const auto s = purges_.standing(e);
+  const auto standing = [&](const purge::PurgeEntry& e) {
+    const auto s = purges_.status(e);
     json lacking = json::array(), unconfirmed = json::array();
-    for (const int p : s.lacking) lacking.push_back(names_.peers[static_cast<std::size_t>(p)]);
-    for (const int b : s.unconfirmed) unconfirmed.push_back(names_.box(b));
+    for (const int p : s.peers_lacking) lacking.push_back(names_.peers[static_cast<std::size_t>(p)]);
+    for (const int b : s.servers_unconfirmed) unconfirmed.push_back(names_.box(b));
     return json{{"number", number_text(e.stamp)},
                 {"issuer", issuer_text(e.stamp)},
-                {"kind", fleet::kKindNames[static_cast<int>(e.kind)]},
-                {"what", e.what},
-                {"ago_s", now - e.from},
-                {"holders", s.holders},
+                {"kind", purge::to_string(e.kind)},
+                {"what", e.target},
+                {"ago_s", now - e.valid_since},
+                {"holders", s.replicas},
                 {"routers", s.routers},
                 {"accepted", s.accepted},
                 {"promise_holds_s_ago",
-                 s.accepted_at > 0 ? json(now - s.accepted_at - purges_.delay()) : json(nullptr)},
+                 s.accepted_at > 0 ? json(now - s.accepted_at - purges_.promised_delay()) : json(nullptr)},
                 {"lacking", lacking},
                 {"boxes_unconfirmed", unconfirmed}};
   };
@@ -203,18 +203,17 @@
     if (what == "fleet")
       return share_ != nullptr ? fleet_answer()
                                : refused("this router shares nothing: share is not in its file").dump();
-    const auto* sync = purges_.sync();
-    if (sync == nullptr)
+    const auto* replication = purges_.replication();
+    if (replication == nullptr)
       return refused("no purges go between routers here: fleet is not in its file, or says purges = false")
           .dump();
     if (what == "purge") {
-      const auto kind = fleet::kind_of(asked.at("kind").get<std::string>());
+      const auto kind = purge::parse_purge_kind(asked.at("kind").get<std::string>());
       auto name = asked.value("what", std::string());
       if (!kind) return refused("no such kind of purge").dump();
-      if (const auto why = purges_.refusal(*kind, name)) return refused(*why).dump();
+      if (const auto why = purges_.rejection_reason(*kind, name)) return refused(*why).dump();
       const auto& e = purges_.issue(*kind, std::move(name), now);
-      log_("purge", "{} issued here: {} {}", number_text(e.stamp),
-           fleet::kKindNames[static_cast<int>(e.kind)], e.what);
+      log_("purge", "{} issued here: {} {}", number_text(e.stamp), purge::to_string(e.kind), e.target);
       auto reply = standing(e);
       reply["ok"] = true;
       return reply.dump();
@@ -227,24 +226,24 @@
       return reply.dump();
     }
     if (what == "status") {
-      const Seconds at = sync->trusted_at(now);
+      const Seconds at = replication->complete_as_of(now);
       json latest = json::array(), peers = json::array();
       constexpr std::size_t kLatest = 20;
-      const auto& entries = purges_.book().entries();
+      const auto& entries = purges_.log().entries();
       for (auto e = entries.rbegin(); e != entries.rend() && latest.size() < kLatest; ++e)
         latest.push_back(standing(e->second));
       for (std::size_t n = 0; n < names_.peers.size(); ++n) {
-        const auto& p = sync->peers()[n];
+        const auto p = replication->peer_status(static_cast<int>(n));
         peers.push_back({{"name", names_.peers[n]},
-                         {"connected", p.up},
+                         {"connected", p.connected},
                          {"complete_s_ago", p.complete_at > 0 ? json(now - p.complete_at) : json(nullptr)}});
       }
       return json{{"ok", true},
-                  {"trusted", sync->trusted(now)},
+                  {"trusted", replication->lease_valid(now)},
                   {"complete_s_ago", at > 0 ? json(std::max(0.0, now - at)) : json(nullptr)},
-                  {"delay_s", purges_.delay()},
-                  {"age_limit_s", purges_.age_limit(now)},
-                  {"held", purges_.book().size()},
+                  {"delay_s", purges_.promised_delay()},
+                  {"age_limit_s", purges_.copy_age_limit(now)},
+                  {"held", purges_.log().size()},
                   {"in_force", purges_.in_force()},
                   {"peers", peers},
                   {"latest", latest}}
--- a/src/control/operators.h
+++ b/src/control/operators.h
@@ -7,11 +7,11 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/purges.h"
 #include "fleet/share.h"
 #include "io/listener.h"
 #include "io/log.h"
 #include "io/stream.h"
+#include "purge/purge_registry.h"
 
 namespace walkpaddle::control {
 
@@ -26,7 +26,7 @@
   };
   // Throws SystemError if the socket cannot be made. One that a dead router left is replaced; one that
   // answers is another router's and is not.
-  Operators(Scheduler& scheduler, Outbox& outbox, Log& log, fleet::Purges& purges, std::string path,
+  Operators(Scheduler& scheduler, Outbox& outbox, Log& log, purge::PurgeRegistry& purges, std::string path,
             Names names, const fleet::Share* share);
   ~Operators();
 
@@ -35,13 +35,13 @@
   Task session(Fd fd);
   std::string answer(const std::string& line);
   std::string fleet_answer() const;
-  std::string number_text(const purge::Stamp& stamp) const;
-  const purge::Entry* entry_of(const std::string& number) const;
+  std::string number_text(const purge::PurgeStamp& stamp) const;
+  const purge::PurgeEntry* entry_of(const std::string& number) const;
 
   Scheduler& scheduler_;
   Outbox& outbox_;
   Log& log_;
-  fleet::Purges& purges_;
+  purge::PurgeRegistry& purges_;
   const std::string path_;
   const Names names_;
   const fleet::Share* const share_;  // null: nothing is shared
--- a/src/dns/front.cpp
+++ b/src/dns/front.cpp
@@ -167,9 +167,9 @@
       co_return;
     }
     // A client brings no age bound: a member that has not confirmed what covers the object is not named.
-    const bool purged = handle.since() > 0 && dispatcher_.purges().sync() != nullptr;
+    const bool purged = handle.since() > 0 && dispatcher_.purges().replication() != nullptr;
     if (!upstream_.listed_ready(d->endpoint) ||
-        (purged && !dispatcher_.purges().confirmed(d->endpoint, handle.since()))) {
+        (purged && !dispatcher_.purges().delivered_to(d->endpoint, handle.since()))) {
       handle.attempt_ended(AttemptOutcome::not_cached, FillOutcome::none, 0, 0, 0, false);
       continue;
     }
--- a/src/fleet/keeper.cpp
+++ b/src/fleet/keeper.cpp
@@ -22,7 +22,7 @@
   return value;
 }
 
-std::string key_of(const Stamp& s) { return numbers_text("e", {s.issuer, s.number}); }
+std::string key_of(const PurgeStamp& s) { return numbers_text("e", {s.issuer, s.number}); }
 
 // Times in the store in whole microseconds.
 constexpr Seconds kMicro = 1e-6;
@@ -39,10 +39,10 @@
   return fresh;
 }
 
-Keeper::Keeper(Scheduler& scheduler, Log& log, Purges& purges, store::Store& store)
+Keeper::Keeper(Scheduler& scheduler, Log& log, purge::PurgeRegistry& purges, store::Store& store)
     : scheduler_(scheduler), log_(log), purges_(purges), store_(store) {
   const Seconds now = scheduler.now();
-  std::vector<Entry> entries;
+  std::vector<PurgeEntry> entries;
   try {
     store_.each([&](std::string_view key, std::string_view value) {
       if (key.starts_with('e')) {
@@ -50,15 +50,15 @@
       } else if (key.starts_with('b')) {
         const auto given_up =
             static_cast<Seconds>(number_of(value.substr(std::min<std::size_t>(8, value.size())))) * kMicro;
-        purges_.restore_base(number_of(key.substr(1)), number_of(value.substr(0, 8)), given_up, now);
+        purges_.restore_dropped(number_of(key.substr(1)), number_of(value.substr(0, 8)), given_up, now);
       }
     });
   } catch (const InputError& e) {
     throw StoreError(std::string("store: ") + e.what());
   }
-  std::ranges::sort(entries, {}, &Entry::place);
+  std::ranges::sort(entries, {}, &PurgeEntry::position);
   for (const auto& e : entries) purges_.restore(e, now);
-  purges_.restored();
+  purges_.finish_restore();
   log_("purge", "{} purges read from the store", entries.size());
   scheduler_.watch(store_.told(), *this);
 }
@@ -68,7 +68,7 @@
 void Keeper::on_ready(std::uint32_t) {
   std::uint64_t count = 0;
   if (::read(store_.told(), &count, sizeof count) != sizeof count) return;
-  purges_.stored(store_.written(), scheduler_.now());
+  purges_.mark_stored(store_.written(), scheduler_.now());
   if (store_.failed() && !std::exchange(said_, true))
     log_("store", "{}: purges issued here are not accepted until it writes again", store_.why());
   if (!store_.failed() && std::exchange(said_, false)) log_("store", "writes again");
@@ -77,17 +77,18 @@
 void Keeper::pull() {
   if (store_.failed()) return;
   while (const auto* e = purges_.next_to_store()) {
-    if (!store_.put(key_of(e->stamp), stored_text(*e), e->place)) return;
-    purges_.handed_to_store(*e);
+    if (!store_.put(key_of(e->stamp), stored_text(*e), e->position)) return;
+    purges_.mark_queued(*e);
   }
   while (const auto* gone = purges_.next_to_erase()) {
-    const auto run = purges_.book().run(gone->issuer);
-    const auto given_up = static_cast<std::uint64_t>(run.given_up / kMicro) + (run.given_up > 0 ? 1 : 0);
+    const auto progress = purges_.log().progress(gone->issuer);
+    const auto given_up = static_cast<std::uint64_t>(progress.evicted_valid_since / kMicro) +
+                          (progress.evicted_valid_since > 0 ? 1 : 0);
     // The base first: cut off between the two, an entry is held that needs not be.
-    if (!store_.put(numbers_text("b", {gone->issuer}), numbers_text("", {run.base, given_up}), 0) ||
+    if (!store_.put(numbers_text("b", {gone->issuer}), numbers_text("", {progress.dropped, given_up}), 0) ||
         !store_.erase(key_of(*gone)))
       return;
-    purges_.erased();
+    purges_.mark_erased();
   }
 }
 
--- a/src/fleet/keeper.h
+++ b/src/fleet/keeper.h
@@ -3,9 +3,9 @@
 
 #include <string>
 
-#include "fleet/purges.h"
 #include "io/log.h"
 #include "io/scheduler.h"
+#include "purge/purge_registry.h"
 #include "store/store.h"
 
 namespace walkpaddle::fleet {
@@ -17,7 +17,7 @@
 class Keeper final : Scheduler::Watcher {
  public:
   // Reads the whole store into `purges`; StoreError if a value cannot be read.
-  Keeper(Scheduler& scheduler, Log& log, Purges& purges, store::Store& store);
+  Keeper(Scheduler& scheduler, Log& log, purge::PurgeRegistry& purges, store::Store& store);
   ~Keeper();
   void pull();  // at a turn's end
 
@@ -25,7 +25,7 @@
   void on_ready(std::uint32_t epoll_events) override;
   Scheduler& scheduler_;
   Log& log_;
-  Purges& purges_;
+  purge::PurgeRegistry& purges_;
   store::Store& store_;
   bool said_ = false;
 };
--- a/src/fleet/links.cpp
+++ b/src/fleet/links.cpp
@@ -15,7 +15,7 @@
   ~Reader() {
     if (peer < 0 || links.links_[peer].stream != &stream) return;
     links.links_[peer].stream = nullptr;
-    links.purges_.sync()->down(peer);
+    links.purges_.replication()->disconnected(peer);
     links.log_("fleet", "{}: connection ended", links.setup_.peers[peer].name);
   }
 
@@ -29,36 +29,39 @@
     auto& link = links.links_[who];
     if (peer < 0 && link.dials) throw InputError("it is dialled from here: " + std::string(name));
     // A second connection means that the other side gave the first up.
-    if (link.stream != nullptr) link.stream->close(), links.purges_.sync()->down(who);
+    if (link.stream != nullptr) link.stream->close(), links.purges_.replication()->disconnected(who);
     peer = who, greeted = true;
     link.stream = &stream;
     if (!link.dials) stream.write(hello_message(links.setup_.name));
-    links.purges_.sync()->up(peer);
+    links.purges_.replication()->connected(peer);
     links.log_("fleet", "{}: connected", name);
   }
   void known() const {
     if (!greeted) throw InputError("no hello first");
   }
   void beat(Seconds theirs, Seconds echo, bool whole) override {
-    known(), sync().beat(peer, theirs, echo, whole);
+    known(), replication().heartbeat_begin(peer, theirs, echo, whole);
   }
   void head(std::uint64_t issuer, std::uint64_t number, std::uint64_t base, Seconds given_up_ago) override {
-    sync().head(peer, issuer, number, base, given_up_ago, links.scheduler_.now());
+    replication().heartbeat_head(peer, issuer, number, base, given_up_ago, links.scheduler_.now());
   }
   void beat_end() override {
-    sync().beat_end(peer, links.scheduler_.now()), links.purges_.after_input(links.scheduler_.now());
+    replication().heartbeat_end(peer, links.scheduler_.now()),
+        links.purges_.after_input(links.scheduler_.now());
   }
-  void entry(const Stamp& stamp, Kind kind, std::string_view what) override {
+  void entry(const PurgeStamp& stamp, PurgeKind kind, std::string_view what) override {
     known();
     const Seconds now = links.scheduler_.now();
-    if (links.purges_.take(stamp, kind, what, now) == Took::full)
+    if (links.purges_.add(stamp, kind, what, now) == purge::AddResult::no_room)
       links.log_("fleet", "{}: a purge had no place and will be asked for again",
                  links.setup_.peers[peer].name);
-    sync().entries_came(now);
+    replication().entry_added(now);
     links.purges_.after_input(now);
   }
-  void want(std::uint64_t issuer, std::uint64_t from) override { known(), sync().want(peer, issuer, from); }
-  Sync& sync() { return *links.purges_.sync(); }
+  void want(std::uint64_t issuer, std::uint64_t from) override {
+    known(), replication().request_received(peer, issuer, from);
+  }
+  PurgeReplication& replication() { return *links.purges_.replication(); }
   // False once the other side speaks what cannot be read.
   bool take_all() {
     try {
@@ -80,7 +83,7 @@
   Seconds heard = 0;
 };
 
-Links::Links(Scheduler& scheduler, Outbox& outbox, Log& log, Purges& purges, const Setup& setup)
+Links::Links(Scheduler& scheduler, Outbox& outbox, Log& log, purge::PurgeRegistry& purges, const Setup& setup)
     : scheduler_(scheduler),
       outbox_(outbox),
       log_(log),
@@ -161,21 +164,21 @@
 void Links::pull() {
   // Past this the other side does not read: it asks again for what it lacks once it is back.
   constexpr std::size_t kUnread = 4 << 20;
-  auto& sync = *purges_.sync();
+  auto& replication = *purges_.replication();
   const Seconds now = scheduler_.now();
-  using Kind = Sync::Send::Kind;
-  while (const auto s = sync.next(now)) {
+  using Kind = PurgeReplication::Outgoing::Kind;
+  while (const auto s = replication.next(now)) {
     auto* stream = links_[s->peer].stream;
     if (stream == nullptr) continue;
     if (stream->unsent() > kUnread) {
       stream->close();
       continue;
     }
-    stream->write(s->kind == Kind::beat    ? beat_message(purges_.book(), sync, now, s->echo)
-                  : s->kind == Kind::entry ? entry_message(*s->entry)
-                                           : want_message(s->issuer, s->from));
+    stream->write(s->kind == Kind::heartbeat ? beat_message(purges_.log(), replication, now, s->echo)
+                  : s->kind == Kind::entry   ? entry_message(*s->entry)
+                                             : want_message(s->issuer, s->from_number));
   }
-  const Seconds due = sync.next_due();
+  const Seconds due = replication.next_due();
   if (due < due_at_) due_at_ = due, due_.set();
 }
 
--- a/src/fleet/links.h
+++ b/src/fleet/links.h
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/purges.h"
 #include "io/listener.h"
 #include "io/log.h"
 #include "io/stream.h"
+#include "purge/purge_registry.h"
 
 namespace walkpaddle::fleet {
 
@@ -25,7 +25,7 @@
     std::vector<Peer> peers;  // in the order of Sync's numbers
   };
   // Throws SystemError if the address cannot be listened on.
-  Links(Scheduler& scheduler, Outbox& outbox, Log& log, Purges& purges, const Setup& setup);
+  Links(Scheduler& scheduler, Outbox& outbox, Log& log, purge::PurgeRegistry& purges, const Setup& setup);
   void pull();  // at a turn's end
 
  private:
@@ -43,7 +43,7 @@
   Scheduler& scheduler_;
   Outbox& outbox_;
   Log& log_;
-  Purges& purges_;
+  purge::PurgeRegistry& purges_;
   const Setup setup_;
   std::vector<Link> links_;
   std::size_t sessions_ = 0;  // also those that have not said who they are
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -19,14 +19,14 @@
   return out + text;
 }
 
-Kind kind_of(int number) {
-  if (number >= purge::kKinds) throw_bad_value("kind of purge", std::to_string(number));
-  return static_cast<Kind>(number);
+PurgeKind kind_of(int number) {
+  if (number >= purge::kPurgeKindCount) throw_bad_value("kind of purge", std::to_string(number));
+  return static_cast<PurgeKind>(number);
 }
 
 std::string_view what_of(const schema::Entry::Reader& e) {
   const auto what = text_of(e.getWhat());
-  if (what.size() > purge::kLongest) throw_bad_value("purge of length", std::to_string(what.size()));
+  if (what.size() > purge::kMaxTargetBytes) throw_bad_value("purge of length", std::to_string(what.size()));
   if (e.getNumber() == 0) throw_bad_value("number", "0");
   return what;
 }
@@ -136,12 +136,12 @@
   }
 }
 
-void put(schema::Entry::Builder b, const Entry& e) {
-  b.setAt(e.stamp.at);
+void put(schema::Entry::Builder b, const PurgeEntry& e) {
+  b.setAt(e.stamp.issued_at);
   b.setIssuer(e.stamp.issuer);
   b.setNumber(e.stamp.number);
   b.setKind(static_cast<std::uint8_t>(e.kind));
-  b.setWhat(e.what.c_str());
+  b.setWhat(e.target.c_str());
 }
 
 }  // namespace
@@ -167,25 +167,27 @@
   return framed(message);
 }
 
-std::string beat_message(const purge::Book& book, const Sync& sync, Seconds now, Seconds echo) {
+std::string beat_message(const purge::PurgeLog& log, const PurgeReplication& replication, Seconds now,
+                         Seconds echo) {
   capnp::MallocMessageBuilder message;
   auto beat = message.initRoot<schema::Message>().initBeat();
   beat.setTime(now);
   beat.setEcho(echo);
-  beat.setWhole(sync.whole());
-  auto heads = beat.initHeads(static_cast<unsigned>(book.runs().size()));
+  beat.setWhole(replication.complete());
+  auto heads = beat.initHeads(static_cast<unsigned>(log.issuers().size()));
   unsigned n = 0;
-  for (const auto& [issuer, run] : book.runs()) {
+  for (const auto& [issuer, progress] : log.issuers()) {
     auto head = heads[n++];
     head.setIssuer(issuer);
-    head.setNumber(sync.held(issuer));
-    head.setBase(std::min(run.base, sync.held(issuer)));
-    head.setGivenUpAgo(run.given_up > 0 ? std::max(1e-6, now - run.given_up) : 0);
+    head.setNumber(replication.acknowledged(issuer));
+    head.setBase(std::min(progress.dropped, replication.acknowledged(issuer)));
+    head.setGivenUpAgo(progress.evicted_valid_since > 0 ? std::max(1e-6, now - progress.evicted_valid_since)
+                                                        : 0);
   }
   return framed(message);
 }
 
-std::string entry_message(const Entry& e) {
+std::string entry_message(const PurgeEntry& e) {
   capnp::MallocMessageBuilder message;
   put(message.initRoot<schema::Message>().initEntry(), e);
   return framed(message);
@@ -310,23 +312,23 @@
   return text;
 }
 
-std::string stored_text(const Entry& e) {
+std::string stored_text(const PurgeEntry& e) {
   capnp::MallocMessageBuilder message;
   auto entry = message.initRoot<schema::Entry>();
   put(entry, e);
-  entry.setFrom(e.from);
-  entry.setPlace(e.place);
+  entry.setFrom(e.valid_since);
+  entry.setPlace(e.position);
   return flat(message);
 }
 
-Entry stored_entry(std::string_view bytes) {
+PurgeEntry stored_entry(std::string_view bytes) {
   return reading<schema::Entry>(bytes, [](const schema::Entry::Reader& e) {
     const auto what = what_of(e);
-    return Entry{{time_of(e.getAt()), e.getIssuer(), e.getNumber()},
-                 kind_of(e.getKind()),
-                 std::string(what),
-                 time_of(e.getFrom()),
-                 e.getPlace()};
+    return PurgeEntry{{time_of(e.getAt()), e.getIssuer(), e.getNumber()},
+                      kind_of(e.getKind()),
+                      std::string(what),
+                      time_of(e.getFrom()),
+                      e.getPlace()};
   });
 }
 
--- a/src/fleet/wire.h
+++ b/src/fleet/wire.h
@@ -12,11 +12,11 @@
 
 #include "compat/verdict.h"
 #include "fleet/gossip.h"
-#include "fleet/sync.h"
+#include "purge/purge_replication.h"
 
 namespace walkpaddle::fleet {
 
-using purge::Kind, purge::Stamp;
+using purge::PurgeEntry, purge::PurgeKind, purge::PurgeReplication, purge::PurgeStamp;
 
 constexpr int kVersion = 1;
 // What this program reads of each channel; schemas/rules.json says the same, and compat_kept holds them
@@ -31,7 +31,7 @@
   virtual void beat(Seconds theirs, Seconds echo, bool whole) = 0;
   virtual void head(std::uint64_t issuer, std::uint64_t number, std::uint64_t base, Seconds given_up_ago) = 0;
   virtual void beat_end() = 0;
-  virtual void entry(const Stamp& stamp, Kind kind, std::string_view what) = 0;
+  virtual void entry(const PurgeStamp& stamp, PurgeKind kind, std::string_view what) = 0;
   virtual void want(std::uint64_t issuer, std::uint64_t from) = 0;
 
  protected:
@@ -42,8 +42,9 @@
 std::size_t read_message(std::string_view bytes, Messages& into);
 
 std::string hello_message(std::string_view name);
-std::string beat_message(const purge::Book& book, const Sync& sync, Seconds now, Seconds echo);
-std::string entry_message(const Entry& entry);
+std::string beat_message(const purge::PurgeLog& log, const PurgeReplication& replication, Seconds now,
+                         Seconds echo);
+std::string entry_message(const PurgeEntry& entry);
 std::string want_message(std::uint64_t issuer, std::uint64_t from);
 
 // A datagram of the gossip: read whole before anything of it is handed on. `peer_of` gives the index of the
@@ -63,7 +64,7 @@
 std::string numbers_text(std::string text, std::initializer_list<std::uint64_t> numbers);
 
 // An entry as it stands in the store, with `from` and its place; read back it is handed to `take`.
-std::string stored_text(const Entry& entry);
-Entry stored_entry(std::string_view bytes);  // InputError if it cannot be read
+std::string stored_text(const PurgeEntry& entry);
+PurgeEntry stored_entry(std::string_view bytes);  // InputError if it cannot be read
 
 }  // namespace walkpaddle::fleet
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -22,7 +22,7 @@
   const int m = upstream_.member(id);
   if (whole_) in_list_.insert(m);
   upstream_.told(m, address, state);
-  dispatcher_.purges().boxes().listed(m, state != EndpointState::gone);
+  dispatcher_.purges().delivery().set_listed(m, state != EndpointState::gone);
   dispatcher_.input().update_endpoint(m, stable_hash(id), location, kind, cell, state, weight,
                                       clock_.started_at(m, started, scheduler_.now()));
   if (watch_ != nullptr)
@@ -34,7 +34,7 @@
   for (int m = 0; whole_ && m < upstream_.members(); ++m) {
     if (in_list_.contains(m)) continue;
     upstream_.told(m, upstream_.address(m), EndpointState::gone);
-    dispatcher_.purges().boxes().listed(m, false);
+    dispatcher_.purges().delivery().set_listed(m, false);
   }
   dispatcher_.input().end_endpoint_list();
   tell_facts();
@@ -58,11 +58,11 @@
 }
 
 void DiscoveryClient::purged(std::string_view object, Seconds at) {
-  dispatcher_.purges().bus_object(stable_hash(object), clock_.purged_at(at, scheduler_.now()));
+  dispatcher_.purges().discovery_purged_object(stable_hash(object), clock_.purged_at(at, scheduler_.now()));
 }
 
 void DiscoveryClient::purged_group(std::uint32_t group, Seconds at) {
-  dispatcher_.purges().bus_group(group, clock_.purged_at(at, scheduler_.now()));
+  dispatcher_.purges().discovery_purged_group(group, clock_.purged_at(at, scheduler_.now()));
 }
 
 void DiscoveryClient::follow(const Address& bus) {
@@ -153,13 +153,13 @@
         const bool again = std::exchange(gap_after_, held) == held;
         log_("bus", "events {} to {} never came{}", held + 1, seen - 1,
              again ? ", asked again: given up" : "");
-        dispatcher_.purges().bus_gap(!again, now);
+        dispatcher_.purges().set_discovery_gap(!again);
         if (!again) return false;
-        dispatcher_.purges().bus_lost(now);
+        dispatcher_.purges().discovery_purges_lost(now);
         last_ = seen;
       }
       if (gap_after_ != kNoGap && last_ > gap_after_)
-        gap_after_ = kNoGap, dispatcher_.purges().bus_gap(false, now);
+        gap_after_ = kNoGap, dispatcher_.purges().set_discovery_gap(false);
     }
   } catch (const InputError& e) {
     log_("bus", "{}", e.what());
--- a/src/net/purge_notifier.h
+++ b/src/net/purge_notifier.h
@@ -4,25 +4,26 @@
 
 #include <string>
 
-#include "fleet/purges.h"
 #include "io/log.h"
 #include "net/upstream_pool.h"
+#include "purge/purge_registry.h"
 
 namespace walkpaddle::net {
 
 class PurgeNotifier final : UpstreamPool::Commands {
  public:
   // `run` names this run of places: another run's cursors mean nothing.
-  PurgeNotifier(Scheduler& scheduler, Log& log, fleet::Purges& purges, UpstreamPool& caches, std::string run);
+  PurgeNotifier(Scheduler& scheduler, Log& log, purge::PurgeRegistry& purges, UpstreamPool& caches,
+                std::string run);
 
  private:
   void command_answered(int member, const std::vector<std::string_view>& words) override;
-  void connection_lost(int member) override { purges_.boxes().connection_lost(member); }
+  void connection_lost(int member) override { purges_.delivery().connection_lost(member); }
   Task tell_all();
 
   Scheduler& scheduler_;
   Log& log_;
-  fleet::Purges& purges_;
+  purge::PurgeRegistry& purges_;
   UpstreamPool& upstream_;
   const std::string run_;
 };
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -34,7 +34,7 @@
 }
 
 void RequestHandle::tell_purges() {
-  const Seconds since = dispatcher_.purges_.since(object_, group_, name_, dispatcher_.scheduler_.now());
+  const Seconds since = dispatcher_.purges_.valid_since(object_, group_, name_, dispatcher_.scheduler_.now());
   if (since == since_) return;
   since_ = since;
   record_.purged(since);
@@ -68,7 +68,7 @@
 }
 
 RequestDispatcher::RequestDispatcher(Scheduler& scheduler, std::uint32_t seed, const Settings& settings,
-                                     fleet::Purges& purges, guard::Guard::Report report)
+                                     purge::PurgeRegistry& purges, guard::Guard::Report report)
     : scheduler_(scheduler),
       purges_(purges),
       guard_(std::move(report)),
@@ -123,7 +123,7 @@
 // the settings' least time between two; the first after a quiet while comes at once.
 void RequestDispatcher::turn_ends() {
   // At once, before anything that was decided before them goes out.
-  if (std::exchange(purges_told_, purges_.changes()) != purges_.changes())
+  if (std::exchange(purges_told_, purges_.version()) != purges_.version())
     for (auto* handle : handles_)
       if (handle != nullptr) handle->tell_purges();
   if (scheduler_.now() >= pulled_at_ + between_pulls_) return pull();
@@ -141,7 +141,7 @@
 
 void RequestDispatcher::pull() {
   pulled_at_ = scheduler_.now();
-  input().copies_no_older_than(purges_.age_limit(pulled_at_));
+  input().copies_no_older_than(purges_.copy_age_limit(pulled_at_));
   while (const auto d = brain_->next()) {
     using Kind = Decision::Kind;
     if (d->kind == Kind::wake_up) {
--- a/src/net/request_dispatcher.h
+++ b/src/net/request_dispatcher.h
@@ -7,10 +7,10 @@
 
 #include "change/evidence.h"
 #include "config/settings.h"
-#include "fleet/purges.h"
 #include "guard/guard.h"
 #include "io/scheduler.h"
 #include "net/upstream_pool.h"
+#include "purge/purge_registry.h"
 #include "routing/policy.h"
 
 namespace walkpaddle::net {
@@ -57,14 +57,14 @@
 
 class RequestDispatcher {
  public:
-  RequestDispatcher(Scheduler& scheduler, std::uint32_t seed, const Settings& settings, fleet::Purges& purges,
-                    guard::Guard::Report report = {});
+  RequestDispatcher(Scheduler& scheduler, std::uint32_t seed, const Settings& settings,
+                    purge::PurgeRegistry& purges, guard::Guard::Report report = {});
 
   RoutingPolicy& input();  // the module, with the clock set
   const RoutingPolicy& module() const { return *brain_; }
   void load_reported(int member,
                      double busy);  // with an answer; only where the settings say that answers tell
-  fleet::Purges& purges() { return purges_; }
+  purge::PurgeRegistry& purges() { return purges_; }
   guard::Guard& guard() { return guard_; }
   // What the txns come to, for the judge of changes; only where changes are made.
   void begin_tally(std::uint64_t epoch, Seconds quiet_until);
@@ -82,7 +82,7 @@
   Task keep_time();
 
   Scheduler& scheduler_;
-  fleet::Purges& purges_;
+  purge::PurgeRegistry& purges_;
   guard::Guard guard_;
   std::vector<guard::RequestRecord::Rule> effects_;  // by rule
   std::unique_ptr<RoutingPolicy> brain_;
--- a/src/net/request_handler.cpp
+++ b/src/net/request_handler.cpp
@@ -38,14 +38,14 @@
 
 // What a completed hop comes to once the purges of now are held against its copy. Where the age is told it is
 // the sending that it is counted back from: a copy is taken for as old as it may be.
-AttemptOutcome checked(fleet::Purges& purges, const Request& o, std::uint64_t object, const Attempt& hop,
-                       const AttemptResult& end, Seconds allowed, Seconds now) {
+AttemptOutcome checked(purge::PurgeRegistry& purges, const Request& o, std::uint64_t object,
+                       const Attempt& hop, const AttemptResult& end, Seconds allowed, Seconds now) {
   constexpr Seconds kRounding = 0.002;  // whole milliseconds, up at one side and down at the other
-  if (end.tags_told) purges.learn(object, end.tags, now);
+  if (end.tags_told) purges.learn_tags(object, end.tags, now);
   const Seconds made = end.age >= 0 ? hop.started() - end.age : allowed > 0 ? hop.started() - allowed : 0;
   if (end.age >= 0 && allowed > 0 && end.age > allowed + kRounding) return AttemptOutcome::stale;
-  return purges.too_old(object, o.group, o.object_text, end.tags, made, now) ? AttemptOutcome::cancelled
-                                                                             : AttemptOutcome::served;
+  return purges.is_stale(object, o.group, o.object_text, end.tags, made, now) ? AttemptOutcome::cancelled
+                                                                              : AttemptOutcome::served;
 }
 
 }  // namespace
@@ -123,7 +123,7 @@
     }
     // A hop under way when a purge came, or a cache that confirmed and answers old all the same: not this
     // answer.
-    if (end.verdict == AttemptOutcome::served && dispatcher.purges().sync() != nullptr &&
+    if (end.verdict == AttemptOutcome::served && dispatcher.purges().replication() != nullptr &&
         !order.uncacheable) {
       end.verdict = checked(dispatcher.purges(), order, object, hop, end, d->max_age, scheduler.now());
       if (end.verdict == AttemptOutcome::stale)
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -83,9 +83,9 @@
   return ::read(fd.get(), &info, sizeof info) == sizeof info ? static_cast<int>(info.ssi_signo) : 0;
 }
 
-fleet::Purges::Setup Router::purges_setup() {
-  fleet::Purges::Setup s;
-  s.settle = config_.settings.ms("specifics.purge_settles");
+purge::PurgeRegistry::Setup Router::purges_setup() {
+  purge::PurgeRegistry::Setup s;
+  s.discovery_settle_time = config_.settings.ms("specifics.purge_settles");
   const auto& f = file_.fleet;
   if (!f.on) return s;
   if (!file_.store_folder.empty())
@@ -95,10 +95,14 @@
   // A start without a store is another issuer each time: its numbers begin anew.
   run_ = fmt::format("{:016x}", stable_hash(fmt::format("{} {} {}", f.name, config_.seed, scheduler_.now())));
   if (store_) run_ = fleet::run_of(*store_, run_);
-  s.fleet = true, s.peers = static_cast<int>(f.peers.size()), s.lasting = store_ != nullptr;
+  s.replicated = true;
+  s.peer_count = static_cast<int>(f.peers.size());
+  s.storage = store_ ? purge::LogStorage::disk : purge::LogStorage::memory;
   s.self = stable_hash(f.name + " " + run_);
-  s.copy_life = f.copy_life, s.sync = {f.lease, f.beat};
-  s.entries = static_cast<std::size_t>(f.entries), s.objects = static_cast<std::size_t>(f.objects);
+  s.max_copy_age = f.copy_life;
+  s.timing = {f.lease, f.beat};
+  s.max_entries = static_cast<std::size_t>(f.entries);
+  s.max_objects = static_cast<std::size_t>(f.objects);
   return s;
 }
 
--- a/src/net/router.h
+++ b/src/net/router.h
@@ -86,7 +86,7 @@
   Task live();
   fleet::Belief belief() const;  // what the module has learnt, for others to keep
   void take_back(const fleet::Belief& belief);
-  fleet::Purges::Setup purges_setup();
+  purge::PurgeRegistry::Setup purges_setup();
   void pull_fleet();
   std::optional<fleet::Changes::Setup> changes_setup();
   void read_documents();
@@ -107,7 +107,7 @@
   Signals signals_;
   std::unique_ptr<store::Store> store_;
   std::string run_;  // of this router's store, or of this start
-  fleet::Purges purges_;
+  purge::PurgeRegistry purges_;
   Seconds trim_at_ = 0;
   RequestDispatcher dispatcher_;  // before the outbox: what a turn decides goes out at its end
   struct AtTurnsEnd {
--- a/src/purge/patterns.cpp
+++ b/src/purge/patterns.cpp
@@ -4,6 +4,8 @@
 #include <re2/set.h>
 
 #include <algorithm>
+#include <utility>
+#include <vector>
 
 #include "purge/entry.h"
 
@@ -11,96 +13,104 @@
 
 namespace {
 
-RE2::Options options() {
-  constexpr int kMemory = 256 * 1024;  // for programs and states of one set; more counts as a match
-  RE2::Options o;
-  o.set_max_mem(kMemory);
-  o.set_log_errors(false);
-  o.set_never_nl(true);
-  return o;
+RE2::Options re2_options() {
+  constexpr int kMaxSetBytes = 256 * 1024;  // for programs and states of one set; past it all of it matches
+  RE2::Options options;
+  options.set_max_mem(kMaxSetBytes);
+  options.set_log_errors(false);
+  options.set_never_nl(true);
+  return options;
 }
 
 }  // namespace
 
-struct Patterns::Set {
-  std::vector<std::pair<std::string, Seconds>> items;
-  std::uint64_t first = 0;  // number of the first
+struct PurgePatterns::Set {
+  std::vector<std::pair<std::string, Seconds>> items;  // pattern and valid_since
+  std::uint64_t first = 0;                             // number of the first
   Seconds newest = 0;
-  std::unique_ptr<RE2::Set> compiled;  // none: it could not be, all count as matching
+  std::unique_ptr<RE2::Set> compiled;  // null: it could not be compiled, all count as matching
 
   void compile() {
-    compiled = std::make_unique<RE2::Set>(options(), RE2::ANCHOR_BOTH);
-    for (const auto& [text, from] : items)
-      if (compiled->Add(re2::StringPiece(text), nullptr) < 0) {
+    compiled = std::make_unique<RE2::Set>(re2_options(), RE2::ANCHOR_BOTH);
+    for (const auto& [pattern, valid_since] : items)
+      if (compiled->Add(re2::StringPiece(pattern), nullptr) < 0) {
         compiled.reset();
         return;
       }
-    if (compiled && !compiled->Compile()) compiled.reset();
+    if (!compiled->Compile()) compiled.reset();
   }
-  Seconds match(std::string_view name, std::vector<int>& hits) const {
+
+  // `hits` is room that the caller lends.
+  Seconds newest_match(std::string_view name, std::vector<int>& hits) const {
     if (!compiled) return newest;
+    hits.clear();
     RE2::Set::ErrorInfo error{};
     if (!compiled->Match(re2::StringPiece(name.data(), name.size()), &hits, &error))
       return error.kind == RE2::Set::kNoError ? 0 : newest;
     Seconds found = 0;
-    for (const int n : hits) found = std::max(found, items[static_cast<std::size_t>(n)].second);
+    for (const int hit : hits) found = std::max(found, items[static_cast<std::size_t>(hit)].second);
     return found;
   }
 };
 
-Patterns::Patterns() = default;
-Patterns::~Patterns() = default;
+PurgePatterns::PurgePatterns() = default;
+PurgePatterns::~PurgePatterns() = default;
 
-std::optional<std::string> Patterns::refusal(std::string_view pattern) {
-  constexpr int kLargest = 2000;  // RE2's own instructions; a few hundred are usual
+std::optional<std::string> PurgePatterns::rejection_reason(std::string_view pattern) {
+  constexpr int kMaxProgramSteps = 2000;  // RE2's own instructions; a few hundred are usual
   if (pattern.empty()) return "a pattern is empty";
-  if (pattern.size() > kLongest) return "a pattern has more than " + std::to_string(kLongest) + " bytes";
-  const RE2 one(re2::StringPiece(pattern.data(), pattern.size()), options());
-  if (!one.ok()) return "a pattern cannot be compiled: " + one.error();
-  if (one.ProgramSize() > kLargest)
-    return "a pattern needs " + std::to_string(one.ProgramSize()) + " steps, " + std::to_string(kLargest) +
-           " at most";
+  if (pattern.size() > kMaxTargetBytes)
+    return "a pattern has more than " + std::to_string(kMaxTargetBytes) + " bytes";
+  const RE2 compiled(re2::StringPiece(pattern.data(), pattern.size()), re2_options());
+  if (!compiled.ok()) return "a pattern cannot be compiled: " + compiled.error();
+  if (compiled.ProgramSize() > kMaxProgramSteps)
+    return "a pattern needs " + std::to_string(compiled.ProgramSize()) + " steps, " +
+           std::to_string(kMaxProgramSteps) + " at most";
   return std::nullopt;
 }
 
-void Patterns::add(std::string_view pattern, Seconds from) {
-  if (sets_.empty() || sets_.back()->items.size() >= kASet)
-    sets_.emplace_back(std::make_unique<Set>())->first = added_;
+void PurgePatterns::add(std::string_view pattern, Seconds valid_since) {
+  const auto start_set = [&] {
+    sets_.push_back(std::make_unique<Set>());
+    sets_.back()->first = added_;
+  };
+  if (sets_.empty() || sets_.back()->items.size() >= kPatternsPerSet) start_set();
   auto* set = sets_.back().get();
-  set->items.emplace_back(pattern, from);
+  set->items.emplace_back(pattern, valid_since);
   set->compile();
   if (!set->compiled && set->items.size() > 1) {  // too large together: it stands alone
     set->items.pop_back();
     set->compile();
-    set = sets_.emplace_back(std::make_unique<Set>()).get();
-    set->first = added_;
-    set->items.emplace_back(pattern, from);
+    start_set();
+    set = sets_.back().get();
+    set->items.emplace_back(pattern, valid_since);
     set->compile();
   }
-  set->newest = std::max(set->newest, from);
-  ++added_, ++size_;
+  set->newest = std::max(set->newest, valid_since);
+  ++added_;
+  ++size_;
 }
 
-Seconds Patterns::newest(std::string_view name, std::uint64_t since) const {
+Seconds PurgePatterns::newest_match(std::string_view name, std::uint64_t since) const {
   Seconds found = 0;
   std::vector<int> hits;
-  for (auto set = sets_.rbegin(); set != sets_.rend(); ++set) {
-    if ((*set)->first + (*set)->items.size() <= since) break;
-    if ((*set)->newest <= found) continue;
-    hits.clear();
-    found = std::max(found, (*set)->match(name, hits));
+  for (auto it = sets_.rbegin(); it != sets_.rend(); ++it) {
+    const auto& set = **it;
+    if (set.first + set.items.size() <= since) break;
+    if (set.newest > found) found = std::max(found, set.newest_match(name, hits));
   }
   return found;
 }
 
-Seconds Patterns::trim(Seconds least) {
-  Seconds given_up = 0;
-  while (!sets_.empty() && (sets_.front()->newest < least || sets_.size() > kMostSets)) {
-    if (sets_.front()->newest >= least) given_up = std::max(given_up, sets_.front()->newest);
-    size_ -= sets_.front()->items.size();
+Seconds PurgePatterns::trim(Seconds expired_before) {
+  Seconds evicted = 0;
+  while (!sets_.empty() && (sets_.front()->newest < expired_before || sets_.size() > kMaxSets)) {
+    const auto& oldest = *sets_.front();
+    if (oldest.newest >= expired_before) evicted = std::max(evicted, oldest.newest);
+    size_ -= oldest.items.size();
     sets_.pop_front();
   }
-  return given_up;
+  return evicted;
 }
 
 }  // namespace walkpaddle::purge
--- /dev/null
+++ b/src/purge/purge_registry.cpp
@@ -0,0 +1,201 @@
+#include "purge/purge_registry.h"
+
+#include <algorithm>
+
+namespace walkpaddle::purge {
+
+namespace {
+
+constexpr std::size_t kDiscoveryEntriesPerKind = 4096;  // far past any seen within a settle time
+constexpr std::uint64_t kMaxStoreLag = 65536;           // entries issued while nothing can be stored
+constexpr std::size_t kMaxErasuresPending = 65536;
+constexpr std::size_t kMaxIssuedWatched = 256;  // more than an operator looks at
+
+PurgeIndex::Limits index_limits(const PurgeRegistry::Setup& setup) {
+  // Discovery's purges stay a second longer: cache servers' clocks and the way to them.
+  const Seconds discovery_age = setup.discovery_settle_time + 1;
+  return {.max_age = setup.replicated ? std::max(setup.max_copy_age, discovery_age) : discovery_age,
+          .entries_per_kind = setup.replicated ? setup.max_entries : kDiscoveryEntriesPerKind,
+          .objects = setup.max_objects};
+}
+
+bool is_visible(char c) { return c > ' ' && c <= '~'; }
+
+bool is_digit(char c) { return c >= '0' && c <= '9'; }
+
+}  // namespace
+
+PurgeRegistry::PurgeRegistry(const Setup& setup, Seconds now)
+    : setup_(setup),
+      log_({.max_age = setup.max_copy_age, .entries = setup.max_entries}),
+      index_(index_limits(setup)),
+      delivery_(log_) {
+  if (setup.replicated) replication_.emplace(log_, setup.peer_count, setup.storage, setup.timing, now);
+}
+
+void PurgeRegistry::discovery_purged_object(std::uint64_t object, Seconds valid_since) {
+  ++version_;
+  index_.add_object(object, valid_since);
+}
+
+void PurgeRegistry::discovery_purged_group(std::uint32_t group, Seconds valid_since) {
+  ++version_;
+  index_.add_group(group, valid_since);
+}
+
+void PurgeRegistry::set_discovery_gap(bool open) {
+  ++version_;
+  discovery_gap_ = open;
+}
+
+void PurgeRegistry::discovery_purges_lost(Seconds now) {
+  discovery_gap_ = false;
+  put_all_in_force(now);
+}
+
+std::optional<std::string> PurgeRegistry::rejection_reason(PurgeKind kind, std::string_view target) const {
+  if (!replication_) return "no fleet is set up: [fleet] is missing in the operator's file";
+  if (kind == PurgeKind::all) {
+    if (target.empty()) return std::nullopt;
+    return "'all' takes no name";
+  }
+  if (target.empty() || target.size() > kMaxTargetBytes || !std::ranges::all_of(target, is_visible))
+    return "it takes 1 to " + std::to_string(kMaxTargetBytes) + " visible characters without spaces";
+  if (kind == PurgeKind::group && (target.size() > 3 || !std::ranges::all_of(target, is_digit)))
+    return "a group is a number from 0 to 255";
+  if (kind == PurgeKind::pattern) return PurgePatterns::rejection_reason(target);
+  // The writer is behind or the disk is full.
+  if (is_disk_backed() && log_.last_position() - stored_position_ > kMaxStoreLag)
+    return "the store is too far behind";
+  return std::nullopt;
+}
+
+void PurgeRegistry::put_in_force(const PurgeEntry& entry) {
+  ++version_;
+  index_.add(entry);
+}
+
+void PurgeRegistry::put_all_in_force(Seconds valid_since) {
+  ++version_;
+  index_.add_all(valid_since);
+}
+
+const PurgeEntry& PurgeRegistry::issue(PurgeKind kind, std::string target, Seconds now) {
+  const auto& entry = log_.issue(setup_.self, kind, std::move(target), now);
+  put_in_force(entry);
+  if (!is_disk_backed()) replication_->broadcast(entry);  // else once it is stored
+  issued_.emplace_back(entry.stamp, 0);
+  if (issued_.size() > kMaxIssuedWatched) issued_.pop_front();
+  note_accepted(now);
+  return entry;
+}
+
+void PurgeRegistry::note_accepted(Seconds now) {
+  for (auto& [stamp, accepted_at] : issued_) {
+    if (accepted_at > 0) continue;
+    const auto* entry = log_.find(stamp.issuer, stamp.number);
+    if (entry != nullptr && replication_->replicas(*entry) >= replication_->majority()) accepted_at = now;
+  }
+}
+
+AddResult PurgeRegistry::add(const PurgeStamp& stamp, PurgeKind kind, std::string_view target, Seconds now) {
+  if (kind == PurgeKind::pattern && PurgePatterns::rejection_reason(target)) {
+    // Another version's pattern: everything covers more.
+    kind = PurgeKind::all;
+    target = {};
+  }
+  const PurgeEntry* added = nullptr;
+  const auto result = log_.add(stamp, kind, target, now, &added);
+  if (added != nullptr) put_in_force(*added);
+  return result;
+}
+
+void PurgeRegistry::after_input(Seconds now) {
+  if (!replication_) return;
+  if (const auto stale_before = replication_->take_stale_before()) put_all_in_force(*stale_before);
+  if (replication_->take_loss()) issue(PurgeKind::all, "", now);
+  note_accepted(now);
+}
+
+void PurgeRegistry::restore(const PurgeEntry& entry, Seconds now) {
+  const PurgeEntry* added = nullptr;
+  auto restored = entry;
+  // A clock set back since then must not make a purge younger than now.
+  restored.valid_since = std::min(entry.valid_since, now);
+  log_.restore(std::move(restored), now, &added);
+  if (added != nullptr) put_in_force(*added);
+}
+
+void PurgeRegistry::restore_dropped(std::uint64_t issuer, std::uint64_t dropped, Seconds evicted_valid_since,
+                                    Seconds now) {
+  const Seconds valid_since = std::min(evicted_valid_since, now);
+  if (evicted_valid_since > 0) index_.add_all(valid_since);
+  log_.skip_dropped(issuer, dropped, valid_since, now);
+}
+
+void PurgeRegistry::finish_restore() {
+  stored_position_ = log_.last_position();
+  queued_position_ = stored_position_;
+  log_.mark_durable(stored_position_);
+  if (is_disk_backed()) delivery_.allow_up_to(stored_position_);
+}
+
+const PurgeEntry* PurgeRegistry::next_to_store() const {
+  return is_disk_backed() ? log_.at_or_after(queued_position_ + 1) : nullptr;
+}
+
+void PurgeRegistry::mark_stored(std::uint64_t position, Seconds now) {
+  const auto before = stored_position_;
+  stored_position_ = std::max(stored_position_, position);
+  log_.mark_durable(stored_position_);
+  delivery_.allow_up_to(stored_position_);
+  for (const auto* entry = log_.at_or_after(before + 1);
+       entry != nullptr && entry->position <= stored_position_; entry = log_.at_or_after(entry->position + 1))
+    if (entry->stamp.issuer == setup_.self) replication_->broadcast(*entry);
+  replication_->heartbeat_soon();
+  note_accepted(now);
+}
+
+PurgeRegistry::Status PurgeRegistry::status(const PurgeEntry& entry) const {
+  Status status{.routers = setup_.peer_count + 1};
+  status.replicas = replication_->replicas(entry);
+  status.accepted = status.replicas >= replication_->majority();
+  for (const auto& [stamp, accepted_at] : issued_)
+    if (stamp == entry.stamp) status.accepted_at = accepted_at;
+  status.peers_lacking = replication_->peers_lacking(entry);
+  status.servers_unconfirmed = delivery_.unconfirmed(entry.position);
+  return status;
+}
+
+Seconds PurgeRegistry::copy_age_limit(Seconds now) const {
+  // While watch events are missing: a way to a cache server and back over links that are slow.
+  constexpr Seconds kGapAgeLimit = 0.2;
+  const Seconds fleet_limit = replication_ ? replication_->copy_age_limit(now) : 0;
+  if (!discovery_gap_) return fleet_limit;
+  return fleet_limit > 0 ? std::min(fleet_limit, kGapAgeLimit) : kGapAgeLimit;
+}
+
+bool PurgeRegistry::is_stale(std::uint64_t object, std::uint32_t group, std::string_view name,
+                             std::span<const std::uint64_t> tags, Seconds made_at, Seconds now) {
+  const Seconds age_limit = copy_age_limit(now);
+  if (age_limit > 0 && made_at < now - age_limit) return true;
+  return made_at <
+         std::max(index_.valid_since(object, group, name, now), index_.valid_since_for_tags(tags, now));
+}
+
+bool PurgeRegistry::delivered_to(int server, Seconds valid_since) const {
+  const auto* next = log_.at_or_after(delivery_.confirmed_by(server) + 1);
+  return next == nullptr || next->valid_since > valid_since;
+}
+
+void PurgeRegistry::trim(Seconds now) {
+  constexpr std::size_t kMaxDropsPerTrim = 256;
+  index_.trim(now);
+  log_.trim(now, kMaxDropsPerTrim, [&](const PurgeEntry& entry) {
+    // While the disk takes nothing, what is not erased is dropped again after the next start.
+    if (is_disk_backed() && entry.position <= stored_position_ && to_erase_.size() < kMaxErasuresPending)
+      to_erase_.push_back(entry.stamp);
+  });
+}
+
+}  // namespace walkpaddle::purge
--- a/src/purge/tags.cpp
+++ b/src/purge/tags.cpp
@@ -1,39 +1,42 @@
 #include "purge/tags.h"
 
-#include <algorithm>
-
 namespace walkpaddle::purge {
 
-const Tags::Known* Tags::find(std::uint64_t object) const {
-  if (table_.empty()) return nullptr;
-  const auto* set = &table_[(object >> 20) % sets_ * kWays];
-  for (const auto* k = set; k != set + kWays; ++k)
-    if (k->object == object && k->used > 0) return k;
+const TagCache::Record* TagCache::find(std::uint64_t object) const {
+  if (records_.empty()) return nullptr;
+  const auto* set = &records_[first_of_set(object)];
+  for (const auto* record = set; record != set + kWays; ++record)
+    if (record->object == object && record->used_at > 0) return record;
   return nullptr;
 }
 
-Tags::Known& Tags::at(std::uint64_t object, Seconds now) {
-  if (table_.empty()) table_.resize(sets_ * kWays);
-  auto* set = &table_[(object >> 20) % sets_ * kWays];
+TagCache::Record& TagCache::find_or_add(std::uint64_t object, Seconds now) {
+  if (records_.empty()) records_.resize(sets_ * kWays);
+  auto* set = &records_[first_of_set(object)];
   auto* oldest = set;
-  for (auto* k = set; k != set + kWays; ++k) {
-    if (k->object == object && k->used > 0) return k->used = now, *k;
-    if (k->used < oldest->used) oldest = k;
+  for (auto* record = set; record != set + kWays; ++record) {
+    if (record->object == object && record->used_at > 0) {
+      record->used_at = now;
+      return *record;
+    }
+    if (record->used_at < oldest->used_at) oldest = record;
   }
   *oldest = {};
-  oldest->object = object, oldest->used = now;
+  oldest->object = object;
+  oldest->used_at = now;
   return *oldest;
 }
 
-void Tags::learn(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now) {
-  auto& k = at(object, now);
-  k.told = true;
+void TagCache::learn(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now) {
+  auto& record = find_or_add(object, now);
+  record.tags_reported = true;
   for (const auto tag : tags) {
-    if (std::ranges::find(k.all(), tag) != k.all().end()) continue;
-    if (k.count == Known::kMost)
-      k.too_many = true;
+    const auto known = record.all_tags();
+    if (std::ranges::find(known, tag) != known.end()) continue;
+    if (record.tag_count == Record::kMaxTags)
+      record.too_many_tags = true;
     else
-      k.tags[k.count++] = tag;
+      record.tags[record.tag_count++] = tag;
   }
 }
 
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -169,8 +169,8 @@
     in.brain->clock(clock_);
     apply_settings(s, *in.brain);
     // A second more than the settling: servers' clocks and the way to them.
-    in.purges = std::make_unique<purge::Cover>(
-        purge::Cover::Bounds{.life = s.ms("specifics.purge_settles") + 1, .most = 4096, .objects = 4});
+    in.purges = std::make_unique<purge::PurgeIndex>(purge::PurgeIndex::Limits{
+        .max_age = s.ms("specifics.purge_settles") + 1, .entries_per_kind = 4096, .objects = 4});
     in.rules = s.whole("categories.count");
     for (int n = 0; n < 4 && in.util_at < 0; ++n)
       if (s.item("report.names", n) == "util" && s.text("report.source") == "answers") in.util_at = n;
@@ -226,18 +226,18 @@
   in.txns[slot] = {id, 0, false, object, group};
   in.txn_of[id] = slot;
   in.brain->request_received(slot, rule, object, part, group, kbytes, expires, repeat);
-  in.brain->copies_made_since(slot, in.purges->newest(object, group, {}, clock_));
+  in.brain->copies_made_since(slot, in.purges->valid_since(object, group, {}, clock_));
 }
 
 void Host::purged(Instance& in, std::string_view object, std::uint32_t group, Seconds from) {
   in.purges->trim(clock_);
   if (object == "0")
-    in.purges->group(group, from);
+    in.purges->add_group(group, from);
   else
-    in.purges->object(stable_hash(object), from);
+    in.purges->add_object(stable_hash(object), from);
   for (const auto& [id, slot] : in.txn_of) {
     const auto& t = in.txns[slot];
-    in.brain->copies_made_since(slot, in.purges->newest(t.object, t.group, {}, clock_));
+    in.brain->copies_made_since(slot, in.purges->valid_since(t.object, t.group, {}, clock_));
   }
 }
 
--- a/src/wirehost/host.h
+++ b/src/wirehost/host.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "base/text.h"
-#include "purge/cover.h"
+#include "purge/purge_index.h"
 #include "routing/policy.h"
 
 namespace walkpaddle::wirehost {
@@ -66,7 +66,7 @@
     std::unordered_map<std::uint32_t, int> txn_of;
     std::vector<Txn> txns;
     std::vector<int> free_txns;
-    std::unique_ptr<purge::Cover> purges;
+    std::unique_ptr<purge::PurgeIndex> purges;
     int rules = 0, util_at = -1;  // util_at: place of the load report's util
   };
 
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -405,7 +405,7 @@
   Stand s;
   const Ear bus;
   const auto config = parse_config(config_text("n0", 1, bus.address.port, "", "{}"));
-  fleet::Purges purges({}, s.scheduler.now());
+  purge::PurgeRegistry purges({}, s.scheduler.now());
   RequestDispatcher dispatcher(s.scheduler, 7, config.settings, purges);
   UpstreamPool caches(s.scheduler, s.outbox, s.log, 8, 32, 1, 60, true);
   DiscoveryClient list(s.scheduler, s.outbox, s.log, dispatcher, caches);
@@ -528,7 +528,7 @@
   CachesStand s;
   const Ear full(0);
   const auto config = parse_config(config_text("n0", 1, 1, "", "{}"));
-  fleet::Purges purges({}, s.scheduler.now());
+  purge::PurgeRegistry purges({}, s.scheduler.now());
   RequestDispatcher dispatcher(s.scheduler, 7, config.settings, purges);
   DiscoveryClient list(s.scheduler, s.outbox, s.log, dispatcher, s.caches);
   s.play([&]() -> Task {
@@ -622,7 +622,7 @@
   }
   const std::string answered = words_text({"1", "RESULT", "etag=1", "one"});
   Config config = parse_config(config_text("n0", 1, 1, "", "{}"));
-  fleet::Purges purges{{}, scheduler.now()};
+  purge::PurgeRegistry purges{{}, scheduler.now()};
   RequestDispatcher dispatcher{scheduler, 7, config.settings, purges};
   std::string tag;
   std::optional<RequestHandle> handle;
@@ -714,7 +714,7 @@
   }
 
   Config config = parse_config(config_text("n0", 1, 1, "", "{}"));
-  fleet::Purges purges{{}, scheduler.now()};
+  purge::PurgeRegistry purges{{}, scheduler.now()};
   RequestDispatcher dispatcher{scheduler, 7, config.settings, purges};
   UpstreamPool caches{scheduler, outbox, log, 8, 32, 1, 60, true};
   DiscoveryClient list{scheduler, outbox, log, dispatcher, caches};
--- a/tests/fleet_world.cpp
+++ b/tests/fleet_world.cpp
@@ -18,10 +18,10 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "fleet/purges.h"
+#include "purge/purge_registry.h"
 
 using namespace walkpaddle;
-using namespace walkpaddle::fleet;
+using namespace walkpaddle::purge;
 
 namespace {
 
@@ -70,16 +70,16 @@
 
  private:
   struct Node {
-    std::unique_ptr<Purges> purges;
+    std::unique_ptr<PurgeRegistry> purges;
     std::uint64_t starts = 0;
     Seconds skew = 0, down_until = -1, frozen_until = -1;
     bool up = false;
-    std::vector<Entry> disk;
+    std::vector<PurgeEntry> disk;
     std::map<std::uint64_t, std::pair<std::uint64_t, Seconds>> bases;
     struct Write {
       Seconds until;
       std::uint64_t place;
-      std::vector<Entry> what;
+      std::vector<PurgeEntry> what;
     };
     std::vector<Write> writing;
   };
@@ -89,7 +89,7 @@
     std::function<void(Node&, Seconds)> arrive;
   };
   struct Known {
-    Stamp stamp;
+    PurgeStamp stamp;
     std::string what;
     Seconds issued, accepted = -1, everywhere = -1;
     int at;
@@ -103,23 +103,24 @@
   void start(int n) {
     auto& node = nodes_[n];
     ++node.starts;
-    Purges::Setup s;
-    s.fleet = true, s.peers = t_.routers - 1, s.lasting = t_.lasting;
+    PurgeRegistry::Setup s;
+    s.replicated = true, s.peer_count = t_.routers - 1;
+    s.storage = t_.lasting ? LogStorage::disk : LogStorage::memory;
     s.self = stable_hash(fmt::format("r{}.{}", n, t_.lasting ? 0 : node.starts));
-    s.copy_life = 1000, s.entries = t_.entries;
-    node.purges = std::make_unique<Purges>(s, local(n));
+    s.max_copy_age = 1000, s.max_entries = t_.entries;
+    node.purges = std::make_unique<PurgeRegistry>(s, local(n));
     node.writing.clear();
     for (const auto& [issuer, base] : node.bases)
-      node.purges->restore_base(issuer, base.first, base.second, local(n));
+      node.purges->restore_dropped(issuer, base.first, base.second, local(n));
     for (const auto& e : node.disk) node.purges->restore(e, local(n));
-    node.purges->restored();
+    node.purges->finish_restore();
     node.purges->after_input(local(n));
     node.up = true;
-    for (int p = 0; p < t_.routers - 1; ++p) node.purges->sync()->up(p);
+    for (int p = 0; p < t_.routers - 1; ++p) node.purges->replication()->connected(p);
     for (int other = 0; other < t_.routers; ++other)
       if (other != n && nodes_[other].up && nodes_[other].purges) {
-        nodes_[other].purges->sync()->down(peer_of(other, n));
-        nodes_[other].purges->sync()->up(peer_of(other, n));
+        nodes_[other].purges->replication()->disconnected(peer_of(other, n));
+        nodes_[other].purges->replication()->connected(peer_of(other, n));
       }
   }
 
@@ -141,7 +142,7 @@
       const int n = static_cast<int>(chance_() % nodes_.size());
       if (!awake(n)) return;
       const auto what = fmt::format("o{}", chance_() % 400);
-      const auto& e = nodes_[n].purges->issue(Kind::object, what, local(n));
+      const auto& e = nodes_[n].purges->issue(PurgeKind::object, what, local(n));
       known_.push_back({e.stamp, what, now_, -1, -1, n});
       ++r_.issued;
     }
@@ -160,9 +161,9 @@
     // The disk: one write at a time, some milliseconds each.
     Node::Write write{now_ + 0.003 + 0.01 * roll(), 0, {}};
     while (const auto* e = p.next_to_store()) {
-      p.handed_to_store(*e);
+      p.mark_queued(*e);
       write.what.push_back(*e);
-      write.place = e->place;
+      write.place = e->position;
     }
     if (write.place > 0) {
       if (!node.writing.empty()) write.until = std::max(write.until, node.writing.back().until);
@@ -172,49 +173,52 @@
       const auto done = std::move(node.writing.front());
       node.writing.erase(node.writing.begin());
       node.disk.insert(node.disk.end(), done.what.begin(), done.what.end());
-      p.stored(done.place, local(n));
+      p.mark_stored(done.place, local(n));
     }
     p.trim(local(n));
     while (const auto* gone = p.next_to_erase()) {
       const auto issuer = gone->issuer;
-      std::erase_if(node.disk, [&](const Entry& d) { return d.stamp == *gone; });
-      p.erased();
-      const auto run = p.book().run(issuer);
-      node.bases[issuer] = {run.base, run.given_up};
+      std::erase_if(node.disk, [&](const PurgeEntry& d) { return d.stamp == *gone; });
+      p.mark_erased();
+      const auto progress = p.log().progress(issuer);
+      node.bases[issuer] = {progress.dropped, progress.evicted_valid_since};
     }
-    while (const auto s = p.sync()->next(local(n))) send(n, *s);
+    while (const auto s = p.replication()->next(local(n))) send(n, *s);
   }
 
-  void send(int n, const Sync::Send& s) {
+  void send(int n, const PurgeReplication::Outgoing& s) {
     const int to = node_of(n, s.peer), back = peer_of(to, n);
     auto& p = *nodes_[n].purges;
-    using Send = Sync::Send;
+    using Outgoing = PurgeReplication::Outgoing;
     std::function<void(Node&, Seconds)> arrive;
-    if (s.kind == Send::Kind::entry) {
-      r_.bytes += 60 + s.entry->what.size();
+    if (s.kind == Outgoing::Kind::entry) {
+      r_.bytes += 60 + s.entry->target.size();
       arrive = [e = *s.entry](Node& at, Seconds now) {
-        at.purges->take(e.stamp, e.kind, e.what, now);
-        at.purges->sync()->entries_came(now);
+        at.purges->add(e.stamp, e.kind, e.target, now);
+        at.purges->replication()->entry_added(now);
       };
-    } else if (s.kind == Send::Kind::want) {
+    } else if (s.kind == Outgoing::Kind::request) {
       r_.bytes += 40;
-      arrive = [back, s](Node& at, Seconds) { at.purges->sync()->want(back, s.issuer, s.from); };
+      arrive = [back, s](Node& at, Seconds) {
+        at.purges->replication()->request_received(back, s.issuer, s.from_number);
+      };
     } else {
       struct Head {
         std::uint64_t issuer, number, base;
         Seconds given_up;
       };
       std::vector<Head> heads;
-      for (const auto& [issuer, run] : p.book().runs())
-        heads.push_back(
-            {issuer, p.sync()->held(issuer), run.base, run.given_up > 0 ? local(n) - run.given_up : 0});
+      for (const auto& [issuer, progress] : p.log().issuers())
+        heads.push_back({issuer, p.replication()->acknowledged(issuer), progress.dropped,
+                         progress.evicted_valid_since > 0 ? local(n) - progress.evicted_valid_since : 0});
       r_.bytes += 40 + 32 * heads.size();
-      arrive = [back, heads, theirs = local(n), echo = s.echo, whole = p.sync()->whole()](Node& at,
-                                                                                          Seconds now) {
-        auto& sync = *at.purges->sync();
-        sync.beat(back, theirs, echo, whole);
-        for (const auto& h : heads) sync.head(back, h.issuer, h.number, h.base, h.given_up, now);
-        sync.beat_end(back, now);
+      arrive = [back, heads, theirs = local(n), echo = s.echo, whole = p.replication()->complete()](
+                   Node& at, Seconds now) {
+        auto& replication = *at.purges->replication();
+        replication.heartbeat_begin(back, theirs, echo, whole);
+        for (const auto& h : heads)
+          replication.heartbeat_head(back, h.issuer, h.number, h.base, h.given_up, now);
+        replication.heartbeat_end(back, now);
       };
     }
     ++r_.messages;
@@ -246,8 +250,8 @@
   // The oldest copy of it that router n lets pass, in true time.
   Seconds lets_pass(int n, const std::string& what) {
     auto& p = *nodes_[n].purges;
-    const Seconds now = local(n), limit = p.age_limit(now);
-    const Seconds since = p.since(stable_hash(what), 0, what, now);
+    const Seconds now = local(n), limit = p.copy_age_limit(now);
+    const Seconds since = p.valid_since(stable_hash(what), 0, what, now);
     return std::max(since, limit > 0 ? now - limit : 0) - 1e9 - nodes_[n].skew;
   }
 
@@ -256,8 +260,8 @@
     for (auto k = known_.rbegin(); k != known_.rend(); ++k) {
       if (k->accepted < 0) {
         auto& node = nodes_[k->at];
-        const auto* e = node.up ? node.purges->book().find(k->stamp.issuer, k->stamp.number) : nullptr;
-        if (e != nullptr && e->stamp == k->stamp && awake(k->at) && node.purges->standing(*e).accepted)
+        const auto* e = node.up ? node.purges->log().find(k->stamp.issuer, k->stamp.number) : nullptr;
+        if (e != nullptr && e->stamp == k->stamp && awake(k->at) && node.purges->status(*e).accepted)
           k->accepted = now_, ++r_.accepted;
       }
       if (k->accepted < 0 || (k->everywhere >= 0 && now_ > k->accepted + 12)) continue;
@@ -270,25 +274,25 @@
         const bool kept = lets_pass(n, k->what) >= k->issued - 1e-6;
         all = all && kept;
         ++r_.checks;
-        if (!kept && now_ > k->accepted + nodes_[n].purges->delay() + kTurn) ++r_.broken;
+        if (!kept && now_ > k->accepted + nodes_[n].purges->promised_delay() + kTurn) ++r_.broken;
       }
       if (all && k->everywhere < 0) k->everywhere = now_, r_.spread.push_back(now_ - k->accepted);
       if (k->issued < now_ - 40) break;
     }
     for (int n = 0; n < t_.routers; ++n)
-      if (awake(n) && nodes_[n].purges->age_limit(local(n)) > 0) ++r_.bounded;
+      if (awake(n) && nodes_[n].purges->copy_age_limit(local(n)) > 0) ++r_.bounded;
   }
 
   void compare() {
     const auto order = [&](int n) {
-      std::vector<Stamp> stamps;
-      for (const auto& [stamp, e] : nodes_[n].purges->book().entries()) stamps.push_back(stamp);
+      std::vector<PurgeStamp> stamps;
+      for (const auto& [stamp, e] : nodes_[n].purges->log().entries()) stamps.push_back(stamp);
       return stamps;
     };
     for (int n = 1; n < t_.routers && t_.entries > 10000; ++n) r_.same = r_.same && order(n) == order(0);
     for (int n = 0; n < t_.routers; ++n)
-      r_.same =
-          r_.same && !nodes_[n].purges->book().has_gaps() && nodes_[n].purges->sync()->trusted(local(n));
+      r_.same = r_.same && !nodes_[n].purges->log().has_gaps() &&
+                nodes_[n].purges->replication()->lease_valid(local(n));
   }
 
   const Trouble t_;
--- a/tests/hunt.cpp
+++ b/tests/hunt.cpp
@@ -17,12 +17,12 @@
 #include <vector>
 
 #include "config/platform_config.h"
-#include "fleet/purges.h"
 #include "guard/guard.h"
 #include "net/discovery_client.h"
 #include "net/discovery_clock.h"
 #include "net/upstream_pool.h"
 #include "platform.h"
+#include "purge/purge_registry.h"
 #include "routing/endpoint_order.h"
 #include "standins/bus.h"
 #include "standins/world.h"
@@ -222,7 +222,7 @@
   const Fd ear = listen_on(Address{0x7f000001, 0});
   const Address address{0x7f000001, static_cast<std::uint16_t>(standins::port_of(ear.get()))};
   const auto config = net::parse_config(config_text("n0", 1, address.port, "", "{}"));
-  fleet::Purges purges({}, scheduler.now());
+  purge::PurgeRegistry purges({}, scheduler.now());
   net::RequestDispatcher dispatcher(scheduler, 7, config.settings, purges);
   net::UpstreamPool caches(scheduler, outbox, log, 8, 32, 1, 60, true);
   net::DiscoveryClient list(scheduler, outbox, log, dispatcher, caches);
--- a/tests/purge_parts.cpp
+++ b/tests/purge_parts.cpp
@@ -14,9 +14,9 @@
 
 #include "base/text.h"
 #include "config/settings.h"
-#include "fleet/purges.h"
 #include "fleet/wire.h"
-#include "purge/cover.h"
+#include "purge/purge_index.h"
+#include "purge/purge_registry.h"
 #include "store/store.h"
 
 using namespace walkpaddle;
@@ -51,7 +51,7 @@
 // that.
 bool cover_property(std::size_t most, bool exact) {
   return rc::check([=] {
-    Cover cover({.life = 1e6, .most = most, .objects = 64});
+    PurgeIndex index({.max_age = 1e6, .entries_per_kind = most, .objects = 64});
     Plain plain;
     std::map<int, std::vector<int>> tags;
     Seconds now = 1000;
@@ -59,20 +59,20 @@
       now += 1;
       const int object = step % 40, tag = step / 40 % 10;
       if (step % 7 == 0) {
-        cover.tag(stable_hash(fmt::format("t{}", tag)), now), plain.tags.emplace_back(tag, now);
+        index.add_tag(stable_hash(fmt::format("t{}", tag)), now), plain.tags.emplace_back(tag, now);
       } else if (step % 7 == 1) {
         const std::uint64_t hash = stable_hash(fmt::format("t{}", tag));
-        cover.learn(stable_hash(object_name(object)), {&hash, 1}, now);
+        index.learn_tags(stable_hash(object_name(object)), {&hash, 1}, now);
         auto& its = tags[object];
         if (std::count(its.begin(), its.end(), tag) == 0) its.push_back(tag);
       } else {
-        cover.object(stable_hash(object_name(object)), now), plain.objects.emplace_back(object, now);
+        index.add_object(stable_hash(object_name(object)), now), plain.objects.emplace_back(object, now);
       }
     }
     for (int object = 0; object < 40; ++object) {
       const auto it = tags.find(object);
-      const bool known = it != tags.end() && it->second.size() <= Tags::Known::kMost;
-      const Seconds says = cover.newest(stable_hash(object_name(object)), 0, object_name(object), now);
+      const bool known = it != tags.end() && it->second.size() <= TagCache::Record::kMaxTags;
+      const Seconds says = index.valid_since(stable_hash(object_name(object)), 0, object_name(object), now);
       const Seconds must = plain.newest(object, known ? &it->second : nullptr);
       RC_ASSERT(says >= must);
       if (exact) RC_ASSERT(says == must);
@@ -84,13 +84,13 @@
 bool order_property() {
   return rc::check([] {
     const auto drawn = *rc::gen::container<std::vector<int>>(40, rc::gen::inRange(0, 3));
-    std::vector<Entry> all;
+    std::vector<PurgeEntry> all;
     std::map<std::uint64_t, std::uint64_t> numbers;
     Seconds at = 1000;
     for (const int issuer : drawn)
       all.push_back(
           {{at += (issuer == 0 ? 0.5 : 0), static_cast<std::uint64_t>(issuer + 1), ++numbers[issuer + 1]},
-           Kind::object,
+           PurgeKind::object,
            "x",
            0,
            0});
@@ -98,14 +98,15 @@
     for (std::size_t n = 0; n < mixed.size(); ++n)
       std::swap(mixed[n], mixed[*rc::gen::inRange<std::size_t>(0, mixed.size())]);
     mixed.insert(mixed.end(), all.begin(), all.begin() + 10);
-    Book straight({}), shuffled({});
-    for (const auto& e : all) straight.take(e.stamp, e.kind, e.what, 2000);
+    PurgeLog straight({}), shuffled({});
+    for (const auto& e : all) straight.add(e.stamp, e.kind, e.target, 2000);
     std::size_t n = 0;
     for (const auto& e : mixed) {
-      shuffled.take(e.stamp, e.kind, e.what, 2000 + static_cast<Seconds>(++n));
+      shuffled.add(e.stamp, e.kind, e.target, 2000 + static_cast<Seconds>(++n));
       // The run is never past a number that did not come.
-      const auto run = shuffled.run(e.stamp.issuer);
-      for (std::uint64_t k = 1; k <= run.through; ++k) RC_ASSERT(shuffled.find(e.stamp.issuer, k) != nullptr);
+      const auto progress = shuffled.progress(e.stamp.issuer);
+      for (std::uint64_t k = 1; k <= progress.contiguous; ++k)
+        RC_ASSERT(shuffled.find(e.stamp.issuer, k) != nullptr);
     }
     RC_ASSERT(!shuffled.has_gaps());
     RC_ASSERT(std::ranges::equal(straight.entries(), shuffled.entries(),
@@ -114,25 +115,27 @@
 }
 
 void patterns() {
-  Cover cover({.life = 1e6, .most = 4096, .objects = 64});
+  PurgeIndex index({.max_age = 1e6, .entries_per_kind = 4096, .objects = 64});
   const auto newest = [&](int n) {
-    return cover.newest(stable_hash(object_name(n)), 0, object_name(n), 2000);
+    return index.valid_since(stable_hash(object_name(n)), 0, object_name(n), 2000);
   };
-  cover.pattern("0*a.", 1000);
+  index.add_pattern("0*a.", 1000);
   say("a pattern covers what it matches whole and no more",
       newest(0xa3) == 1000 && newest(0xb3) == 0 && newest(0xa30) == 0);
   // Ten thousand in force, and a purge of the objects that they covered.
-  for (int n = 0; n < 10000; ++n) cover.object(stable_hash(object_name(n)), 1100 + n * 0.01);
-  cover.object(stable_hash(object_name(7)), 1500);
+  for (int n = 0; n < 10000; ++n) index.add_object(stable_hash(object_name(n)), 1100 + n * 0.01);
+  index.add_object(stable_hash(object_name(7)), 1500);
   say("a purge of what is purged already, among ten thousand",
       newest(7) == 1500 && newest(9999) >= 1100 + 99.99);
-  cover.pattern(".*", 1600);
+  index.add_pattern(".*", 1600);
   say("a pattern that covers everything", newest(7) == 1600 && newest(0xffffff) == 1600);
-  for (int n = 0; n < 1400; ++n) cover.pattern(fmt::format("x{}y", n), 1700 + n * 0.01);
+  for (int n = 0; n < 1400; ++n) index.add_pattern(fmt::format("x{}y", n), 1700 + n * 0.01);
   say("patterns past their bound cover more", newest(0xffffff) >= 1600);
   say("patterns that cannot be used are refused",
-      Patterns::refusal("(") && Patterns::refusal(std::string(300, 'a')) && Patterns::refusal("") &&
-          Patterns::refusal("((a{0,200}){0,200}){0,200}") && !Patterns::refusal("0*1[0-9a-f]"));
+      PurgePatterns::rejection_reason("(") && PurgePatterns::rejection_reason(std::string(300, 'a')) &&
+          PurgePatterns::rejection_reason("") &&
+          PurgePatterns::rejection_reason("((a{0,200}){0,200}){0,200}") &&
+          !PurgePatterns::rejection_reason("0*1[0-9a-f]"));
 }
 
 // What the bus and the fleet tell of the same object is one thing: the newer counts, whichever comes first. A
@@ -141,27 +144,28 @@
   const auto object = stable_hash(object_name(7));
   bool good = true;
   for (const bool bus_first : {true, false}) {
-    fleet::Purges::Setup setup;
-    setup.fleet = true, setup.copy_life = 1000;
-    fleet::Purges purges(setup, 1000);
-    if (bus_first) purges.bus_object(object, 1010);
-    purges.issue(Kind::object, object_name(7), 1020);
-    if (!bus_first) purges.bus_object(object, 1010);
-    good = good && purges.since(object, 0, object_name(7), 1030) == 1020;
-    purges.bus_object(object, 1025);
-    good = good && purges.since(object, 0, object_name(7), 1030) == 1025;
+    PurgeRegistry::Setup setup;
+    setup.replicated = true, setup.max_copy_age = 1000;
+    PurgeRegistry purges(setup, 1000);
+    if (bus_first) purges.discovery_purged_object(object, 1010);
+    purges.issue(PurgeKind::object, object_name(7), 1020);
+    if (!bus_first) purges.discovery_purged_object(object, 1010);
+    good = good && purges.valid_since(object, 0, object_name(7), 1030) == 1020;
+    purges.discovery_purged_object(object, 1025);
+    good = good && purges.valid_since(object, 0, object_name(7), 1030) == 1025;
   }
   say("a purge told by bus and by fleet is one", good);
-  fleet::Purges purges({}, 1000);
-  const bool none = purges.age_limit(1001) == 0;
-  purges.bus_gap(true, 1001);
-  const bool bounded = purges.age_limit(1002) > 0 && purges.age_limit(1002) < 0.5;
-  purges.bus_gap(false, 1003);
-  const bool filled = purges.age_limit(1003) == 0 && purges.since(object, 0, {}, 1003) == 0;
-  purges.bus_gap(true, 1004);
-  purges.bus_lost(1005);
+  PurgeRegistry purges({}, 1000);
+  const bool none = purges.copy_age_limit(1001) == 0;
+  purges.set_discovery_gap(true);
+  const bool bounded = purges.copy_age_limit(1002) > 0 && purges.copy_age_limit(1002) < 0.5;
+  purges.set_discovery_gap(false);
+  const bool filled = purges.copy_age_limit(1003) == 0 && purges.valid_since(object, 0, {}, 1003) == 0;
+  purges.set_discovery_gap(true);
+  purges.discovery_purges_lost(1005);
   say("a gap of the bus bounds ages until it is filled or given up",
-      none && bounded && filled && purges.age_limit(1005) == 0 && purges.since(object, 0, {}, 1005) == 1005);
+      none && bounded && filled && purges.copy_age_limit(1005) == 0 &&
+          purges.valid_since(object, 0, {}, 1005) == 1005);
 }
 
 struct Heard final : fleet::Messages {
@@ -176,18 +180,18 @@
     text += fmt::format("head {} {} {} {};", i, n, b, g);
   }
   void beat_end() override { text += "end;"; }
-  void entry(const Stamp& s, Kind k, std::string_view what) override {
-    text += fmt::format("entry {} {} {} {} {};", s.at, s.issuer, s.number, static_cast<int>(k), what);
+  void entry(const PurgeStamp& s, PurgeKind k, std::string_view what) override {
+    text += fmt::format("entry {} {} {} {} {};", s.issued_at, s.issuer, s.number, static_cast<int>(k), what);
   }
   void want(std::uint64_t i, std::uint64_t from) override { text += fmt::format("want {} {};", i, from); }
 };
 
 void messages() {
-  Book book({});
-  fleet::Sync sync(book, 2, false, {}, 1000);
-  book.issue(5, Kind::tag, "contract7", 1000);
-  const auto& e = book.issue(5, Kind::pattern, "0*1.", 1001);
-  const std::string texts[] = {fleet::hello_message("r1"), fleet::beat_message(book, sync, 1002, 999),
+  PurgeLog log({});
+  PurgeReplication replication(log, 2, LogStorage::memory, {}, 1000);
+  log.issue(5, PurgeKind::tag, "contract7", 1000);
+  const auto& e = log.issue(5, PurgeKind::pattern, "0*1.", 1001);
+  const std::string texts[] = {fleet::hello_message("r1"), fleet::beat_message(log, replication, 1002, 999),
                                fleet::entry_message(e), fleet::want_message(5, 2)};
   const std::string wanted[] = {"hello 1 r1;", "beat 1002 999 false;head 5 2 0 0;end;",
                                 "entry 1001 5 2 3 0*1.;", "want 5 2;"};
--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -27,7 +27,7 @@
 #include "net/discovery_codec.h"
 #include "net/resp_parser.h"
 #include "platform.h"
-#include "purge/cover.h"
+#include "purge/purge_index.h"
 #include "routing/policy.h"
 #include "standins/bus.h"
 #include "standins/world.h"
@@ -621,11 +621,12 @@
                                                        (l.pairs.count("is") ? 0 : 1)),
                             l.num("weight", 1), l.pairs.count("age") ? now - l.num("age") : 0);
   };
-  purge::Cover cover({.life = 7, .most = 4096, .objects = 4});
+  purge::PurgeIndex purge_index({.max_age = 7, .entries_per_kind = 4096, .objects = 4});
   std::vector<std::pair<std::uint64_t, std::uint32_t>> about;  // object and group, by txn
   const auto tell_purges = [&] {
     for (std::size_t n = 0; n < about.size(); ++n)
-      brain.copies_made_since(static_cast<int>(n), cover.newest(about[n].first, about[n].second, {}, now));
+      brain.copies_made_since(static_cast<int>(n),
+                              purge_index.valid_since(about[n].first, about[n].second, {}, now));
   };
   const auto taken = [&](int txn, std::uint64_t object, const Line& l) {
     const auto group = static_cast<std::uint32_t>(l.num("group"));
@@ -707,9 +708,9 @@
     } else if (what == "left") {
       brain.client_left(index_of(txns, l.words[1]));
     } else if (what == "purge") {
-      cover.object(hash_of(l.words[1]), now - l.num("ago"));
+      purge_index.add_object(hash_of(l.words[1]), now - l.num("ago"));
     } else if (what == "purge-group") {
-      cover.group(static_cast<std::uint32_t>(std::stoul(l.words[1])), now - l.num("ago"));
+      purge_index.add_group(static_cast<std::uint32_t>(std::stoul(l.words[1])), now - l.num("ago"));
     } else if (what == "within") {
       brain.copies_no_older_than(l.num("age"));
     } else {
