--- a/bench/purges.cpp
+++ b/bench/purges.cpp
@@ -8,10 +8,10 @@
 #include <thread>
 
 #include "config/settings.h"
-#include "fleet/keeper.h"
 #include "fleet/wire.h"
 #include "io/log.h"
 #include "purge/purge_registry.h"
+#include "replication/purge_persister.h"
 
 namespace {
 
@@ -81,7 +81,7 @@
   for (auto _ : state) {
     store::Store store({folder, 1024});
     purge::PurgeRegistry purges(s, scheduler.now());
-    fleet::Keeper keeper(scheduler, log, purges, store);
+    replication::PurgePersister persister(scheduler, log, purges, store);
     if (purges.log().size() != count) state.SkipWithError("not all came back");
   }
   std::filesystem::remove_all(folder);
--- a/src/fleet/share.cpp
+++ b/src/fleet/share.cpp
@@ -79,7 +79,7 @@
 void Share::restore() {
   std::size_t held = 0, refused = 0;
   try {
-    setup_.store->each([&](std::string_view key, std::string_view value) {
+    setup_.store->for_each([&](std::string_view key, std::string_view value) {
       if (changes_ && Changes::owns(key)) changes_->restore(key, value, started_);
       if (key == kLearnt) keepers_.stored(stored_belief(value));
       if (!key.starts_with('f')) return;
@@ -100,7 +100,7 @@
   auto& store = *setup_.store;
   if (store.failed()) {
     if (!std::exchange(said_failed_, true))
-      log_("store", "{}: facts of servers do not last until it writes again", store.why());
+      log_("store", "{}: facts of servers do not last until it writes again", store.last_error());
     return;
   }
   said_failed_ = false;
--- a/src/fleet/share.h
+++ b/src/fleet/share.h
@@ -9,14 +9,14 @@
 
 #include "fleet/changes.h"
 #include "fleet/datagrams.h"
-#include "fleet/links.h"
+#include "replication/peer_links.h"
 #include "store/store.h"
 
 namespace walkpaddle::fleet {
 
 class Share {
  public:
-  using Peer = Links::Peer;
+  using Peer = replication::PeerLinks::Peer;
   struct Setup {
     std::string name;
     Address listen;
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -94,7 +94,7 @@
   if (!f.purges) return s;
   // A start without a store is another issuer each time: its numbers begin anew.
   run_ = fmt::format("{:016x}", stable_hash(fmt::format("{} {} {}", f.name, config_.seed, scheduler_.now())));
-  if (store_) run_ = fleet::run_of(*store_, run_);
+  if (store_) run_ = replication::load_or_create_identity(*store_, run_);
   s.replicated = true;
   s.peer_count = static_cast<int>(f.peers.size());
   s.storage = store_ ? purge::LogStorage::disk : purge::LogStorage::memory;
@@ -146,12 +146,13 @@
   log_("start", "{} on {}, {} descriptors, {} MB", config_.name, text_of(config_.listen), config_.sockets,
        config_.memory_mb);
   const auto& f = file_.fleet;
-  if (store_ && f.purges) keeper_ = std::make_unique<fleet::Keeper>(scheduler_, log_, purges_, *store_);
+  if (store_ && f.purges)
+    purge_persister_ = std::make_unique<replication::PurgePersister>(scheduler_, log_, purges_, *store_);
   purges_.after_input(scheduler_.now());
   if (f.on && f.purges) {
-    fleet::Links::Setup links{f.name, parse_address(f.listen), {}};
+    replication::PeerLinks::Setup links{f.name, parse_address(f.listen), {}};
     for (const auto& p : f.peers) links.peers.push_back({p.name, parse_address(p.address)});
-    links_ = std::make_unique<fleet::Links>(scheduler_, outbox_, log_, purges_, links);
+    peer_links_ = std::make_unique<replication::PeerLinks>(scheduler_, outbox_, log_, purges_, links);
   }
   if (f.share) {
     fleet::Share::Setup share{.name = f.name,
@@ -208,8 +209,8 @@
 void Router::pull_fleet() {
   constexpr Seconds kTrim = 0.25;
   if (const Seconds now = scheduler_.now(); now >= trim_at_) purges_.trim(now), trim_at_ = now + kTrim;
-  if (keeper_) keeper_->pull();
-  if (links_) links_->pull();
+  if (purge_persister_) purge_persister_->on_turn_end();
+  if (peer_links_) peer_links_->on_turn_end();
   if (shared_) shared_->pull();
   if (!ready_ && shared_ && shared_->changes() != nullptr && phase_ == Phase::serving &&
       (!shared_->gossip().catching_up() || scheduler_.now() > shared_->started() + 2))
--- a/src/net/router.h
+++ b/src/net/router.h
@@ -12,8 +12,6 @@
 #include "config/platform_config.h"
 #include "control/file.h"
 #include "control/operators.h"
-#include "fleet/keeper.h"
-#include "fleet/links.h"
 #include "fleet/share.h"
 #include "io/log.h"
 #include "net/client_listener.h"
@@ -21,6 +19,8 @@
 #include "net/purge_notifier.h"
 #include "net/request_dispatcher.h"
 #include "net/upstream_pool.h"
+#include "replication/peer_links.h"
+#include "replication/purge_persister.h"
 
 namespace walkpaddle::net {
 
@@ -117,8 +117,8 @@
   UpstreamPool upstream_;
   DiscoveryClient list_;
   ClientListener client_listener_;
-  std::unique_ptr<fleet::Keeper> keeper_;
-  std::unique_ptr<fleet::Links> links_;
+  std::unique_ptr<replication::PurgePersister> purge_persister_;
+  std::unique_ptr<replication::PeerLinks> peer_links_;
   std::unique_ptr<fleet::Share> shared_;
   std::unique_ptr<PurgeNotifier> purge_notifier_;
   std::unique_ptr<control::Operators> operators_;
--- /dev/null
+++ b/src/replication/peer_links.cpp
@@ -0,0 +1,235 @@
+#include "replication/peer_links.h"
+
+#include <algorithm>
+#include <cerrno>
+#include <utility>
+
+#include "base/text.h"
+#include "fleet/wire.h"
+
+namespace walkpaddle::replication {
+
+using purge::PurgeKind, purge::PurgeReplication, purge::PurgeStamp;
+
+namespace {
+
+constexpr std::size_t kMaxNameBytesShown = 60;
+
+std::string quoted(std::string_view name) {
+  return "'" + std::string(name.substr(0, kMaxNameBytesShown)) + "'";
+}
+
+}  // namespace
+
+// One connection's messages, from the first on. The peer is known from its hello, or was dialled.
+struct PeerLinks::Session final : fleet::Messages {
+  Session(PeerLinks& its_links, Stream& its_stream, std::optional<int> dialled_peer)
+      : links(its_links), stream(its_stream), peer(dialled_peer), heard_at(its_links.scheduler_.now()) {}
+  Session(const Session&) = delete;
+  Session& operator=(const Session&) = delete;
+  ~Session() {
+    if (!peer || links.link(*peer).stream != &stream) return;
+    links.link(*peer).stream = nullptr;
+    replication().disconnected(*peer);
+    links.log_("fleet", "{}: connection ended", links.name_of(*peer));
+  }
+
+  void hello(int version, std::string_view name) override {
+    if (greeted) throw InputError("a second hello");
+    if (version < 1) throw_bad_value("version", std::to_string(version));
+    const auto sender = links.peer_named(name);
+    if (!sender) throw InputError("a router of no known name, " + quoted(name));
+    if (peer && sender != peer) throw InputError("another router's name, " + quoted(name));
+    auto& link = links.link(*sender);
+    if (!peer && link.dials) throw InputError("it is dialled from here: " + std::string(name));
+    if (link.stream != nullptr) {  // a second connection means that the other side gave the first up
+      link.stream->close();
+      replication().disconnected(*sender);
+    }
+    peer = sender;
+    greeted = true;
+    link.stream = &stream;
+    if (!link.dials) stream.write(fleet::hello_message(links.setup_.name));
+    replication().connected(*sender);
+    links.log_("fleet", "{}: connected", name);
+  }
+
+  void beat(Seconds remote_time, Seconds echo, bool complete) override {
+    replication().heartbeat_begin(greeted_peer(), remote_time, echo, complete);
+  }
+
+  void head(std::uint64_t issuer, std::uint64_t number, std::uint64_t dropped, Seconds evicted_ago) override {
+    replication().heartbeat_head(greeted_peer(), issuer, number, dropped, evicted_ago,
+                                 links.scheduler_.now());
+  }
+
+  void beat_end() override {
+    const Seconds now = links.scheduler_.now();
+    replication().heartbeat_end(greeted_peer(), now);
+    links.purges_.after_input(now);
+  }
+
+  void entry(const PurgeStamp& stamp, PurgeKind kind, std::string_view target) override {
+    const int sender = greeted_peer();
+    const Seconds now = links.scheduler_.now();
+    if (links.purges_.add(stamp, kind, target, now) == purge::AddResult::no_room)
+      links.log_("fleet", "{}: a purge had no place and will be asked for again", links.name_of(sender));
+    replication().entry_added(now);
+    links.purges_.after_input(now);
+  }
+
+  void want(std::uint64_t issuer, std::uint64_t from_number) override {
+    replication().request_received(greeted_peer(), issuer, from_number);
+  }
+
+  // Reads what came; false once the other side sends what cannot be read.
+  bool read_messages() {
+    try {
+      while (const auto used = fleet::read_message(stream.in(), *this)) {
+        stream.consume(used);
+        heard_at = links.scheduler_.now();
+      }
+      return true;
+    } catch (const InputError& e) {
+      links.log_("fleet", "{}: {}", peer ? links.name_of(*peer) : "a connection", e.what());
+      return false;
+    }
+  }
+
+  int greeted_peer() const {
+    if (!greeted) throw InputError("no hello first");
+    return *peer;
+  }
+  PurgeReplication& replication() const { return *links.purges_.replication(); }
+
+  PeerLinks& links;
+  Stream& stream;
+  std::optional<int> peer;
+  bool greeted = false;
+  Seconds heard_at;
+};
+
+PeerLinks::PeerLinks(Scheduler& scheduler, Outbox& outbox, Log& log, purge::PurgeRegistry& purges,
+                     const Setup& setup)
+    : scheduler_(scheduler),
+      outbox_(outbox),
+      log_(log),
+      purges_(purges),
+      setup_(setup),
+      links_(setup.peers.size()),
+      listener_(scheduler, listen_on(setup.listen)),
+      timer_moved_(scheduler),
+      session_ended_(scheduler) {
+  scheduler_.start(accept_all());
+  scheduler_.start(run_timer());
+  for (int peer = 0; peer < static_cast<int>(links_.size()); ++peer) {
+    if (setup_.name >= name_of(peer)) continue;
+    link(peer).dials = true;
+    scheduler_.start(keep_dialling(peer));
+  }
+}
+
+std::optional<int> PeerLinks::peer_named(std::string_view name) const {
+  const auto it = std::ranges::find(setup_.peers, name, &Peer::name);
+  if (it == setup_.peers.end()) return std::nullopt;
+  return static_cast<int>(it - setup_.peers.begin());
+}
+
+Task PeerLinks::accept_all() {
+  constexpr Seconds kRetryPause = 0.1;  // without descriptors left: until some connections may have closed
+  const std::size_t max_sessions = 2 * links_.size() + 4;  // some that have not said who they are
+  while (listener_.open()) {
+    Fd fd = listener_.accept();
+    if (fd) {
+      if (sessions_ < max_sessions)
+        scheduler_.start(run_session(std::move(fd), std::nullopt, session_ended_));
+      continue;
+    }
+    if (errno == EINTR || errno == ECONNABORTED) continue;
+    const bool none_waits = errno == EAGAIN;
+    co_await listener_.came.wait(none_waits ? kNoTime : scheduler_.now() + kRetryPause);
+  }
+}
+
+// One connection, from the accept or the dial on, until the other side ends it, is silent, or cannot be read.
+Task PeerLinks::run_session(Fd fd, std::optional<int> dialled_peer, Event& ended) {
+  constexpr Seconds kDialTimeout = 0.5;
+  constexpr Seconds kSilenceTimeout = 2;
+  struct Count {
+    std::size_t& sessions;
+    Event& ended;
+    ~Count() {
+      --sessions;
+      ended.set();
+    }
+  } count{++sessions_, ended};
+  Stream stream(scheduler_, outbox_, std::move(fd));
+  if (dialled_peer) {
+    const bool in_time = co_await stream.writable(scheduler_.now() + kDialTimeout);
+    if (!in_time || stream.error() != 0) co_return;
+  }
+  Session session(*this, stream, dialled_peer);
+  if (dialled_peer) stream.write(fleet::hello_message(setup_.name));
+  for (;;) {
+    const auto came = stream.read();
+    if (came == Stream::Came::end) break;
+    if (came == Stream::Came::bytes) {
+      if (!session.read_messages()) break;
+      continue;
+    }
+    co_await stream.readable(session.heard_at + kSilenceTimeout);
+    if (scheduler_.now() >= session.heard_at + kSilenceTimeout) break;
+  }
+}
+
+Task PeerLinks::keep_dialling(int peer) {
+  constexpr Seconds kRetryPause = 0.2;  // well under a lease, and no load for a router that starts
+  Event ended(scheduler_);
+  Event pause(scheduler_);
+  for (;;) {
+    if (Fd fd = dial(setup_.peers[static_cast<std::size_t>(peer)].address)) {
+      scheduler_.start(run_session(std::move(fd), peer, ended));
+      co_await ended.wait();
+    }
+    co_await pause.wait(scheduler_.now() + kRetryPause);
+  }
+}
+
+void PeerLinks::send(const PurgeReplication::Outgoing& outgoing) {
+  // Past this the other side does not read: it asks again for what it lacks once it is back.
+  constexpr std::size_t kMaxUnsentBytes = 4 << 20;
+  using Kind = PurgeReplication::Outgoing::Kind;
+  auto* stream = link(outgoing.peer).stream;
+  if (stream == nullptr) return;
+  if (stream->unsent() > kMaxUnsentBytes) return stream->close();
+  switch (outgoing.kind) {
+    case Kind::heartbeat:
+      return stream->write(
+          fleet::beat_message(purges_.log(), *purges_.replication(), scheduler_.now(), outgoing.echo));
+    case Kind::entry:
+      return stream->write(fleet::entry_message(*outgoing.entry));
+    case Kind::request:
+      return stream->write(fleet::want_message(outgoing.issuer, outgoing.from_number));
+  }
+}
+
+void PeerLinks::on_turn_end() {
+  auto& replication = *purges_.replication();
+  const Seconds now = scheduler_.now();
+  while (const auto outgoing = replication.next(now)) send(*outgoing);
+  const Seconds due = replication.next_due();
+  if (due < timer_due_) {
+    timer_due_ = due;
+    timer_moved_.set();
+  }
+}
+
+// Turns come when something does; heartbeats need one when nothing does.
+Task PeerLinks::run_timer() {
+  for (;;) {
+    const bool moved = co_await timer_moved_.wait(timer_due_);
+    if (!moved) timer_due_ = kNoTime;
+  }
+}
+
+}  // namespace walkpaddle::replication
--- a/tests/hunt.cpp
+++ b/tests/hunt.cpp
@@ -195,19 +195,20 @@
   {
     store::Store store({folder.string(), 4});
     REQUIRE(store.put("first", "1", 1));
-    REQUIRE(until([&] { return store.written() == 1; }));
+    REQUIRE(until([&] { return store.durable_mark() == 1; }));
     bound(std::filesystem::file_size(folder / "data.mdb"));
     REQUIRE(store.put("second", std::string(100'000, '2'), 2));
     CHECK(until([&] { return store.failed(); }));
-    CHECK(store.written() == 1);
+    CHECK(store.durable_mark() == 1);
     bound(before.rlim_cur);
-    CHECK(until([&] { return store.written() == 2; }));
+    CHECK(until([&] { return store.durable_mark() == 2; }));
     CHECK_FALSE(store.failed());
     REQUIRE(store.put("third", "3", 3));
   }
   std::map<std::string, std::size_t> held;
   store::Store again({folder.string(), 4});
-  again.each([&](std::string_view key, std::string_view value) { held[std::string(key)] = value.size(); });
+  again.for_each(
+      [&](std::string_view key, std::string_view value) { held[std::string(key)] = value.size(); });
   CHECK(held == std::map<std::string, std::size_t>{{"first", 1}, {"second", 100'000}, {"third", 1}});
   std::filesystem::remove_all(folder);
 }
--- a/tests/purge_parts.cpp
+++ b/tests/purge_parts.cpp
@@ -235,7 +235,7 @@
     try {
       store::Store store({folder, 1});
       int count = 0;
-      store.each([&](std::string_view, std::string_view) { ++count; });
+      store.for_each([&](std::string_view, std::string_view) { ++count; });
       ::_exit(count);
     } catch (const StoreError& e) {
       ::_exit(std::string_view(e.what()).find('\n') == std::string_view::npos ? 200 : 201);
