--- a/src/net/purge_notifier.cpp
+++ b/src/net/purge_notifier.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
 #include "base/text.h"
 #include "net/resp_parser.h"
@@ -9,47 +10,44 @@
 namespace walkpaddle::net {
 
 PurgeNotifier::PurgeNotifier(Scheduler& scheduler, Log& log, purge::PurgeRegistry& purges,
-                             UpstreamPool& caches, std::string run)
-    : scheduler_(scheduler), log_(log), purges_(purges), upstream_(caches), run_(std::move(run)) {
+                             UpstreamPool& upstream, std::string run)
+    : scheduler_(scheduler), log_(log), purges_(purges), upstream_(upstream), run_(std::move(run)) {
   upstream_.set_commands(*this);
-  scheduler_.start(tell_all());
+  scheduler_.start(notify_all());
 }
 
-Task PurgeNotifier::tell_all() {
-  constexpr Seconds kLook = 0.02;
-  Event look(scheduler_);
+Task PurgeNotifier::notify_all() {
+  constexpr Seconds kPollInterval = 0.02;
+  Event pause(scheduler_);
   for (;;) {
     const Seconds now = scheduler_.now();
-    while (const auto s = purges_.delivery().next(now)) {
-      std::string text;
-      if (s->entry == nullptr) {
-        text = words_text({"purges", "cursor", run_});
-      } else {
-        const auto& e = *s->entry;
-        // An age, up to whole milliseconds down: no clocks to compare, and the way there makes it stricter.
-        const auto age =
-            std::to_string(std::max(0L, static_cast<long>(std::floor((now - e.valid_since) * 1e3))));
-        text = words_text(
-            {"purges", "drop", run_, std::to_string(e.position), purge::to_string(e.kind), age, e.target});
-      }
-      if (!upstream_.command(s->server, text)) purges_.delivery().postpone(s->server, now);
-    }
-    co_await look.wait(now + kLook);
+    while (const auto message = purges_.delivery().next(now))
+      if (!upstream_.command(message->server, command_text(*message, now)))
+        purges_.delivery().postpone(message->server, now);
+    co_await pause.wait(now + kPollInterval);
   }
 }
 
-void PurgeNotifier::command_answered(int member, const std::vector<std::string_view>& words) {
-  const Seconds now = scheduler_.now();
+std::string PurgeNotifier::command_text(const purge::PurgeDelivery::Message& message, Seconds now) const {
+  if (message.entry == nullptr) return words_text({"purges", "cursor", run_});
+  const auto& entry = *message.entry;
+  // An age, up to whole milliseconds down: no clocks to compare, and the way there makes it stricter.
+  const auto age_ms = std::max(0L, static_cast<long>(std::floor((now - entry.valid_since) * 1e3)));
+  return words_text({"purges", "drop", run_, std::to_string(entry.position), purge::to_string(entry.kind),
+                     std::to_string(age_ms), entry.target});
+}
+
+void PurgeNotifier::command_answered(int server, const std::vector<std::string_view>& words) {
   auto& delivery = purges_.delivery();
   if (words.size() >= 2 && words[1] == "unknown") {
-    delivery.command_unsupported(member);
-    return log_("purge", "{} takes no purges: its copies are told apart by age alone", upstream_.id(member));
+    delivery.command_unsupported(server);
+    return log_("purge", "{} takes no purges: its copies are told apart by age alone", upstream_.id(server));
   }
   if (words.size() < 4) throw_bad_value("answer to a purge", "");
   if (words[2] != run_) return;  // to an earlier run
-  const auto place = parse<std::uint64_t>(words[3], "place");
-  if (words[1] == "cursor") return delivery.cursor_reported(member, place);
-  if (words[1] == "dropped") return delivery.confirmed(member, place, now);
+  const auto position = parse<std::uint64_t>(words[3], "place");
+  if (words[1] == "cursor") return delivery.cursor_reported(server, position);
+  if (words[1] == "dropped") return delivery.confirmed(server, position, scheduler_.now());
   throw_bad_value("answer to a purge", words[1]);
 }
 
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -17,8 +17,8 @@
 #include "base/error.h"
 #include "base/text.h"
 #include "control/documents.h"
-#include "learning/learnt.h"
 #include "net/request_handler.h"
+#include "warm_start/snapshot_file.h"
 
 namespace walkpaddle::net {
 
@@ -441,27 +441,28 @@
   try {
     std::ifstream in(file_.learnt, std::ios::binary);
     if (!in) return log_("learnt", "no {} yet, all is learnt afresh", file_.learnt);
-    std::string text(learning::kMostBytes + 1, '\0');
+    std::string text(warm_start::kMaxSnapshotBytes + 1, '\0');
     in.read(text.data(), static_cast<std::streamsize>(text.size()));
     text.resize(static_cast<std::size_t>(in.gcount()));
-    const auto kept = learning::kept_of(text, config_.settings.text("family"),
-                                        config_.settings.number("specifics.client_kb_per_s"), now);
+    const auto snapshot = warm_start::parse_snapshot(
+        text, config_.settings.text("family"), config_.settings.number("specifics.client_kb_per_s"), now);
     WarmStartSnapshot learnt;
     int rules = 0, members = 0;
     for (const auto& own : request_class_names(config_.settings)) {
-      const auto at = std::ranges::find(kept.rules, own.name, &learning::Kept::Rule::name);
-      learnt.service_times.push_back(at == kept.rules.end()
+      const auto at = std::ranges::find(snapshot.service_times, own.name,
+                                        &warm_start::SnapshotFile::ServiceTime::request_class);
+      learnt.service_times.push_back(at == snapshot.service_times.end()
                                          ? WarmStartSnapshot::ServiceTime{}
-                                         : WarmStartSnapshot::ServiceTime{at->sending, at->answers});
+                                         : WarmStartSnapshot::ServiceTime{at->mean, at->answers});
       rules += learnt.service_times.back().answers > 0;
     }
     // Only members that the list names; one that started since is as the list tells.
-    for (const auto& u : kept.unreached)
+    for (const auto& u : snapshot.unreachable)
       for (int m = 0; m < upstream_.members(); ++m)
-        if (upstream_.id(m) == u.member) learnt.unreachable.push_back({m, u.at}), ++members;
+        if (upstream_.id(m) == u.id) learnt.unreachable.push_back({m, u.failed_at}), ++members;
     dispatcher_.input().restore_snapshot(learnt);
     log_("learnt", "from {}, {:.0f} s old: {} sending times, {} members last not reached", file_.learnt,
-         now - kept.written, rules, members);
+         now - snapshot.written_at, rules, members);
   } catch (const std::exception& e) {
     log_("learnt", "{} refused: {}; all is learnt afresh", file_.learnt, e.what());
   }
@@ -470,24 +471,25 @@
 void Router::leave_learnt() {
   if (file_.learnt.empty()) return;
   const auto learnt = dispatcher_.input().snapshot();
-  learning::Kept kept{.family = std::string(config_.settings.text("family")),
-                      .pace = config_.settings.number("specifics.client_kb_per_s"),
-                      .written = scheduler_.now()};
+  warm_start::SnapshotFile snapshot{.family = std::string(config_.settings.text("family")),
+                                    .client_kb_per_s = config_.settings.number("specifics.client_kb_per_s"),
+                                    .written_at = scheduler_.now()};
   const auto names = request_class_names(config_.settings);
   for (std::size_t n = 0; n < std::min(names.size(), learnt.service_times.size()); ++n)
     if (learnt.service_times[n].answers > 0)
-      kept.rules.push_back({names[n].name, learnt.service_times[n].mean, learnt.service_times[n].answers});
+      snapshot.service_times.push_back(
+          {names[n].name, learnt.service_times[n].mean, learnt.service_times[n].answers});
   for (const auto& u : learnt.unreachable)
-    kept.unreached.push_back({std::string(upstream_.id(u.endpoint)), u.at});
+    snapshot.unreachable.push_back({std::string(upstream_.id(u.endpoint)), u.at});
   // Whole or not at all: a start that reads meanwhile finds the last one.
   const auto beside = file_.learnt + ".new";
   std::ofstream out(beside, std::ios::binary | std::ios::trunc);
-  out << learning::text_of(kept) << std::flush;
+  out << warm_start::serialize(snapshot) << std::flush;
   out.close();
   if (!out || std::rename(beside.c_str(), file_.learnt.c_str()) != 0)
     return log_("learnt", "{} not written: {}", file_.learnt, std::system_category().message(errno));
-  log_("learnt", "left in {}: {} sending times, {} members last not reached", file_.learnt, kept.rules.size(),
-       kept.unreached.size());
+  log_("learnt", "left in {}: {} sending times, {} members last not reached", file_.learnt,
+       snapshot.service_times.size(), snapshot.unreachable.size());
 }
 
 Task Router::live() {
--- a/tests/learnt_parts.cpp
+++ b/tests/learnt_parts.cpp
@@ -11,30 +11,30 @@
 
 #include "base/text.h"
 #include "config/settings.h"
-#include "learning/learnt.h"
 #include "routing/policy.h"
+#include "warm_start/snapshot_file.h"
 
 using namespace walkpaddle;
 
 namespace {
 
-learning::Kept some_kept() {
-  learning::Kept k{.family = "edge", .pace = 6000, .written = 1000};
+warm_start::SnapshotFile some_snapshot() {
+  warm_start::SnapshotFile k{.family = "edge", .client_kb_per_s = 6000, .written_at = 1000};
   const auto rules = *rc::gen::inRange(0, 5), members = *rc::gen::inRange(0, 5);
   for (int n = 0; n < rules; ++n)
-    k.rules.push_back(
+    k.service_times.push_back(
         {"rule" + std::to_string(n), *rc::gen::inRange(1, 600000) / 1e3, *rc::gen::inRange(1, 1000)});
   for (int n = 0; n < members; ++n)
-    k.unreached.push_back({"s-" + std::to_string(n), *rc::gen::inRange(0, 1000000) / 1e3});
+    k.unreachable.push_back({"s-" + std::to_string(n), *rc::gen::inRange(0, 1000000) / 1e3});
   return k;
 }
 
-bool same(const learning::Kept& a, const learning::Kept& b) {
-  return learning::text_of(a) == learning::text_of(b);
+bool same(const warm_start::SnapshotFile& a, const warm_start::SnapshotFile& b) {
+  return warm_start::serialize(a) == warm_start::serialize(b);
 }
 
 std::string refusal(const std::string& text, std::string_view family, double pace, Seconds now) try {
-  learning::kept_of(text, family, pace, now);
+  warm_start::parse_snapshot(text, family, pace, now);
   return "taken";
 } catch (const InputError& e) {
   return e.what();
@@ -166,41 +166,44 @@
 
 int main() {
   bool good = rc::check("what is written reads back", [] {
-    const auto k = some_kept();
-    RC_ASSERT(same(learning::kept_of(learning::text_of(k), "edge", 6000, 1010), k));
+    const auto k = some_snapshot();
+    RC_ASSERT(same(warm_start::parse_snapshot(warm_start::serialize(k), "edge", 6000, 1010), k));
   });
   good = rc::check("a changed byte is refused, or changes nothing",
                    [] {
-                     const auto k = some_kept();
-                     auto text = learning::text_of(k);
+                     const auto k = some_snapshot();
+                     auto text = warm_start::serialize(k);
                      text[*rc::gen::inRange<std::size_t>(0, text.size())] = *rc::gen::arbitrary<char>();
                      try {
-                       RC_ASSERT(same(learning::kept_of(text, "edge", 6000, 1010), k));
+                       RC_ASSERT(same(warm_start::parse_snapshot(text, "edge", 6000, 1010), k));
                      } catch (const InputError&) {
                      }
                    }) &&
          good;
   good = rc::check("a text that is cut is refused",
                    [] {
-                     const auto text = learning::text_of(some_kept());
+                     const auto text = warm_start::serialize(some_snapshot());
                      const auto size = *rc::gen::inRange<std::size_t>(0, text.size() - 1);
                      RC_ASSERT(refusal(text.substr(0, size), "edge", 6000, 1010) != "taken");
                    }) &&
          good;
   std::printf("properties %s\n", good ? "hold" : "FAIL");
 
-  learning::Kept k{
-      .family = "edge", .pace = 6000, .written = 1000, .rules = {{"page", 0.2, 40}}, .unreached = {}};
-  const auto text = learning::text_of(k);
+  warm_start::SnapshotFile k{.family = "edge",
+                             .client_kb_per_s = 6000,
+                             .written_at = 1000,
+                             .service_times = {{"page", 0.2, 40}},
+                             .unreachable = {}};
+  const auto text = warm_start::serialize(k);
   std::printf("as written: %s\n", refusal(text, "edge", 6000, 1010).c_str());
   std::printf("two hours on: %s\n", refusal(text, "edge", 6000, 8200).c_str());
   std::printf("an hour back: %s\n", refusal(text, "edge", 6000, -2600).c_str());
   std::printf("at another place: %s\n", refusal(text, "mesh", 6000, 1010).c_str());
   std::printf("at another pace: %s\n", refusal(text, "edge", 9000, 1010).c_str());
   std::printf("too large: %s\n", refusal(text + std::string(70000, ' '), "edge", 6000, 1010).c_str());
-  k.rules.assign(1000, {"page", 0.2, 40});
+  k.service_times.assign(1000, {"page", 0.2, 40});
   std::printf("a thousand rules: %zu are written\n",
-              learning::kept_of(learning::text_of(k), "edge", 6000, 1010).rules.size());
+              warm_start::parse_snapshot(warm_start::serialize(k), "edge", 6000, 1010).service_times.size());
 
   const WarmStartSnapshot good_one{.service_times = {{0.2, 40}}, .unreachable = {{2, 4999.5}}};
   const WarmStartSnapshot hostile{.service_times = {{1e-9, 1000000}},
