--- a/src/purge/purge_log.cpp
+++ b/src/purge/purge_log.cpp
@@ -18,12 +18,12 @@
 AddResult PurgeLog::restore(PurgeEntry entry, Seconds now, const PurgeEntry** added) {
   const auto issuer = entry.stamp.issuer;
   const auto number = entry.stamp.number;
-  if (!has_room_for_issuer(issuer)) return AddResult::no_room;
+  if (!accepts_issuer(issuer)) return AddResult::full;
   auto& progress = issuers_[issuer];
   progress.reported = std::max(progress.reported, number);
   if (number <= progress.contiguous || contains(issuer, number)) return AddResult::known;
   const bool early = number != progress.contiguous + 1;
-  if (early && early_entries_ >= limits_.early_entries) return AddResult::no_room;
+  if (early && early_entries_ >= limits_.early_entries) return AddResult::full;
   const auto& inserted = insert(std::move(entry));
   if (added != nullptr) *added = &inserted;
   if (early) {
@@ -61,7 +61,7 @@
 
 void PurgeLog::skip_dropped(std::uint64_t issuer, std::uint64_t dropped, Seconds evicted_valid_since,
                             Seconds now) {
-  if (!has_room_for_issuer(issuer)) return;
+  if (!accepts_issuer(issuer)) return;
   auto& progress = issuers_[issuer];
   progress.evicted_valid_since = std::max(progress.evicted_valid_since, evicted_valid_since);
   if (dropped <= progress.contiguous) return;
@@ -80,7 +80,7 @@
 }
 
 void PurgeLog::note_reported(std::uint64_t issuer, std::uint64_t number) {
-  if (!has_room_for_issuer(issuer)) return;
+  if (!accepts_issuer(issuer)) return;
   auto& progress = issuers_[issuer];
   progress.reported = std::max(progress.reported, number);
 }
--- a/src/purge/purge_log.h
+++ b/src/purge/purge_log.h
@@ -22,7 +22,7 @@
   appended,  ///< taken; its issuer's run grew
   early,     ///< taken ahead of a gap in its issuer's run; it counts at once
   known,     ///< it was there already
-  no_room,   ///< not taken: a bound is reached; it will be asked for again
+  full,      ///< not taken: a bound is reached; it will be asked for again
 };
 
 /// The purges that one router has, by issuer and number, by stamp, and by order of arrival.
@@ -113,7 +113,7 @@
 
   static constexpr std::uint64_t kNextPosition = 0;  // the one after the last, instead of a given one
 
-  bool has_room_for_issuer(std::uint64_t issuer) const {
+  bool accepts_issuer(std::uint64_t issuer) const {
     return issuers_.contains(issuer) || issuers_.size() < limits_.issuers;
   }
   bool contains(std::uint64_t issuer, std::uint64_t number) const {
--- a/src/purge/purge_replication.h
+++ b/src/purge/purge_replication.h
@@ -58,7 +58,7 @@
 
   /// What is shown of a peer.
   struct PeerStatus {
-    bool connected = false;
+    bool connected = false;  ///< a connection to it is up
     /// On this router's clock: no purge in the peer's log by then is missing here; 0: never.
     Seconds complete_at = 0;
   };
--- a/src/replication/peer_links.cpp
+++ b/src/replication/peer_links.cpp
@@ -72,7 +72,7 @@
   void entry(const PurgeStamp& stamp, PurgeKind kind, std::string_view target) override {
     const int sender = greeted_peer();
     const Seconds now = links.scheduler_.now();
-    if (links.purges_.add(stamp, kind, target, now) == purge::AddResult::no_room)
+    if (links.purges_.add(stamp, kind, target, now) == purge::AddResult::full)
       links.log_("fleet", "{}: a purge had no place and will be asked for again", links.name_of(sender));
     replication().entry_added(now);
     links.purges_.after_input(now);
--- a/src/replication/purge_persister.cpp
+++ b/src/replication/purge_persister.cpp
@@ -93,7 +93,7 @@
 void PurgePersister::on_ready(std::uint32_t) {
   std::uint64_t count = 0;
   if (::read(store_.changed_fd(), &count, sizeof count) != sizeof count) return;
-  purges_.mark_stored(store_.durable_mark(), scheduler_.now());
+  purges_.mark_stored(store_.durable_sequence(), scheduler_.now());
   const bool failed = store_.failed();
   if (failed == std::exchange(failure_logged_, failed)) return;
   if (failed)
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -67,7 +67,7 @@
   Kind kind = Kind::put;
   std::string key;
   std::string value;
-  std::uint64_t mark = 0;
+  std::uint64_t sequence = 0;
 };
 
 struct Store::Database {
@@ -197,8 +197,8 @@
   return {};
 }
 
-WriteResult Store::put(std::string key, std::string value, std::uint64_t mark) {
-  return enqueue({Job::Kind::put, std::move(key), with_checksum(std::move(value)), mark});
+WriteResult Store::put(std::string key, std::string value, std::uint64_t sequence) {
+  return enqueue({Job::Kind::put, std::move(key), with_checksum(std::move(value)), sequence});
 }
 
 WriteResult Store::erase(std::string key) { return enqueue({Job::Kind::erase, std::move(key), {}, 0}); }
@@ -267,9 +267,9 @@
       continue;
     }
     if (!write_until_durable(batch)) return;
-    std::uint64_t mark = durable_mark_.load(std::memory_order_relaxed);
-    for (const auto& written : batch) mark = std::max(mark, written.mark);
-    durable_mark_.store(mark, std::memory_order_release);
+    std::uint64_t sequence = durable_sequence_.load(std::memory_order_relaxed);
+    for (const auto& written : batch) sequence = std::max(sequence, written.sequence);
+    durable_sequence_.store(sequence, std::memory_order_release);
     raise_event(changed_);
   }
 }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -8,7 +8,7 @@
 /// before it.
 ///
 /// Threads: for_each(), put() and erase() by the one thread that made the store (the queue to the writer has
-/// one producer); durable_mark(), failed() and last_error() by any.
+/// one producer); durable_sequence(), failed() and last_error() by any.
 #pragma once
 
 #include <atomic>
@@ -57,16 +57,17 @@
   /// Throws StoreError if a value does not fit its checksum, and whatever `visit` throws.
   void for_each(const std::function<void(std::string_view key, std::string_view value)>& visit);
 
-  /// Puts the value under the key. Writes become durable in the order of the calls; `mark` rises from one
-  /// call to the next, or is 0, and durable_mark() reports it then.
-  WriteResult put(std::string key, std::string value, std::uint64_t mark);
+  /// Puts the value under the key. Writes become durable in the order of the calls; `sequence` rises from one
+  /// call to the next, or is 0, and durable_sequence() reports it then.
+  WriteResult put(std::string key, std::string value, std::uint64_t sequence);
   /// Erases the key if it is there.
   WriteResult erase(std::string key);
 
-  /// An eventfd that is readable when durable_mark() or failed() may have changed; the host reads it empty.
+  /// An eventfd that is readable when durable_sequence() or failed() may have changed; the host reads it
+  /// empty.
   int changed_fd() const { return changed_.get(); }
-  /// All writes with a mark up to this one are durable.
-  std::uint64_t durable_mark() const { return durable_mark_.load(std::memory_order_acquire); }
+  /// All writes with a sequence up to this one are durable.
+  std::uint64_t durable_sequence() const { return durable_sequence_.load(std::memory_order_acquire); }
   /// Whether the last write failed; it is tried again.
   bool failed() const { return failed_.load(std::memory_order_acquire); }
   /// Why it failed, for the operator.
@@ -92,7 +93,7 @@
   std::unique_ptr<Database> database_;
   Fd changed_;  // to the host
   Fd wake_;     // to the writer
-  std::atomic<std::uint64_t> durable_mark_ = 0;
+  std::atomic<std::uint64_t> durable_sequence_ = 0;
   std::atomic<bool> failed_ = false;
   std::atomic<bool> ending_ = false;
   mutable std::mutex last_error_mutex_;
--- a/tests/hunt.cpp
+++ b/tests/hunt.cpp
@@ -195,13 +195,13 @@
   {
     store::Store store({folder.string(), 4});
     REQUIRE(store.put("first", "1", 1));
-    REQUIRE(until([&] { return store.durable_mark() == 1; }));
+    REQUIRE(until([&] { return store.durable_sequence() == 1; }));
     bound(std::filesystem::file_size(folder / "data.mdb"));
     REQUIRE(store.put("second", std::string(100'000, '2'), 2));
     CHECK(until([&] { return store.failed(); }));
-    CHECK(store.durable_mark() == 1);
+    CHECK(store.durable_sequence() == 1);
     bound(before.rlim_cur);
-    CHECK(until([&] { return store.durable_mark() == 2; }));
+    CHECK(until([&] { return store.durable_sequence() == 2; }));
     CHECK_FALSE(store.failed());
     REQUIRE(store.put("third", "3", 3));
   }
