--- a/src/net/router.h
+++ b/src/net/router.h
@@ -12,8 +12,6 @@
 #include "config/platform_config.h"
 #include "control/file.h"
 #include "control/operators.h"
-#include "fleet/keeper.h"
-#include "fleet/links.h"
 #include "fleet/share.h"
 #include "io/log.h"
 #include "net/client_listener.h"
@@ -21,6 +19,8 @@
 #include "net/purge_notifier.h"
 #include "net/request_dispatcher.h"
 #include "net/upstream_pool.h"
+#include "replication/peer_links.h"
+#include "replication/purge_persister.h"
 
 namespace walkpaddle::net {
 
@@ -86,7 +86,7 @@
   Task live();
   fleet::Belief belief() const;  // what the module has learnt, for others to keep
   void take_back(const fleet::Belief& belief);
-  fleet::Purges::Setup purges_setup();
+  purge::PurgeRegistry::Setup purges_setup();
   void pull_fleet();
   std::optional<fleet::Changes::Setup> changes_setup();
   void read_documents();
@@ -107,7 +107,7 @@
   Signals signals_;
   std::unique_ptr<store::Store> store_;
   std::string run_;  // of this router's store, or of this start
-  fleet::Purges purges_;
+  purge::PurgeRegistry purges_;
   Seconds trim_at_ = 0;
   RequestDispatcher dispatcher_;  // before the outbox: what a turn decides goes out at its end
   struct AtTurnsEnd {
@@ -117,8 +117,8 @@
   UpstreamPool upstream_;
   DiscoveryClient list_;
   ClientListener client_listener_;
-  std::unique_ptr<fleet::Keeper> keeper_;
-  std::unique_ptr<fleet::Links> links_;
+  std::unique_ptr<replication::PurgePersister> purge_persister_;
+  std::unique_ptr<replication::PeerLinks> peer_links_;
   std::unique_ptr<fleet::Share> shared_;
   std::unique_ptr<PurgeNotifier> purge_notifier_;
   std::unique_ptr<control::Operators> operators_;
--- a/tests/hunt.cpp
+++ b/tests/hunt.cpp
@@ -17,12 +17,12 @@
 #include <vector>
 
 #include "config/platform_config.h"
-#include "fleet/purges.h"
 #include "guard/guard.h"
 #include "net/discovery_client.h"
 #include "net/discovery_clock.h"
 #include "net/upstream_pool.h"
 #include "platform.h"
+#include "purge/purge_registry.h"
 #include "routing/endpoint_order.h"
 #include "standins/bus.h"
 #include "standins/world.h"
@@ -195,19 +195,20 @@
   {
     store::Store store({folder.string(), 4});
     REQUIRE(store.put("first", "1", 1));
-    REQUIRE(until([&] { return store.written() == 1; }));
+    REQUIRE(until([&] { return store.durable_sequence() == 1; }));
     bound(std::filesystem::file_size(folder / "data.mdb"));
     REQUIRE(store.put("second", std::string(100'000, '2'), 2));
     CHECK(until([&] { return store.failed(); }));
-    CHECK(store.written() == 1);
+    CHECK(store.durable_sequence() == 1);
     bound(before.rlim_cur);
-    CHECK(until([&] { return store.written() == 2; }));
+    CHECK(until([&] { return store.durable_sequence() == 2; }));
     CHECK_FALSE(store.failed());
     REQUIRE(store.put("third", "3", 3));
   }
   std::map<std::string, std::size_t> held;
   store::Store again({folder.string(), 4});
-  again.each([&](std::string_view key, std::string_view value) { held[std::string(key)] = value.size(); });
+  again.for_each(
+      [&](std::string_view key, std::string_view value) { held[std::string(key)] = value.size(); });
   CHECK(held == std::map<std::string, std::size_t>{{"first", 1}, {"second", 100'000}, {"third", 1}});
   std::filesystem::remove_all(folder);
 }
@@ -222,7 +223,7 @@
   const Fd ear = listen_on(Address{0x7f000001, 0});
   const Address address{0x7f000001, static_cast<std::uint16_t>(standins::port_of(ear.get()))};
   const auto config = net::parse_config(config_text("n0", 1, address.port, "", "{}"));
-  fleet::Purges purges({}, scheduler.now());
+  purge::PurgeRegistry purges({}, scheduler.now());
   net::RequestDispatcher dispatcher(scheduler, 7, config.settings, purges);
   net::UpstreamPool caches(scheduler, outbox, log, 8, 32, 1, 60, true);
   net::DiscoveryClient list(scheduler, outbox, log, dispatcher, caches);
