--- a/lab/faulty.cpp
+++ b/lab/faulty.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 struct Fault {
-  explicit Fault(const net::Router::Parts& p, const std::string& kind) : parts(p), kind(kind) {
+  explicit Fault(const server::ListenerContext& p, const std::string& kind) : parts(p), kind(kind) {
     if (kind == "slow") p.scheduler.at_turns_end([] { ::usleep(15000); });
     if (kind == "refuse" || kind == "fall" || kind == "leak") p.scheduler.start(work());
   }
@@ -31,18 +31,18 @@
         parts.dispatcher.input().begin_endpoint_list(true), parts.dispatcher.input().end_endpoint_list();
     }
   }
-  const net::Router::Parts parts;
+  const server::ListenerContext parts;
   const std::string kind;
   std::vector<std::string> held;
 };
 
 }  // namespace
 
-void add_fronts(net::Router& router, const control::File&) {
+void add_fronts(server::Server& server, const control::File&) {
   const char* kind = std::getenv("WALKPADDLE_FAULT");
   if (kind == nullptr) return;
   while (std::string_view(kind) == "unready") ::pause();
-  router.add([&](const net::Router::Parts& p) { return std::make_shared<Fault>(p, kind); });
+  server.add_listener(std::make_shared<Fault>(server.listener_context(), kind));
 }
 
 }  // namespace walkpaddle
--- a/src/fronts.cpp
+++ b/src/fronts.cpp
@@ -4,15 +4,16 @@
 
 namespace walkpaddle {
 
-void add_fronts(net::Router& router, const control::File& operators) {
-  if (const auto& d = operators.dns; d.on)
-    router.add([&](const net::Router::Parts& p) {
-      std::vector<std::string> rules;
-      for (const auto& rule : net::request_class_names(p.settings)) rules.push_back(rule.name);
-      return std::make_shared<dns::Front>(p.scheduler, p.outbox, p.log, p.dispatcher, p.caches,
-                                          dns::Zone({d.zone, d.server, d.use, d.txns}, std::move(rules)),
-                                          parse_address(d.listen));
-    });
+void add_fronts(server::Server& server, const control::File& operators) {
+  const auto& options = operators.dns;
+  if (!options.on) return;
+  const auto context = server.listener_context();
+  std::vector<std::string> class_names;
+  for (const auto& named : net::request_class_names(context.settings)) class_names.push_back(named.name);
+  server.add_listener(std::make_shared<dns::Front>(
+      context.scheduler, context.outbox, context.log, context.dispatcher, context.upstream,
+      dns::Zone({options.zone, options.server, options.use, options.txns}, std::move(class_names)),
+      parse_address(options.listen)));
 }
 
 }  // namespace walkpaddle
--- a/src/fronts.h
+++ b/src/fronts.h
@@ -2,10 +2,10 @@
 #pragma once
 
 #include "control/file.h"
-#include "net/router.h"
+#include "server/server.h"
 
 namespace walkpaddle {
 
-void add_fronts(net::Router& router, const control::File& operators);
+void add_fronts(server::Server& server, const control::File& operators);
 
 }  // namespace walkpaddle
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -25,14 +25,13 @@
 #include "control/documents.h"
 #include "control/file.h"
 #include "fronts.h"
-#include "net/router.h"
+#include "server/server.h"
 
 namespace {
 
 using namespace walkpaddle;
 
 constexpr int kRefused = 1, kWrongUse = 2;
-constexpr const char* kListener = "WALKPADDLE_LISTENER";
 
 struct WrongUse : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -53,14 +52,14 @@
 
 // The next program in this process's place, on the listener that is open. It finds by the environment what it
 // is, and has its time to be ready; then the kernel ends it, and who started this one starts the one before.
-[[noreturn]] void follow_with(net::Router::Next next, const std::string& operators) {
+[[noreturn]] void follow_with(server::Successor next, const std::string& operators) {
   const auto& move = next.move;
   const auto& program = next.program;
   const std::pair<std::string, std::string> told[] = {
-      {net::kGeneration, move.to},
-      {net::kEarlier, std::filesystem::read_symlink("/proc/self/exe").string()},
-      {net::kSettings, next.settings},
-      {kListener, std::to_string(next.listener.get())}};
+      {server::kGenerationVariable, move.to},
+      {server::kPredecessorVariable, std::filesystem::read_symlink("/proc/self/exe").string()},
+      {server::kSettingsVariable, next.settings_lines},
+      {server::kListenerVariable, std::to_string(next.listener.get())}};
   std::vector<std::string> words;
   for (char** word = environ; *word != nullptr; ++word)
     if (std::ranges::none_of(
@@ -80,7 +79,7 @@
 }
 
 void run(const std::string& file, const std::string& log_form) {
-  net::Router::hold_signals();
+  server::Signals::block();
   const char* path = std::getenv("LB_CONFIG");
   if (path == nullptr) throw InputError("LB_CONFIG is not set");
   const auto read = [path] {
@@ -89,20 +88,21 @@
     if (!(text << in.rdbuf())) throw InputError(std::string("cannot read ") + path);
     auto config = net::parse_config(text.str());
     if (const char* listen = std::getenv("LB_LISTEN")) config.listen = parse_address(listen);
-    if (const char* left = std::getenv(kListener)) config.listening = parse<int>(left, kListener);
-    if (const char* lines = std::getenv(net::kSettings)) config.settings.put_lines(lines);
+    if (const char* left = std::getenv(server::kListenerVariable))
+      config.listening = parse<int>(left, server::kListenerVariable);
+    if (const char* lines = std::getenv(server::kSettingsVariable)) config.settings.put_lines(lines);
     return config;
   };
   auto config = read();
   const auto operators = file.empty() ? control::File{} : control::read_file(file);
   const bool json = log_form.empty() ? operators.log_json : log_form == "json";
   Log log(config.name, json ? Log::Form::json : Log::Form::text);
-  std::optional<net::Router::Next> next;
+  std::optional<server::Successor> next;
   {
-    net::Router router(std::move(config), operators, read, log);
-    add_fronts(router, operators);
-    router.run();
-    next = router.take_next();
+    server::Server server(std::move(config), operators, read, log);
+    add_fronts(server, operators);
+    server.run();
+    next = server.take_successor();
   }
   if (next) follow_with(std::move(*next), file);
 }
--- /dev/null
+++ b/src/server/reload.cpp
@@ -0,0 +1,37 @@
+#include "server/reload.h"
+
+#include <exception>
+
+namespace walkpaddle::server {
+
+namespace {
+
+constexpr Seconds kRetryInterval = 0.25;
+constexpr Seconds kRetryPeriod = 3;  // the platform counts a reload as told 4 s after the signal
+
+}  // namespace
+
+void ConfigReload::request() { retry_until_ = reload() ? 0 : scheduler_.now() + kRetryPeriod; }
+
+Seconds ConfigReload::next_try() const {
+  const Seconds now = scheduler_.now();
+  return now < retry_until_ ? now + kRetryInterval : kNoTime;
+}
+
+void ConfigReload::try_again() {
+  if (reload()) retry_until_ = 0;
+}
+
+bool ConfigReload::reload() {
+  try {
+    const auto config = read_config_();
+    log_("reload", "event bus {}", config.has_bus ? text_of(config.bus) : "none");
+    if (config.has_bus) discovery_.follow(config.bus);
+    return true;
+  } catch (const std::exception& e) {
+    log_("reload", "kept as it was: {}", e.what());
+    return false;
+  }
+}
+
+}  // namespace walkpaddle::server
--- /dev/null
+++ b/src/server/rollout_agent.cpp
@@ -0,0 +1,176 @@
+#include "server/rollout_agent.h"
+
+#include <unistd.h>
+
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <iterator>
+#include <system_error>
+#include <utility>
+#include <vector>
+
+#include "base/error.h"
+#include "compat/release.h"
+#include "control/documents.h"
+#include "freeze/window.h"
+
+namespace walkpaddle::server {
+
+namespace {
+
+namespace fs = std::filesystem;
+
+constexpr Seconds kStartWarmUp = 5;   // of a start; a document says how long after a step of its own
+constexpr Seconds kCatchUpLimit = 2;  // a started program is ready by then, whether it has caught up or not
+
+std::string read_whole(const std::string& path) {
+  std::ifstream in(path, std::ios::binary);
+  if (!in) throw InputError("cannot read " + path);
+  return {std::istreambuf_iterator<char>(in), {}};
+}
+
+compat::Release read_release(const fs::path& folder) {
+  std::vector<std::string> schemas;
+  std::error_code error;
+  for (const auto& entry : fs::directory_iterator(folder, error))
+    if (entry.path().extension() == ".bin") schemas.push_back(read_whole(entry.path()));
+  if (error) throw InputError("cannot read the folder " + folder.string());
+  return compat::read_release(schemas, read_whole(folder / "rules.json"));
+}
+
+std::vector<compat::Release> read_releases(const std::string& folder) {
+  std::vector<compat::Release> releases;
+  std::error_code error;
+  for (const auto& entry : fs::directory_iterator(folder, error))
+    if (entry.is_directory()) releases.push_back(read_release(entry.path()));
+  return releases;
+}
+
+compat::Release read_release_of(const std::string& folder, const std::string& generation) {
+  if (folder.empty()) throw InputError("the operator's file names no protocol folder");
+  return read_release(fs::path(folder) / generation);
+}
+
+// An epoch of counters: microseconds, so that each is later than the one before.
+std::uint64_t epoch_of(Seconds now) { return static_cast<std::uint64_t>(now * 1e6); }
+
+}  // namespace
+
+std::optional<fleet::Changes::Setup> RolloutAgent::changes_setup() {
+  const auto& changes = parts_.operators.changes;
+  if (!changes.on) return std::nullopt;
+  const char* handed_generation = std::getenv(kGenerationVariable);
+  const std::string generation = handed_generation != nullptr ? handed_generation : changes.generation;
+  // What a predecessor handed on stands in the configuration already.
+  if (const char* lines = std::getenv(kSettingsVariable)) settings_lines_ = lines;
+  generations_[generation] = settings_lines_;
+  fleet::Changes::Setup setup{
+      .name = parts_.operators.fleet.name,
+      .site = changes.site,
+      .generation = generation,
+      .peers = {},
+      .seed = fold_seed(parts_.config.seed),
+      .kept = [folder = changes.protocol] { return read_releases(folder); },
+      .release = [folder =
+                      changes.protocol](const std::string& name) { return read_release_of(folder, name); },
+      .carry_out = [this](const change::Rollout::Move& move) { carry_out(move); },
+      .counted = [this] { return parts_.metrics.rollout_counters(); }};
+  for (const auto& peer : parts_.operators.fleet.peers) setup.peers.push_back({peer.name, peer.site});
+  const Seconds now = parts_.scheduler.now();
+  parts_.dispatcher.begin_tally(epoch_of(now), now + kStartWarmUp);
+  return setup;
+}
+
+void RolloutAgent::turn_ends() {
+  if (ready_ || !rollouts_on() || parts_.lifecycle.phase() != Phase::serving) return;
+  const bool caught_up = !replication_->gossip().catching_up();
+  if (caught_up || parts_.scheduler.now() > replication_->started() + kCatchUpLimit) started_program_ready();
+}
+
+// The alarm is the one that the predecessor set: past it the kernel ends a start that hangs.
+void RolloutAgent::started_program_ready() {
+  ready_ = true;
+  ::alarm(0);
+  parts_.log("change", "this router runs {}", replication_->changes()->rollout().running());
+  reload_documents();
+}
+
+// All of the folder, or nothing of it and one line that says why.
+void RolloutAgent::reload_documents() {
+  if (!rollouts_on()) return;
+  const Seconds now = parts_.scheduler.now();
+  const auto& folder = parts_.operators.changes.folder;
+  try {
+    const auto documents = control::read_documents(folder, now);
+    auto& calendar = replication_->changes()->calendar();
+    auto& rollout = replication_->changes()->rollout();
+    for (const auto& window : documents.windows) calendar.declare(window);
+    for (const auto& [window, version] : documents.withdrawals) calendar.withdraw(window, version);
+    for (const auto& exception : documents.exceptions) calendar.except(exception);
+    for (const auto& document : documents.changes) rollout.propose(document, now);
+    for (const auto& [change, reason] : documents.stops) rollout.stop(change, reason, now);
+    parts_.log("change", "{}: {} windows, {} changes", folder, documents.windows.size(),
+               documents.changes.size());
+  } catch (const InputError& e) {
+    parts_.log("change", "kept as it was: {}", e.what());
+  }
+}
+
+void RolloutAgent::carry_out(const change::Rollout::Move& move) {
+  if (parts_.lifecycle.phase() != Phase::serving) return;  // it ends, and no other program begins for it
+  if (move.document.work == freeze::kRelease)
+    request_successor(move);
+  else
+    apply_generation(move);
+}
+
+void RolloutAgent::request_successor(const change::Rollout::Move& move) {
+  const char* predecessor = std::getenv(kPredecessorVariable);
+  std::string program;
+  if (!move.back)
+    program = move.document.body;
+  else if (predecessor != nullptr)
+    program = predecessor;
+  if (program.empty() || ::access(program.c_str(), X_OK) != 0) {
+    auto& rollout = replication_->changes()->rollout();
+    return rollout.move_failed("'" + program + "' is no program here", parts_.scheduler.now());
+  }
+  successor_ = Successor{move, program, settings_lines_, Fd()};
+  parts_.signals.wake();
+}
+
+// The policy takes settings between two turns: no request notices. What the platform configured stays under
+// them, so that going back is handing over what was before.
+void RolloutAgent::apply_generation(const change::Rollout::Move& move) {
+  auto& rollout = replication_->changes()->rollout();
+  const Seconds now = parts_.scheduler.now();
+  const auto& lines = settings_of(move);
+  try {
+    auto settings = parts_.config.settings;
+    settings.put_lines(lines);
+    check(settings);
+    parts_.dispatcher.settings_changed(settings);
+  } catch (const InputError& e) {
+    return rollout.move_failed(e.what(), now);
+  }
+  settings_lines_ = lines;
+  parts_.dispatcher.begin_tally(epoch_of(now), now + move.document.warm_up);
+  rollout.moved(now);
+}
+
+const std::string& RolloutAgent::settings_of(const change::Rollout::Move& move) {
+  auto& lines = generations_[move.to];
+  if (!move.back) {
+    lines = generations_[move.document.before];
+    lines += (lines.empty() ? "" : "\n") + move.document.body;
+  }
+  return lines;
+}
+
+void RolloutAgent::take_listener(Fd listener) {
+  parts_.log("change", "makes way for {}", successor_->move.to);
+  successor_->listener = std::move(listener);
+}
+
+}  // namespace walkpaddle::server
--- /dev/null
+++ b/src/server/server.cpp
@@ -0,0 +1,148 @@
+#include "server/server.h"
+
+#include <exception>
+#include <utility>
+
+#include "guard/guard.h"
+#include "net/request_handler.h"
+#include "server/fleet_setup.h"
+
+namespace walkpaddle::server {
+
+namespace {
+
+constexpr Seconds kPurgeTrimInterval = 0.25;
+constexpr int kDefaultStreamsPerConnection = 32;
+
+// A quarter of the memory for what clients do not read yet; as much again waits in requests and answers that
+// have not come whole, and the allocator keeps some.
+std::size_t outbox_bytes(double memory_mb) {
+  constexpr double kOutboxShare = 0.25;
+  constexpr double kBytesPerMegabyte = 1 << 20;
+  return static_cast<std::size_t>(memory_mb * kBytesPerMegabyte * kOutboxShare);
+}
+
+guard::Guard::Report report_violations(Log& log) {
+  return [&log](guard::Invariant broken, std::uint64_t request) {
+    log("guard", "{:016x}: not done, it would break {}", request,
+        guard::kInvariants[static_cast<std::size_t>(broken)]);
+  };
+}
+
+// A hot restart leaves the predecessor's listener open.
+Fd client_listener_socket(const net::Config& config) {
+  return config.listening >= 0 ? Fd(config.listening) : listen_on(config.listen);
+}
+
+}  // namespace
+
+Server::Server(net::Config config, const control::File& operators, ConfigReload::ReadConfig read_config,
+               Log& log)
+    : log_(log),
+      config_(std::move(config)),
+      operators_(operators),
+      descriptors_(config_.sockets, operators_),
+      signals_(scheduler_),
+      store_(open_store(operators_)),
+      purge_run_(purge_run(operators_, config_, store_.get(), scheduler_.now())),
+      purges_(purges_setup(operators_, config_.settings, purge_run_, store_ != nullptr), scheduler_.now()),
+      dispatcher_(scheduler_, fold_seed(config_.seed), config_.settings, purges_, report_violations(log)),
+      fleet_at_turns_end_(scheduler_, [this] { fleet_turn_ends(); }),
+      outbox_(scheduler_, outbox_bytes(config_.memory_mb)),
+      upstream_(scheduler_, outbox_, log, descriptors_.upstream_connections,
+                config_.settings.whole("allowed.streams_per_conn", kDefaultStreamsPerConnection),
+                config_.settings.ms("allowed.dial_timeout"), config_.settings.ms("allowed.idle_close"),
+                config_.settings.flag("allowed.cancel")),
+      discovery_(scheduler_, outbox_, log, dispatcher_, upstream_),
+      client_listener_(
+          scheduler_, outbox_, log, client_listener_socket(config_), descriptors_.client_connections,
+          net::request_class_names(config_.settings),
+          [this](std::shared_ptr<net::ClientConnection> client, net::Request request) {
+            scheduler_.start_isolated(net::serve(scheduler_, log_, dispatcher_, upstream_, std::move(client),
+                                                 std::move(request), config_.bytes_a_second));
+          }),
+      reload_(std::move(read_config), scheduler_, discovery_, log),
+      metrics_(scheduler_, dispatcher_),
+      warm_start_(operators_.learnt, config_.settings, scheduler_, dispatcher_, upstream_, log),
+      lifecycle_({scheduler_, log, config_, signals_, dispatcher_, discovery_, client_listener_, reload_,
+                  warm_start_, metrics_}),
+      rollout_agent_({scheduler_, log, config_, operators_, signals_, dispatcher_, metrics_, lifecycle_}) {
+  upstream_.set_guard(dispatcher_.guard());
+  client_listener_.set_guard(dispatcher_.guard());
+  log_isolated_failures();
+  log_("start", "{} on {}, {} descriptors, {} MB", config_.name, text_of(config_.listen), config_.sockets,
+       config_.memory_mb);
+  connect_fleet();
+  if (operators_.tell_boxes)
+    purge_notifier_ = std::make_unique<net::PurgeNotifier>(scheduler_, log_, purges_, upstream_, purge_run_);
+  if (!operators_.socket.empty()) open_admin_socket();
+  lifecycle_.start(rollout_agent_);
+}
+
+Server::~Server() { scheduler_.drop_tasks(); }
+
+ListenerContext Server::listener_context() {
+  return {scheduler_, outbox_, log_, dispatcher_, upstream_, config_.settings};
+}
+
+void Server::log_isolated_failures() {
+  scheduler_.on_failure([this](std::exception_ptr failure) {
+    try {
+      std::rethrow_exception(std::move(failure));
+    } catch (const std::exception& e) {
+      log_("failure", "one request or connection ended by: {}", e.what());
+    }
+  });
+}
+
+void Server::connect_fleet() {
+  const auto& fleet = operators_.fleet;
+  if (store_ && fleet.purges)
+    purge_persister_ = std::make_unique<fleet::Keeper>(scheduler_, log_, purges_, *store_);
+  purges_.after_input(scheduler_.now());
+  if (fleet.on && fleet.purges) {
+    const fleet::Links::Setup setup{fleet.name, parse_address(fleet.listen), fleet_peers(operators_)};
+    links_ = std::make_unique<fleet::Links>(scheduler_, outbox_, log_, purges_, setup);
+  }
+  if (!fleet.share) return;
+  replication_ = std::make_unique<fleet::Share>(scheduler_, log_, replication_setup());
+  discovery_.share(&replication_->watch());
+  rollout_agent_.connect(*replication_);
+}
+
+fleet::Share::Setup Server::replication_setup() {
+  return {.name = operators_.fleet.name,
+          .listen = parse_address(operators_.fleet.listen),
+          .peers = fleet_peers(operators_),
+          .seed = fold_seed(config_.seed),
+          .store = store_.get(),
+          .look_again = [this] { discovery_.tell_facts(); },
+          .learnt = [this] { return warm_start_.replicated_snapshot(); },
+          .take_learnt = [this](const fleet::Belief& kept) { warm_start_.restore_replicated(kept); },
+          .changes = rollout_agent_.changes_setup()};
+}
+
+void Server::open_admin_socket() {
+  control::Operators::Names names{operators_.fleet.name,
+                                  {},
+                                  [this](int endpoint) { return std::string(upstream_.id(endpoint)); },
+                                  [this] { return upstream_.members(); },
+                                  [this] { return metrics_.by_name(); }};
+  for (const auto& peer : operators_.fleet.peers) names.peers.push_back(peer.name);
+  admin_server_ = std::make_unique<control::Operators>(scheduler_, outbox_, log_, purges_, operators_.socket,
+                                                       std::move(names), replication_.get());
+}
+
+void Server::fleet_turn_ends() {
+  const Seconds now = scheduler_.now();
+  if (now >= next_trim_) {
+    purges_.trim(now);
+    next_trim_ = now + kPurgeTrimInterval;
+  }
+  if (purge_persister_) purge_persister_->pull();
+  if (links_) links_->pull();
+  if (replication_) replication_->pull();
+  rollout_agent_.turn_ends();
+}
+
+}  // namespace walkpaddle::server
--- /dev/null
+++ b/src/server/warm_start.cpp
@@ -0,0 +1,130 @@
+#include "server/warm_start.h"
+
+#include <algorithm>
+#include <cerrno>
+#include <cstdio>
+#include <fstream>
+#include <map>
+#include <string>
+#include <system_error>
+
+#include "config/platform_config.h"
+
+namespace walkpaddle::server {
+
+namespace {
+
+constexpr const char* kTransferRateKey = "specifics.client_kb_per_s";
+
+// One byte more than the bound, so that a file over it shows.
+std::string read_bounded(std::ifstream& in) {
+  std::string text(learning::kMostBytes + 1, '\0');
+  in.read(text.data(), static_cast<std::streamsize>(text.size()));
+  text.resize(static_cast<std::size_t>(in.gcount()));
+  return text;
+}
+
+}  // namespace
+
+void WarmStart::restore_from_file() {
+  if (file_.empty()) return;
+  const Seconds now = scheduler_.now();
+  try {
+    std::ifstream in(file_, std::ios::binary);
+    if (!in) return log_("learnt", "no {} yet, all is learnt afresh", file_);
+    const auto kept = learning::kept_of(read_bounded(in), settings_.text("family"),
+                                        settings_.number(kTransferRateKey), now);
+    WarmStartSnapshot snapshot;
+    const int service_times = restore_service_times(kept, snapshot);
+    const int unreachable = restore_unreachable(kept, snapshot);
+    dispatcher_.input().restore_snapshot(snapshot);
+    log_("learnt", "from {}, {:.0f} s old: {} sending times, {} members last not reached", file_,
+         now - kept.written, service_times, unreachable);
+  } catch (const std::exception& e) {
+    log_("learnt", "{} refused: {}; all is learnt afresh", file_, e.what());
+  }
+}
+
+// By the names of the present classes; gives the number that the file knew.
+int WarmStart::restore_service_times(const learning::Kept& kept, WarmStartSnapshot& snapshot) const {
+  int known = 0;
+  for (const auto& request_class : net::request_class_names(settings_)) {
+    const auto at = std::ranges::find(kept.rules, request_class.name, &learning::Kept::Rule::name);
+    WarmStartSnapshot::ServiceTime time;
+    if (at != kept.rules.end()) time = {at->sending, at->answers};
+    if (time.answers > 0) ++known;
+    snapshot.service_times.push_back(time);
+  }
+  return known;
+}
+
+// Only endpoints that the list names; one that started since is as the list reports it.
+int WarmStart::restore_unreachable(const learning::Kept& kept, WarmStartSnapshot& snapshot) const {
+  int restored = 0;
+  for (const auto& unreached : kept.unreached) {
+    for (int endpoint = 0; endpoint < upstream_.members(); ++endpoint) {
+      if (upstream_.id(endpoint) != unreached.member) continue;
+      snapshot.unreachable.push_back({endpoint, unreached.at});
+      ++restored;
+    }
+  }
+  return restored;
+}
+
+learning::Kept WarmStart::kept_snapshot() {
+  const auto snapshot = dispatcher_.input().snapshot();
+  learning::Kept kept{.family = std::string(settings_.text("family")),
+                      .pace = settings_.number(kTransferRateKey),
+                      .written = scheduler_.now()};
+  const auto names = net::request_class_names(settings_);
+  const auto classes = std::min(names.size(), snapshot.service_times.size());
+  for (std::size_t n = 0; n < classes; ++n) {
+    const auto& time = snapshot.service_times[n];
+    if (time.answers > 0) kept.rules.push_back({names[n].name, time.mean, time.answers});
+  }
+  for (const auto& unreachable : snapshot.unreachable)
+    kept.unreached.push_back({std::string(upstream_.id(unreachable.endpoint)), unreachable.at});
+  return kept;
+}
+
+void WarmStart::write_file() {
+  if (file_.empty()) return;
+  const auto kept = kept_snapshot();
+  // Renamed when complete: a start that reads meanwhile finds the earlier one.
+  const auto temporary = file_ + ".new";
+  std::ofstream out(temporary, std::ios::binary | std::ios::trunc);
+  out << learning::text_of(kept) << std::flush;
+  out.close();
+  if (!out || std::rename(temporary.c_str(), file_.c_str()) != 0)
+    return log_("learnt", "{} not written: {}", file_, std::system_category().message(errno));
+  log_("learnt", "left in {}: {} sending times, {} members last not reached", file_, kept.rules.size(),
+       kept.unreached.size());
+}
+
+fleet::Belief WarmStart::replicated_snapshot() const {
+  const auto snapshot = dispatcher_.module().snapshot();
+  fleet::Belief replicated{.link = snapshot.link_limit, .misses = snapshot.miss_ratio};
+  for (const auto& limit : snapshot.limits)
+    replicated.rooms.push_back({stable_hash(upstream_.id(limit.endpoint)), limit.attempts, limit.fills});
+  for (const auto& count : snapshot.objects) replicated.objects.push_back({count.object, count.count});
+  for (const auto& time : snapshot.service_times) replicated.rules.push_back({time.mean, time.answers});
+  return replicated;
+}
+
+void WarmStart::restore_replicated(const fleet::Belief& replicated) {
+  WarmStartSnapshot snapshot{.link_limit = replicated.link,
+                             .miss_ratio = replicated.misses,
+                             .age = std::max(0.0, scheduler_.now() - replicated.at)};
+  for (const auto& count : replicated.objects) snapshot.objects.push_back({count.object, count.count});
+  for (const auto& time : replicated.rules) snapshot.service_times.push_back({time.sending, time.answers});
+  std::map<std::uint64_t, int> endpoints;
+  for (int endpoint = 0; endpoint < upstream_.members(); ++endpoint)
+    endpoints[stable_hash(upstream_.id(endpoint))] = endpoint;
+  for (const auto& limit : replicated.rooms) {
+    const auto it = endpoints.find(limit.server);
+    if (it != endpoints.end()) snapshot.limits.push_back({it->second, limit.hops, limit.fills});
+  }
+  dispatcher_.input().restore_snapshot(snapshot);
+}
+
+}  // namespace walkpaddle::server
