--- a/lab/faulty.cpp
+++ b/lab/faulty.cpp
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-void add_fronts(server::Server& server, const control::File&) {
+void add_fronts(server::Server& server, const config::OperatorConfig&) {
   const char* kind = std::getenv("WALKPADDLE_FAULT");
   if (kind == nullptr) return;
   while (std::string_view(kind) == "unready") ::pause();
--- a/soak/plan.cpp
+++ b/soak/plan.cpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "base/text.h"
-#include "control/confuse.h"
+#include "config/section_reader.h"
 
 namespace walkpaddle::soak {
 
@@ -157,33 +157,31 @@
                          CFG_INT("most_connections", 0, CFGF_NONE),
                          CFG_INT("most_refused", 0, CFGF_NONE),
                          CFG_SEC("trouble", trouble_options, CFGF_MULTI),
-                         CFG_INT(control::kEnd, 0, CFGF_NONE),
+                         CFG_INT(config::kEndOption, 0, CFGF_NONE),
                          CFG_END()};
-  const auto document = control::begin(options);
-  control::parse(document.get(), path);
-  auto* all = document.get();
-  Plan plan{.seed = static_cast<std::uint64_t>(cfg_getint(all, "seed")),
-            .seconds = cfg_getfloat(all, "seconds"),
-            .processes = static_cast<int>(cfg_getint(all, "processes")),
-            .servers = static_cast<int>(cfg_getint(all, "servers")),
-            .parents = static_cast<int>(cfg_getint(all, "parents")),
-            .rate = cfg_getfloat(all, "rate"),
-            .most_refused = static_cast<int>(cfg_getint(all, "most_refused")),
-            .most_connections = static_cast<int>(cfg_getint(all, "most_connections"))};
+  config::Document document(path, options);
+  const auto all = document.read();
+  Plan plan{.seed = static_cast<std::uint64_t>(all.integer("seed")),
+            .seconds = all.number("seconds"),
+            .processes = static_cast<int>(all.integer("processes")),
+            .servers = static_cast<int>(all.integer("servers")),
+            .parents = static_cast<int>(all.integer("parents")),
+            .rate = all.number("rate"),
+            .most_refused = static_cast<int>(all.integer("most_refused")),
+            .most_connections = static_cast<int>(all.integer("most_connections"))};
   constexpr int kMostProcesses = 60, kMostServers = 200;
   if (plan.processes < 1 || plan.processes > kMostProcesses || plan.servers < 1 ||
       plan.servers > kMostServers || plan.parents < 0 || plan.seconds <= 0 || plan.rate <= 0)
     throw InputError(path + ": processes, servers, seconds or rate are out of range");
-  for (unsigned n = 0; n < cfg_size(all, "trouble"); ++n) {
-    auto* section = cfg_getnsec(all, "trouble", n);
-    const auto name = control::text_of(section, "kind");
+  for (const auto& section : all.sections("trouble")) {
+    const auto name = section.text("kind");
     const auto* range = std::ranges::find(kRanges, std::string_view(name), &Range::name);
-    if (range == std::end(kRanges)) control::refuse(path, section, fmt::format("no trouble '{}'", name));
+    if (range == std::end(kRanges)) section.refuse(fmt::format("no trouble '{}'", name), "kind");
     plan.troubles.push_back({.kind = static_cast<Kind>(range - std::begin(kRanges)),
-                             .at = cfg_getfloat(section, "at"),
-                             .lasts = cfg_getfloat(section, "lasts"),
-                             .target = static_cast<int>(cfg_getint(section, "target")),
-                             .size = cfg_getfloat(section, "size")});
+                             .at = section.number("at"),
+                             .lasts = section.number("lasts"),
+                             .target = static_cast<int>(section.integer("target")),
+                             .size = section.number("size")});
   }
   std::ranges::stable_sort(plan.troubles, {}, &Trouble::at);
   return plan;
--- /dev/null
+++ b/src/admin/admin_replies.cpp
@@ -0,0 +1,298 @@
+#include "admin/admin_replies.h"
+
+#include <fmt/core.h>
+
+#include <algorithm>
+#include <map>
+#include <nlohmann/json.hpp>
+#include <optional>
+#include <string_view>
+
+#include "base/error.h"
+#include "base/hash.h"
+#include "base/text.h"
+
+namespace walkpaddle::admin {
+
+using nlohmann::json;
+
+namespace {
+
+constexpr std::size_t kMostObservations = 500;  // of a reply; `facts_held` says that there are more
+constexpr std::size_t kLatestPurges = 20;       // of a reply
+constexpr std::size_t kLongestAction = 60;      // bytes of an unknown one that are repeated
+constexpr Seconds kShortestUptime = 1e-3;       // that rates are divided by
+constexpr int kHexadecimal = 16;
+
+// A purge's number as every router understands it.
+std::string issuer_text(const purge::Stamp& stamp) {
+  return fmt::format("{:016x}:{}", stamp.issuer, stamp.number);
+}
+
+json refused(const std::string& why) { return {{"ok", false}, {"why", why}}; }
+
+// Names come from files and from the wire: bytes that are no UTF-8 are replaced.
+std::string dump_replacing(const json& reply) {
+  return reply.dump(-1, ' ', false, json::error_handler_t::replace);
+}
+
+// Seconds since `time`, null where it never was.
+json age_or_null(Seconds now, Seconds time) { return time > 0 ? json(now - time) : json(nullptr); }
+
+std::string_view state_text(const change::Rollout::Standing& rollout) {
+  if (rollout.stopped) return "STOPPED";
+  if (rollout.done) return "done";
+  return rollout.stage == 0 ? "proposed" : "under way";
+}
+
+json rollouts_json(const fleet::Changes& changes, Seconds now) {
+  json all = json::array();
+  for (const auto& rollout : changes.rollout().standing(now))
+    all.push_back({{"name", rollout.document.name},
+                   {"from", rollout.document.before},
+                   {"to", rollout.document.after},
+                   {"by", rollout.document.by},
+                   {"state", state_text(rollout)},
+                   {"stage", rollout.stage},
+                   {"stages", rollout.stages},
+                   {"through", rollout.through},
+                   {"routers", rollout.fleet},
+                   {"drives", rollout.drives},
+                   {"txns_old", rollout.txns[0]},
+                   {"txns_new", rollout.txns[1]},
+                   {"why", rollout.why}});
+  return all;
+}
+
+json windows_json(const fleet::Changes& changes) {
+  json all = json::array();
+  for (const auto& standing : changes.calendar().standing())
+    all.push_back({{"name", standing.window.name},
+                   {"version", standing.window.version},
+                   {"zone", standing.window.zone},
+                   {"from", freeze::text_of(standing.window.from)},
+                   {"until", freeze::text_of(standing.window.until)},
+                   {"by", standing.window.by},
+                   {"withdrawn", standing.withdrawn},
+                   {"withdrawn_by", standing.withdrawn_by}});
+  return all;
+}
+
+// The fields of rollouts, null or empty where there are none.
+void add_rollouts(json& reply, const fleet::Changes* changes, Seconds now) {
+  reply["generation"] = nullptr;
+  reply["fleets_generation"] = nullptr;
+  reply["calendar"] = nullptr;
+  reply["changes"] = json::array();
+  reply["windows"] = json::array();
+  if (changes == nullptr) return;
+  reply["generation"] = changes->rollout().running();
+  reply["fleets_generation"] = changes->rollout().fleets_generation();
+  reply["calendar"] = changes->calendar().not_current(now);
+  reply["changes"] = rollouts_json(*changes, now);
+  reply["windows"] = windows_json(*changes);
+}
+
+}  // namespace
+
+AdminReplies::AdminReplies(const Scheduler& scheduler, Log& log, fleet::Purges& purges, Names names,
+                           const RouterView& router, const fleet::Share* replication)
+    : scheduler_(scheduler),
+      log_(log),
+      purges_(purges),
+      names_(std::move(names)),
+      router_(router),
+      replication_(replication) {}
+
+std::string AdminReplies::answer(const std::string& line) {
+  try {
+    const auto request = json::parse(line);
+    const auto action = request.at("do").get<std::string>();
+    if (action == "fleet" && replication_ != nullptr) return fleet_status();
+    return reply_to(request, action).dump();
+  } catch (const json::exception& e) {
+    return dump_replacing(refused(std::string("a request that cannot be read: ") + e.what()));
+  } catch (const InputError& e) {
+    return dump_replacing(refused(e.what()));
+  }
+}
+
+json AdminReplies::reply_to(const json& request, const std::string& action) {
+  if (action == "fleet") return refused("this router shares nothing: share is not in its file");
+  if (purges_.sync() == nullptr)
+    return refused("no purges go between routers here: fleet is not in its file, or says purges = false");
+  if (action == "purge") return issue_purge(request);
+  if (action == "status" && request.contains("number"))
+    return purge_status(request["number"].get<std::string>());
+  if (action == "status") return purges_status();
+  return refused("no such request: " + action.substr(0, kLongestAction));
+}
+
+// ---- purges ----
+
+json AdminReplies::issue_purge(const json& request) {
+  const auto kind = fleet::kind_of(request.at("kind").get<std::string>());
+  auto name = request.value("what", std::string());
+  if (!kind) return refused("no such kind of purge");
+  if (const auto why = purges_.refusal(*kind, name)) return refused(*why);
+  const auto& entry = purges_.issue(*kind, std::move(name), scheduler_.now());
+  log_("purge", "{} issued here: {} {}", number_text(entry.stamp),
+       fleet::kKindNames[static_cast<int>(entry.kind)], entry.what);
+  auto reply = standing(entry);
+  reply["ok"] = true;
+  return reply;
+}
+
+json AdminReplies::purge_status(const std::string& number) const {
+  const auto* entry = find_purge(number);
+  if (entry == nullptr) return refused("no such purge here: never issued, or older than any copy");
+  auto reply = standing(*entry);
+  reply["ok"] = true;
+  return reply;
+}
+
+json AdminReplies::purges_status() const {
+  const Seconds now = scheduler_.now();
+  const auto* sync = purges_.sync();
+  const Seconds trusted_at = sync->trusted_at(now);
+  return {{"ok", true},
+          {"trusted", sync->trusted(now)},
+          {"complete_s_ago", trusted_at > 0 ? json(std::max(0.0, now - trusted_at)) : json(nullptr)},
+          {"delay_s", purges_.delay()},
+          {"age_limit_s", purges_.age_limit(now)},
+          {"held", purges_.book().size()},
+          {"in_force", purges_.in_force()},
+          {"peers", purge_peers()},
+          {"latest", latest_purges()}};
+}
+
+json AdminReplies::purge_peers() const {
+  const Seconds now = scheduler_.now();
+  json all = json::array();
+  for (std::size_t n = 0; n < names_.peers.size(); ++n) {
+    const auto& peer = purges_.sync()->peers()[n];
+    all.push_back({{"name", names_.peers[n]},
+                   {"connected", peer.up},
+                   {"complete_s_ago", age_or_null(now, peer.complete_at)}});
+  }
+  return all;
+}
+
+json AdminReplies::latest_purges() const {
+  json latest = json::array();
+  const auto& entries = purges_.book().entries();
+  for (auto entry = entries.rbegin(); entry != entries.rend() && latest.size() < kLatestPurges; ++entry)
+    latest.push_back(standing(entry->second));
+  return latest;
+}
+
+json AdminReplies::standing(const purge::Entry& entry) const {
+  const Seconds now = scheduler_.now();
+  const auto standing = purges_.standing(entry);
+  json lacking = json::array();
+  for (const int peer : standing.lacking) lacking.push_back(names_.peers[static_cast<std::size_t>(peer)]);
+  json unconfirmed = json::array();
+  for (const int endpoint : standing.unconfirmed) unconfirmed.push_back(router_.endpoint_id(endpoint));
+  json in_force_age = nullptr;
+  if (standing.accepted_at > 0) in_force_age = now - standing.accepted_at - purges_.delay();
+  return {{"number", number_text(entry.stamp)},
+          {"issuer", issuer_text(entry.stamp)},
+          {"kind", fleet::kKindNames[static_cast<int>(entry.kind)]},
+          {"what", entry.what},
+          {"ago_s", now - entry.from},
+          {"holders", standing.holders},
+          {"routers", standing.routers},
+          {"accepted", standing.accepted},
+          {"promise_holds_s_ago", in_force_age},
+          {"lacking", lacking},
+          {"boxes_unconfirmed", unconfirmed}};
+}
+
+std::string AdminReplies::number_text(const purge::Stamp& stamp) const {
+  if (stamp.issuer == purges_.setup().self) return names_.self + ":" + std::to_string(stamp.number);
+  return issuer_text(stamp);
+}
+
+const purge::Entry* AdminReplies::find_purge(const std::string& number) const {
+  auto rest = std::string_view(number);
+  auto issuer = purges_.setup().self;
+  if (number.find(':') != std::string::npos) {
+    const auto name = take_field(rest, ':');
+    if (name != names_.self) issuer = parse<std::uint64_t>(name, "issuer", kHexadecimal);
+  }
+  return purges_.book().find(issuer, parse<std::uint64_t>(rest, "number of a purge"));
+}
+
+// ---- the fleet ----
+
+// Who is of the fleet, and what it knows of the endpoints that discovery may not say: from whom, how old.
+std::string AdminReplies::fleet_status() const {
+  const Seconds now = scheduler_.now();
+  const auto& fleet = *replication_;
+  const auto& datagrams = fleet.counts();
+  const auto observations = fleet.watch().facts().all();
+  const Seconds uptime = std::max(kShortestUptime, now - fleet.started());
+  json reply = {{"ok", true},
+                {"name", names_.self},
+                {"alive", fleet.members().alive()},
+                {"others", fleet.members().peers().size()},
+                {"catching_up", fleet.gossip().catching_up()},
+                {"local_trouble", fleet.members().ill()},
+                {"suspected_here", fleet.members().suspicions()},
+                {"refuted", fleet.members().refuted()},
+                {"members", members()},
+                {"facts_held", observations.size()},
+                {"facts_heard", fleet.gossip().facts_heard()},
+                {"facts", describe(observations)},
+                {"counters", counters()},
+                {"facts_refused", fleet.watch().refused()},
+                {"strangers", datagrams.strangers},
+                {"unreadable", datagrams.unreadable},
+                {"unsent", datagrams.unsent},
+                {"bytes_in_a_s", static_cast<double>(datagrams.bytes_in) / uptime},
+                {"bytes_out_a_s", static_cast<double>(datagrams.bytes_out) / uptime}};
+  add_rollouts(reply, fleet.changes(), now);
+  return dump_replacing(reply);
+}
+
+json AdminReplies::members() const {
+  const Seconds now = scheduler_.now();
+  json all = json::array();
+  const auto& peers = replication_->members().peers();
+  for (std::size_t n = 0; n < peers.size(); ++n)
+    all.push_back({{"name", names_.peers[n]},
+                   {"state", fleet::Members::kNames[static_cast<int>(peers[n].state)]},
+                   {"for_s", now - peers[n].since},
+                   {"heard_s_ago", age_or_null(now, peers[n].heard)}});
+  return all;
+}
+
+json AdminReplies::describe(const std::vector<replica::Fact>& observations) const {
+  constexpr std::string_view kHealthNames[] = {"ready", "slow", "cold", "draining", "gone"};
+  const Seconds now = scheduler_.now();
+  std::map<std::uint64_t, std::string> endpoints;
+  for (int n = 0; n < router_.endpoints(); ++n) {
+    auto id = router_.endpoint_id(n);
+    const auto hash = stable_hash(id);
+    endpoints[hash] = std::move(id);
+  }
+  json all = json::array();
+  for (const auto& observation : observations) {
+    if (all.size() >= kMostObservations) break;
+    const auto known = endpoints.find(observation.server);
+    all.push_back(
+        {{"server", known == endpoints.end() ? fmt::format("{:016x}", observation.server) : known->second},
+         {"state", kHealthNames[static_cast<int>(observation.health)]},
+         {"by", replication_->name_of(observation.observer)},
+         {"ago_s", now - observation.seen.seconds()}});
+  }
+  return all;
+}
+
+json AdminReplies::counters() const {
+  json all = json::object();
+  for (const auto& [name, count] : router_.counters()) all[name] = count;
+  return all;
+}
+
+}  // namespace walkpaddle::admin
--- /dev/null
+++ b/src/admin/change_documents.cpp
@@ -0,0 +1,231 @@
+#include "admin/change_documents.h"
+
+#include <algorithm>
+#include <filesystem>
+#include <string_view>
+#include <system_error>
+
+#include "base/error.h"
+#include "base/text.h"
+#include "config/section_reader.h"
+#include "config/settings.h"
+
+namespace walkpaddle::admin {
+
+namespace {
+
+namespace fs = std::filesystem;
+using config::Section;
+
+constexpr std::size_t kMostFiles = 256;
+constexpr std::size_t kApprovers = 2;
+constexpr Seconds kEndOfTime = 1e11;
+
+std::uint8_t read_work(const Section& section, const std::string& word) {
+  if (word == "settings") return freeze::kSettings;
+  if (word == "release") return freeze::kRelease;
+  section.refuse("'" + word + "', expected settings or release");
+}
+
+freeze::Local read_local_time(const Section& section, const char* key) {
+  const auto text = section.text(key);
+  const auto local = freeze::read_local(text);
+  if (!local)
+    section.refuse(
+        std::string(key) + " is '" + text + "', expected YEAR-MM-DD HH:MM, or MM-DD HH:MM for each year",
+        key);
+  return *local;
+}
+
+freeze::Window read_window(const Section& section) {
+  freeze::Window window{.name = section.title(),
+                        .version = static_cast<std::uint32_t>(section.integer("version")),
+                        .sites = section.texts("sites"),
+                        .zone = section.text("zone"),
+                        .from = read_local_time(section, "from"),
+                        .until = read_local_time(section, "until"),
+                        .blocks = 0,
+                        .lead = static_cast<Seconds>(section.integer("lead")),
+                        .by = section.text("by")};
+  std::ranges::sort(window.sites);
+  for (const auto& word : section.texts("blocks")) window.blocks |= read_work(section, word);
+  if (const auto why = refusal(window); !why.empty()) section.refuse("window " + window.name + ": " + why);
+  return window;
+}
+
+std::pair<std::string, std::uint32_t> read_withdrawal(const Section& section) {
+  const long version = section.integer("version");
+  if (version < 1) section.refuse("version counts from 1", "version");
+  return {section.title(), static_cast<std::uint32_t>(version)};
+}
+
+// The end of an exception is given in UTC; 0 where there is no such time.
+Seconds utc_seconds(const freeze::Local& until) {
+  const freeze::Window window{
+      .name = "e", .zone = "UTC", .from = {1970, 1, 1, 0, 0}, .until = until, .by = "e"};
+  const auto spans = freeze::spans(window, 0, kEndOfTime, 0);
+  return spans.empty() ? 0 : spans.front().until;
+}
+
+freeze::Exception read_exception(const Section& section, Seconds now) {
+  const auto approvers = section.texts("approvers");
+  if (approvers.size() != kApprovers) section.refuse("an exception has two approvers", "approvers");
+  const auto until = read_local_time(section, "until");
+  if (until.year == 0) section.refuse("until has no year", "until");
+  freeze::Exception exception{.change = section.text("change"),
+                              .window = section.text("window"),
+                              .reason = section.text("reason"),
+                              .approvers = {approvers[0], approvers[1]},
+                              .version = static_cast<std::uint32_t>(section.integer("version")),
+                              .until = utc_seconds(until)};
+  if (const auto why = refusal(exception, now); !why.empty())
+    section.refuse("exception " + section.title() + ": " + why);
+  return exception;
+}
+
+// Lines "path=value" of settings that a router takes while it serves.
+std::string read_settings_lines(const Section& section, const std::vector<std::string>& lines) {
+  const auto change = "change " + section.title() + ": ";
+  std::string joined;
+  for (const auto& line : lines) {
+    std::string_view value = line;
+    const std::string key(take_field(value, '='));
+    if (!config::is_live_setting(key))
+      section.refuse(
+          change + "'" + key + "' does not change while a router serves; it takes a release or a restart",
+          key);
+    if (value.empty() || value.find_first_of("\n ") != std::string_view::npos)
+      section.refuse(change + "'" + line + "', expected path=value", key);
+    joined += (joined.empty() ? "" : "\n") + line;
+  }
+  return joined;
+}
+
+std::string read_body(const Section& section, std::uint8_t work) {
+  const auto change = "change " + section.title() + ": ";
+  const auto settings = section.texts("settings");
+  const auto program = section.text("program");
+  if (work == freeze::kRelease) {
+    if (program.empty() || !settings.empty())
+      section.refuse(change + "a release names its program and no settings");
+    return program;
+  }
+  if (settings.empty() || !program.empty())
+    section.refuse(change + "a change of settings names settings and no program");
+  return read_settings_lines(section, settings);
+}
+
+change::Document read_change(const Section& section) {
+  change::Document document{.name = section.title(),
+                            .work = read_work(section, section.text("work")),
+                            .before = section.text("before"),
+                            .after = section.text("after"),
+                            .by = section.text("by"),
+                            .body = {}};
+  document.body = read_body(section, document.work);
+  if (auto stages = section.numbers("stages"); !stages.empty()) document.stages = std::move(stages);
+  document.txns = static_cast<std::uint64_t>(std::max(0L, section.integer("txns")));
+  document.least = section.number("least");
+  document.longest = section.number("longest");
+  document.warm_up = section.number("warm_up");
+  document.ready_in = section.number("ready_in");
+  document.at_once = section.number("at_once");
+  document.harm = section.number("harm");
+  document.ratio = section.number("ratio");
+  if (const auto why = refusal(document); !why.empty())
+    section.refuse("change " + document.name + ": " + why);
+  return document;
+}
+
+std::pair<std::string, std::string> read_stop(const Section& section) {
+  return {section.title(), section.required_text("why", "a stop says why")};
+}
+
+// ---- the form of each section, for the library; it copies them ----
+
+cfg_opt_t* window_options() {
+  static cfg_opt_t options[] = {CFG_INT("version", 1, CFGF_NONE),
+                                CFG_STR_LIST("sites", nullptr, CFGF_NONE),
+                                CFG_STR("zone", nullptr, CFGF_NODEFAULT),
+                                CFG_STR("from", nullptr, CFGF_NODEFAULT),
+                                CFG_STR("until", nullptr, CFGF_NODEFAULT),
+                                CFG_STR_LIST("blocks", const_cast<char*>("{settings, release}"), CFGF_NONE),
+                                CFG_INT("lead", 0, CFGF_NONE),
+                                CFG_STR("by", nullptr, CFGF_NODEFAULT),
+                                CFG_END()};
+  return options;
+}
+
+cfg_opt_t* exception_options() {
+  static cfg_opt_t options[] = {CFG_STR("change", nullptr, CFGF_NODEFAULT),
+                                CFG_STR("window", nullptr, CFGF_NODEFAULT),
+                                CFG_STR("reason", nullptr, CFGF_NODEFAULT),
+                                CFG_STR_LIST("approvers", nullptr, CFGF_NONE),
+                                CFG_INT("version", 1, CFGF_NONE),
+                                CFG_STR("until", nullptr, CFGF_NODEFAULT),
+                                CFG_END()};
+  return options;
+}
+
+cfg_opt_t* change_options() {
+  static const change::Document kDefaults;
+  static cfg_opt_t options[] = {CFG_STR("work", "settings", CFGF_NONE),
+                                CFG_STR("before", nullptr, CFGF_NODEFAULT),
+                                CFG_STR("after", nullptr, CFGF_NODEFAULT),
+                                CFG_STR("by", nullptr, CFGF_NODEFAULT),
+                                CFG_STR_LIST("settings", nullptr, CFGF_NONE),
+                                CFG_STR("program", nullptr, CFGF_NODEFAULT),
+                                CFG_FLOAT_LIST("stages", nullptr, CFGF_NONE),
+                                CFG_INT("txns", static_cast<long>(kDefaults.txns), CFGF_NONE),
+                                CFG_FLOAT("least", kDefaults.least, CFGF_NONE),
+                                CFG_FLOAT("longest", kDefaults.longest, CFGF_NONE),
+                                CFG_FLOAT("warm_up", kDefaults.warm_up, CFGF_NONE),
+                                CFG_FLOAT("ready_in", kDefaults.ready_in, CFGF_NONE),
+                                CFG_FLOAT("at_once", kDefaults.at_once, CFGF_NONE),
+                                CFG_FLOAT("harm", kDefaults.harm, CFGF_NONE),
+                                CFG_FLOAT("ratio", kDefaults.ratio, CFGF_NONE),
+                                CFG_END()};
+  return options;
+}
+
+cfg_opt_t* document_options() {
+  constexpr auto kTitled = CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES;
+  static cfg_opt_t withdraw[] = {CFG_INT("version", 1, CFGF_NONE), CFG_END()};
+  static cfg_opt_t stop[] = {CFG_STR("why", nullptr, CFGF_NODEFAULT), CFG_END()};
+  static cfg_opt_t options[] = {CFG_SEC("window", window_options(), kTitled),
+                                CFG_SEC("withdraw", withdraw, kTitled),
+                                CFG_SEC("exception", exception_options(), kTitled),
+                                CFG_SEC("change", change_options(), kTitled),
+                                CFG_SEC("stop", stop, kTitled),
+                                CFG_INT(config::kEndOption, 0, CFGF_NONE),
+                                CFG_END()};
+  return options;
+}
+
+void read_file(const std::string& path, Seconds now, ChangeDocuments& all) {
+  config::Document document(path, document_options());
+  const auto root = document.read();
+  for (const auto& section : root.sections("window")) all.windows.push_back(read_window(section));
+  for (const auto& section : root.sections("withdraw")) all.withdrawals.push_back(read_withdrawal(section));
+  for (const auto& section : root.sections("exception"))
+    all.exceptions.push_back(read_exception(section, now));
+  for (const auto& section : root.sections("change")) all.changes.push_back(read_change(section));
+  for (const auto& section : root.sections("stop")) all.stops.push_back(read_stop(section));
+}
+
+}  // namespace
+
+ChangeDocuments read_change_documents(const std::string& folder, Seconds now) {
+  std::vector<std::string> paths;
+  std::error_code error;
+  for (const auto& entry : fs::directory_iterator(folder, error))
+    if (entry.path().extension() == ".conf") paths.push_back(entry.path().string());
+  if (error) throw InputError("cannot read the folder " + folder + ": " + error.message());
+  if (paths.size() > kMostFiles) throw ConfigError({.file = folder}, "more than 256 documents");
+  std::ranges::sort(paths);
+  ChangeDocuments documents;
+  for (const auto& path : paths) read_file(path, now, documents);
+  return documents;
+}
+
+}  // namespace walkpaddle::admin
--- a/src/base/error.cpp
+++ b/src/base/error.cpp
@@ -36,6 +36,12 @@
       value_(value),
       allowed_(std::move(allowed)) {}
 
+ConfigError::ConfigError(Location where, const std::string& what, std::string value, std::string allowed)
+    : InputError(place_text(where) + what),
+      where_(std::move(where)),
+      value_(std::move(value)),
+      allowed_(std::move(allowed)) {}
+
 ProtocolError::ProtocolError(const std::string& what, std::string peer, std::size_t position)
     : InputError(peer_text(peer, what)), peer_(std::move(peer)), position_(position) {}
 
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -43,6 +43,8 @@
   ConfigError(Location where, const std::string& what);
   /// A value that is not among those allowed. `allowed` names them as an operator reads it: "1 to 100".
   ConfigError(Location where, std::string_view value, std::string allowed);
+  /// The same where the message has words of its own.
+  ConfigError(Location where, const std::string& what, std::string value, std::string allowed);
 
   const Location& where() const { return where_; }
   const std::string& value() const { return value_; }
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -2,26 +2,39 @@
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
+#include <string_view>
 
+#include "base/error.h"
 #include "base/text.h"
 
-namespace walkpaddle::net {
+namespace walkpaddle::config {
 
 using nlohmann::json;
 
 namespace {
 
-std::string plain(const json& value) {
+constexpr const char* kDocument = "configuration";  // as errors name it
+
+std::string plain_text(const json& value) {
   if (!value.is_string()) return value.is_null() ? "-" : value.dump();
   return value.get<std::string>();
 }
 
 // As it stands in a list, whose parts commas divide.
-std::string in_list(std::string text) {
+std::string list_item(std::string text) {
   std::ranges::replace(text, ',', '_');
   return text;
 }
 
+std::string list_text(const json& list) {
+  std::string joined;
+  for (const auto& item : list) {
+    if (!joined.empty()) joined += ',';
+    joined += list_item(plain_text(item));
+  }
+  return joined;
+}
+
 // Nested JSON by path, in the form that Settings reads.
 void flatten(const json& value, const std::string& path, Settings& into) {
   const auto below = [&](const std::string& key) { return path.empty() ? key : path + "." + key; };
@@ -31,112 +44,122 @@
     into.put(below("count"), std::to_string(value.size()));
     for (std::size_t n = 0; n < value.size(); ++n) flatten(value[n], below(std::to_string(n)), into);
   } else if (value.is_array()) {
-    std::string joined;
-    for (const auto& item : value) {
-      if (!joined.empty()) joined += ',';
-      joined += in_list(plain(item));
-    }
-    into.put(path, joined);
+    into.put(path, list_text(value));
   } else {
-    into.put(path, plain(value));
+    into.put(path, plain_text(value));
   }
 }
 
-int place_of(std::string_view name, const Settings& settings, const std::string& list) {
+int index_in(const std::string& list, const std::string& name, const Settings& settings) {
   auto rest = settings.text(list);
   for (int n = 0; !rest.empty(); ++n)
-    if (take_field(rest, ',') == in_list(std::string(name))) return n;
-  throw InputError("'" + std::string(name) + "' is not in the settings' " + list);
+    if (take_field(rest, ',') == list_item(name)) return n;
+  throw ConfigError({.key = list}, "'" + name + "' is not in the settings' " + list, name, "");
 }
 
-template <class F>
-auto reading(F&& read) {
+template <class Read>
+auto with_config_errors(Read&& read) {
   try {
     return read();
   } catch (const json::exception& e) {
-    throw InputError(std::string("configuration: ") + e.what());
+    throw ConfigError({.file = kDocument}, e.what());
   }
 }
 
-void hand_member(const json& m, const Settings& settings, DiscoveryEvents& events) {
-  const auto word = m.at("phase").get<std::string>();
-  const auto state = value_of_name<int>(word, {{"ready", 0}, {"draining", 1}, {"gone", 2}}, 3);
-  if (state > 2) throw_bad_value("phase", word);
-  constexpr EndpointState kStates[] = {EndpointState::ready, EndpointState::draining, EndpointState::gone};
-  events.update_endpoint(m.at("id").get<std::string>(), parse_address(m.at("host_port").get<std::string>()),
-                         place_of(m.at("locality").get<std::string>(), settings, "failure_domains"),
-                         place_of(m.at("flavor").get<std::string>(), settings, "models"), m.value("cell", 0),
-                         kStates[state], m.value("size", 1.0), m.value("up_since_ms", 0.0) / 1e3);
+EndpointState parse_state(const std::string& phase) {
+  if (phase == "ready") return EndpointState::ready;
+  if (phase == "draining") return EndpointState::draining;
+  if (phase == "gone") return EndpointState::gone;
+  throw_bad_value("phase", phase);
+}
+
+void replay_endpoint(const json& member, const Settings& settings, net::DiscoveryEvents& events) {
+  const auto state = parse_state(member.at("phase").get<std::string>());
+  const auto id = member.at("id").get<std::string>();
+  const auto address = parse_address(member.at("host_port").get<std::string>());
+  const int location = index_in("failure_domains", member.at("locality").get<std::string>(), settings);
+  const int kind = index_in("models", member.at("flavor").get<std::string>(), settings);
+  events.update_endpoint(id, address, location, kind, member.value("cell", 0), state,
+                         member.value("size", 1.0), member.value("up_since_ms", 0.0) / 1e3);
+}
+
+void replay_event(const json& event, const Settings& settings, net::DiscoveryEvents& events) {
+  if (event.contains("topology")) {
+    const auto& list = event["topology"];
+    events.begin_endpoint_list(list.at("complete").get<bool>());
+    for (const auto& member : list.at("members")) replay_endpoint(member, settings, events);
+    events.end_endpoint_list();
+  } else if (event.contains("ban")) {
+    const auto& purge = event["ban"];
+    const Seconds at = purge.at("ts").get<double>() / 1e3;
+    if (purge.contains("url"))
+      events.purged(purge["url"].get<std::string>(), at);
+    else
+      events.purged_group(purge.at("tag").get<std::uint32_t>(), at);
+  }
 }
 
 // The newest stamp of discovery among the events, 0 for none.
 Seconds newest_stamp(const json& batch) {
-  double newest = 0;
-  for (const auto& e : batch) {
-    if (e.contains("ban")) newest = std::max(newest, e["ban"].at("ts").get<double>());
-    if (!e.contains("topology")) continue;
-    for (const auto& m : e["topology"].at("members")) newest = std::max(newest, m.value("up_since_ms", 0.0));
+  double newest_ms = 0;
+  for (const auto& event : batch) {
+    if (event.contains("ban")) newest_ms = std::max(newest_ms, event["ban"].at("ts").get<double>());
+    if (!event.contains("topology")) continue;
+    for (const auto& member : event["topology"].at("members"))
+      newest_ms = std::max(newest_ms, member.value("up_since_ms", 0.0));
+  }
+  return newest_ms / 1e3;
+}
+
+PlatformConfig read_config(const json& file) {
+  PlatformConfig config;
+  config.name = file.at("name").get<std::string>();
+  config.listen = parse_address(file.at("listen").get<std::string>());
+  config.seed = parse<std::uint64_t>(file.at("seed").get<std::string>(), "seed", 16);
+  if (const auto bus = file.value("bus", ""); !bus.empty()) config.discovery = parse_address(bus);
+  config.transfer_rate = file.value("flow_bytes_per_s", 0.0);
+  if (file.contains("limits")) {
+    const auto& limits = file["limits"];
+    config.descriptor_limit = limits.value("sockets", config.descriptor_limit);
+    config.memory_mb = limits.value("memory_mb", config.memory_mb);
   }
-  return newest / 1e3;
+  flatten(file.at("settings"), "", config.settings);
+  if (config.settings.whole("categories.count") <= 0)
+    throw ConfigError({.file = kDocument, .key = "settings.categories"}, "settings without categories");
+  check_settings(config.settings);
+  config.initial_events = file.at("known").dump();
+  return config;
 }
 
 }  // namespace
 
-Config parse_config(const std::string& text) {
-  return reading([&] {
-    const auto j = json::parse(text);
-    Config c;
-    c.name = j.at("name").get<std::string>();
-    c.listen = parse_address(j.at("listen").get<std::string>());
-    c.seed = parse<std::uint64_t>(j.at("seed").get<std::string>(), "seed", 16);
-    if (const auto bus = j.value("bus", ""); !bus.empty()) c.bus = parse_address(bus), c.has_bus = true;
-    c.bytes_a_second = j.value("flow_bytes_per_s", 0.0);
-    if (j.contains("limits")) {
-      c.sockets = j["limits"].value("sockets", c.sockets);
-      c.memory_mb = j["limits"].value("memory_mb", c.memory_mb);
-    }
-    flatten(j.at("settings"), "", c.settings);
-    if (c.settings.whole("categories.count") <= 0)
-      throw InputError("configuration: settings without categories");
-    check(c.settings);
-    c.known = j.at("known").dump();
-    return c;
-  });
+PlatformConfig parse_platform_config(const std::string& text) {
+  return with_config_errors([&] { return read_config(json::parse(text)); });
 }
 
-std::uint64_t hand_known(const std::string& known, const Settings& settings, DiscoveryEvents& events) {
-  return reading([&] {
-    const auto j = json::parse(known);
-    events.known_begin(newest_stamp(j.at("batch")));
-    for (const auto& e : j.at("batch")) {
-      if (e.contains("topology")) {
-        const auto& list = e["topology"];
-        events.begin_endpoint_list(list.at("complete").get<bool>());
-        for (const auto& m : list.at("members")) hand_member(m, settings, events);
-        events.end_endpoint_list();
-      } else if (e.contains("ban")) {
-        const auto& purge = e["ban"];
-        const Seconds at = purge.at("ts").get<double>() / 1e3;
-        if (purge.contains("url"))
-          events.purged(purge["url"].get<std::string>(), at);
-        else
-          events.purged_group(purge.at("tag").get<std::uint32_t>(), at);
-      }
-    }
+std::uint64_t replay_initial_events(const std::string& initial_events, const Settings& settings,
+                                    net::DiscoveryEvents& events) {
+  return with_config_errors([&] {
+    const auto known = json::parse(initial_events);
+    events.known_begin(newest_stamp(known.at("batch")));
+    for (const auto& event : known.at("batch")) replay_event(event, settings, events);
     events.known_end();
-    return j.at("offset").get<std::uint64_t>();
+    return known.at("offset").get<std::uint64_t>();
   });
 }
 
 std::vector<RequestClassName> request_class_names(const Settings& settings) {
   std::vector<RequestClassName> names;
   for (int n = 0; n < settings.whole("categories.count"); ++n) {
-    const auto at = "categories." + std::to_string(n) + ".";
-    names.push_back({std::string(settings.text(at + "name")), settings.text(at + "effect") == "guarded",
-                     settings.item("specifics.pass_on", static_cast<std::size_t>(n)) == "true",
-                     settings.text(at + "effect") != "free"});
+    const auto path = "categories." + std::to_string(n) + ".";
+    const auto effect = settings.text(path + "effect");
+    const auto uncacheable = settings.item("specifics.pass_on", static_cast<std::size_t>(n));
+    names.push_back({.name = std::string(settings.text(path + "name")),
+                     .keyed = effect == "guarded",
+                     .uncacheable = uncacheable == "true",
+                     .effect = effect != "free"});
   }
   return names;
 }
 
-}  // namespace walkpaddle::net
+}  // namespace walkpaddle::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,10 +1,14 @@
 #include "config/settings.h"
 
 #include <algorithm>
+#include <array>
+#include <initializer_list>
+#include <iterator>
 
+#include "base/error.h"
 #include "base/text.h"
 
-namespace walkpaddle {
+namespace walkpaddle::config {
 
 std::string_view Settings::text(const std::string& path, std::string_view absent) const {
   const auto it = values_.find(path);
@@ -42,144 +46,194 @@
 
 namespace {
 
-RequestClass rule_of(const Settings& s, std::size_t n) {
-  const std::string at = "categories." + std::to_string(n) + ".";
-  RequestClass r;
-  r.idempotency = value_of_name(s.text(at + "effect"),
-                                {{"free", Idempotency::idempotent}, {"guarded", Idempotency::with_key}},
-                                Idempotency::non_idempotent);
-  r.deduplication = value_of_name(
-      s.text(at + "group"), {{"zone", DeduplicationScope::location}, {"cell", DeduplicationScope::cell}},
-      DeduplicationScope::all);
-  r.deduplication_window = s.ms(at + "window");
-  r.latency_objective = s.ms(at + "aim");
-  r.latency_objective_stretch = s.number(at + "aim_stretch");
-  r.deadline = s.ms(at + "deadline");
-  r.priority = s.number(at + "gain", 1);
-  r.max_age = s.item_number("specifics.class_fresh", n) / 1e3;
-  r.in_parts = s.item("specifics.in_parts", n) == "true";
-  r.uncacheable = s.item("specifics.pass_on", n) == "true";
-  return r;
-}
-
-std::string range_text(double least, double most) {
-  const auto plain = [](double v) {
-    auto text = std::to_string(v);
-    text.erase(text.find_last_not_of('0') + 1);
-    if (text.back() == '.') text.pop_back();
-    return text;
-  };
-  return plain(least) + " to " + plain(most);
-}
-
-[[noreturn]] void refuse(const std::string& key, std::string_view got, const std::string& expected) {
-  throw InputError("configuration: settings." + key + " is '" + std::string(got.substr(0, 40)) +
-                   "', expected " + expected);
-}
-
-void number_within(const Settings& s, const std::string& key, double least, double most) {
-  const auto text = s.text(key);
-  const double value = text.empty() ? least : parse_or(text, most + 1);
-  if (value < least || value > most) refuse(key, text, range_text(least, most));
-}
-
-void one_of(const Settings& s, const std::string& key, std::initializer_list<std::string_view> words) {
-  const auto text = s.text(key);
-  if (text.empty() || std::ranges::find(words, text) != words.end()) return;
-  std::string known;
-  for (const auto w : words) known.append(known.empty() ? "" : " or ").append(w);
-  refuse(key, text, known);
+std::string class_path(std::size_t n) { return "categories." + std::to_string(n) + "."; }
+
+RequestClass read_request_class(const Settings& settings, std::size_t n) {
+  const auto path = class_path(n);
+  RequestClass request_class;
+  request_class.idempotency = value_of_name(
+      settings.text(path + "effect"), {{"free", Idempotency::idempotent}, {"guarded", Idempotency::with_key}},
+      Idempotency::non_idempotent);
+  request_class.deduplication = value_of_name(
+      settings.text(path + "group"),
+      {{"zone", DeduplicationScope::location}, {"cell", DeduplicationScope::cell}}, DeduplicationScope::all);
+  request_class.deduplication_window = settings.ms(path + "window");
+  request_class.latency_objective = settings.ms(path + "aim");
+  request_class.latency_objective_stretch = settings.number(path + "aim_stretch");
+  request_class.deadline = settings.ms(path + "deadline");
+  request_class.priority = settings.number(path + "gain", 1);
+  request_class.max_age = settings.item_number("specifics.class_fresh", n) / 1e3;
+  request_class.in_parts = settings.item("specifics.in_parts", n) == "true";
+  request_class.uncacheable = settings.item("specifics.pass_on", n) == "true";
+  return request_class;
 }
 
-}  // namespace
+// ---- checks ----
 
-void check(const Settings& s) {
-  // Times in milliseconds; a day is longer than any of them can mean. Sizes: what an index or a count can
-  // hold.
-  constexpr double kDay = 86'400'000, kMany = 1'000'000;
-  const struct {
-    const char* key;
-    double least, most;
-  } numbers[] = {{"fleet_size", 1, kMany},
-                 {"locality", 0, kMany},
-                 {"tick", 0, 1000},
-                 {"specifics.second_tier_kind", -1, kMany},
-                 {"specifics.origin_kind", -1, kMany},
-                 {"specifics.client_kb_per_s", 0, 1e9},
-                 {"specifics.upper_cold_from", 0, 1},
-                 {"specifics.upper_fall_multiple", 0, kMany},
-                 {"specifics.parent_warms_in", 0, kDay},
-                 {"specifics.purge_settles", 0, kDay},
-                 {"rules.cold_from", 0, 1},
-                 {"rules.fall_multiple", 0, kMany},
-                 {"rules.warm_after", 0, kDay},
-                 {"rules.overload_for", 0, kDay},
-                 {"allowed.max_attempts", 1, kMany},
-                 {"allowed.max_retry_after", 0, kDay},
-                 {"allowed.streams_per_conn", 1, kMany},
-                 {"allowed.dial_timeout", 0, kDay},
-                 {"allowed.idle_close", 0, kDay}};
-  for (const auto& n : numbers) number_within(s, n.key, n.least, n.most);
-  for (const auto* key : {"specifics.direct", "specifics.merges_fills", "allowed.cancel",
-                          "allowed.retry_after", "client_habits.marks_retry"})
-    one_of(s, key, {"true", "false", "1", "0"});
-  one_of(s, "specifics.peers_fill", {"none", "location", "any"});
-  one_of(s, "specifics.notes_given", {"none", "hit", "all"});
-  one_of(s, "weights", {"none", "nominal", "rough", "live"});
-  one_of(s, "registry_mode", {"push", "ask"});
-  one_of(s, "report.source", {"none", "answers", "probe"});
-
-  const int rules = s.whole("categories.count");
-  for (int n = 0; n < rules; ++n) {
-    const auto at = "categories." + std::to_string(n) + ".";
-    one_of(s, at + "effect", {"free", "guarded", "single_shot"});
-    one_of(s, at + "group", {"all", "zone", "cell"});
-    for (const auto* key : {"window", "aim", "deadline"}) number_within(s, at + key, 0, kDay);
-    for (const auto* key : {"aim_stretch", "gain"}) number_within(s, at + key, 0, kMany);
-    if (s.text(at + "effect") == "guarded" && !s.text(at + "window").empty() && s.ms(at + "window") <= 0)
-      refuse(at + "window", s.text(at + "window"), "more than 0 for a guarded class");
-  }
-  // Lists by class and by zone.
-  for (const std::string key : {"class_fresh", "in_parts", "pass_on"}) {
-    const auto path = "specifics." + key, all = std::string(s.text(path));
-    if (!all.empty() && std::ranges::count(all, ',') + 1 != rules)
-      refuse(path, all, "one value for each of the " + std::to_string(rules) + " classes");
-  }
-  const auto seats = s.item("specifics.seats_by_zone", static_cast<std::size_t>(s.whole("locality")));
-  if (!seats.empty()) {
-    const double here = parse_or(seats, -1.0), all = s.number("fleet_size", here);
-    if (here < 0 || here > all) refuse("specifics.seats_by_zone", seats, "0 to fleet_size here");
+// Times in milliseconds: a day is longer than any of them can mean. Sizes: what an index or a count can hold.
+constexpr double kDayMs = 86'400'000;
+constexpr double kLargestCount = 1'000'000;
+constexpr double kLongestTickMs = 1000;
+constexpr double kLargestRate = 1e9;
+
+struct Range {
+  const char* key;
+  double least;
+  double most;
+};
+
+constexpr Range kRanges[] = {{"fleet_size", 1, kLargestCount},
+                             {"locality", 0, kLargestCount},
+                             {"tick", 0, kLongestTickMs},
+                             {"specifics.second_tier_kind", -1, kLargestCount},
+                             {"specifics.origin_kind", -1, kLargestCount},
+                             {"specifics.client_kb_per_s", 0, kLargestRate},
+                             {"specifics.upper_cold_from", 0, 1},
+                             {"specifics.upper_fall_multiple", 0, kLargestCount},
+                             {"specifics.parent_warms_in", 0, kDayMs},
+                             {"specifics.purge_settles", 0, kDayMs},
+                             {"rules.cold_from", 0, 1},
+                             {"rules.fall_multiple", 0, kLargestCount},
+                             {"rules.warm_after", 0, kDayMs},
+                             {"rules.overload_for", 0, kDayMs},
+                             {"allowed.max_attempts", 1, kLargestCount},
+                             {"allowed.max_retry_after", 0, kDayMs},
+                             {"allowed.streams_per_conn", 1, kLargestCount},
+                             {"allowed.dial_timeout", 0, kDayMs},
+                             {"allowed.idle_close", 0, kDayMs}};
+constexpr Range kClassRanges[] = {{"window", 0, kDayMs},
+                                  {"aim", 0, kDayMs},
+                                  {"deadline", 0, kDayMs},
+                                  {"aim_stretch", 0, kLargestCount},
+                                  {"gain", 0, kLargestCount}};
+
+constexpr std::size_t kMostWords = 4;
+struct Words {
+  const char* key;
+  std::array<std::string_view, kMostWords> allowed;  // empty past the last
+};
+
+constexpr Words kWords[] = {{"specifics.direct", {"true", "false", "1", "0"}},
+                            {"specifics.merges_fills", {"true", "false", "1", "0"}},
+                            {"allowed.cancel", {"true", "false", "1", "0"}},
+                            {"allowed.retry_after", {"true", "false", "1", "0"}},
+                            {"client_habits.marks_retry", {"true", "false", "1", "0"}},
+                            {"specifics.peers_fill", {"none", "location", "any"}},
+                            {"specifics.notes_given", {"none", "hit", "all"}},
+                            {"weights", {"none", "nominal", "rough", "live"}},
+                            {"registry_mode", {"push", "ask"}},
+                            {"report.source", {"none", "answers", "probe"}}};
+constexpr Words kClassWords[] = {{"effect", {"free", "guarded", "single_shot"}},
+                                 {"group", {"all", "zone", "cell"}}};
+
+[[noreturn]] void refuse(const std::string& key, std::string_view value, const std::string& allowed) {
+  throw ConfigError({.file = "configuration", .key = "settings." + key}, value, allowed);
+}
+
+std::string plain_text(double number) {
+  auto text = std::to_string(number);
+  text.erase(text.find_last_not_of('0') + 1);
+  if (text.back() == '.') text.pop_back();
+  return text;
+}
+
+void check_range(const Settings& settings, const std::string& path, const Range& range) {
+  const auto key = path + range.key;
+  const auto text = settings.text(key);
+  if (text.empty()) return;
+  const double value = parse_or(text, range.most + 1);
+  if (value < range.least || value > range.most)
+    refuse(key, text, plain_text(range.least) + " to " + plain_text(range.most));
+}
+
+void check_words(const Settings& settings, const std::string& path, const Words& words) {
+  const auto key = path + words.key;
+  const auto text = settings.text(key);
+  if (text.empty() || std::ranges::find(words.allowed, text) != words.allowed.end()) return;
+  std::string allowed;
+  for (const auto word : words.allowed)
+    if (!word.empty()) allowed.append(allowed.empty() ? "" : " or ").append(word);
+  refuse(key, text, allowed);
+}
+
+void check_request_class(const Settings& settings, std::size_t n) {
+  const auto path = class_path(n);
+  for (const auto& words : kClassWords) check_words(settings, path, words);
+  for (const auto& range : kClassRanges) check_range(settings, path, range);
+  const auto window = settings.text(path + "window");
+  if (settings.text(path + "effect") == "guarded" && !window.empty() && settings.ms(path + "window") <= 0)
+    refuse(path + "window", window, "more than 0 for a guarded class");
+}
+
+// Lists have a value for each class, or are absent.
+void check_class_lists(const Settings& settings, int classes) {
+  for (const std::string key : {"specifics.class_fresh", "specifics.in_parts", "specifics.pass_on"}) {
+    const auto list = settings.text(key);
+    if (!list.empty() && std::ranges::count(list, ',') + 1 != classes)
+      refuse(key, list, "one value for each of the " + std::to_string(classes) + " classes");
   }
-  const int upper = s.whole("specifics.second_tier_kind", -1);
-  if (upper >= 0 && upper == s.whole("specifics.origin_kind", -1))
-    refuse("specifics.second_tier_kind", s.text("specifics.second_tier_kind"),
-           "another kind than origin_kind");
-  if (s.text("report.source") == "answers" && s.text("report.names").empty())
+}
+
+void check_placement(const Settings& settings) {
+  const auto location = static_cast<std::size_t>(settings.whole("locality"));
+  const auto text = settings.item("specifics.seats_by_zone", location);
+  if (text.empty()) return;
+  const double here = parse_or(text, -1.0);
+  const double everywhere = settings.number("fleet_size", here);
+  if (here < 0 || here > everywhere) refuse("specifics.seats_by_zone", text, "0 to fleet_size here");
+}
+
+void check_roles(const Settings& settings) {
+  const std::string key = "specifics.second_tier_kind";
+  const int parents = settings.whole(key, -1);
+  if (parents >= 0 && parents == settings.whole("specifics.origin_kind", -1))
+    refuse(key, settings.text(key), "another kind than origin_kind");
+}
+
+void check_load_reports(const Settings& settings) {
+  if (settings.text("report.source") == "answers" && settings.text("report.names").empty())
     refuse("report.names", "", "the names of the values, as report.source is 'answers'");
 }
 
-std::vector<RequestClass> request_classes(const Settings& s) {
-  std::vector<RequestClass> rules;
-  const auto count = static_cast<std::size_t>(s.number("categories.count"));
-  for (std::size_t n = 0; n < count; ++n) rules.push_back(rule_of(s, n));
-  return rules;
+}  // namespace
+
+void check_settings(const Settings& settings) {
+  for (const auto& range : kRanges) check_range(settings, "", range);
+  for (const auto& words : kWords) check_words(settings, "", words);
+  const int classes = settings.whole("categories.count");
+  for (int n = 0; n < classes; ++n) check_request_class(settings, static_cast<std::size_t>(n));
+  check_class_lists(settings, classes);
+  check_placement(settings);
+  check_roles(settings);
+  check_load_reports(settings);
+}
+
+std::vector<RequestClass> request_classes(const Settings& settings) {
+  std::vector<RequestClass> classes;
+  const auto count = static_cast<std::size_t>(settings.number("categories.count"));
+  for (std::size_t n = 0; n < count; ++n) classes.push_back(read_request_class(settings, n));
+  return classes;
 }
 
-void apply_settings(const Settings& s, RoutingPolicy& b) {
-  const int here = s.whole("locality");
-  b.set_placement({here, std::max(1, static_cast<int>(s.item_number("specifics.seats_by_zone", here))),
-                   std::max(1, s.whole("fleet_size", 1))});
-  b.set_roles({s.whole("specifics.second_tier_kind", -1), s.whole("specifics.origin_kind", -1),
-               s.flag("specifics.direct")});
-  for (const auto& rule : request_classes(s)) b.add_request_class(rule);
-  b.set_slow_start({s.number("rules.cold_from", 1), s.number("rules.fall_multiple", 1),
-                    s.ms("rules.warm_after"), s.ms("rules.overload_for")},
-                   {s.number("specifics.upper_cold_from", 1), s.number("specifics.upper_fall_multiple", 1),
-                    s.ms("specifics.parent_warms_in"), s.ms("rules.overload_for")});
-  const auto weights = s.text("weights");
-  b.set_weight_meaning(weights == "nominal" || weights == "rough");
-  b.set_discovery_polling(s.text("registry_mode") == "ask");
-  apply_live_settings(s, b);
+void apply_settings(const Settings& settings, RoutingPolicy& policy) {
+  const int location = settings.whole("locality");
+  const int here =
+      static_cast<int>(settings.item_number("specifics.seats_by_zone", static_cast<std::size_t>(location)));
+  policy.set_placement({location, std::max(1, here), std::max(1, settings.whole("fleet_size", 1))});
+  policy.set_roles({settings.whole("specifics.second_tier_kind", -1),
+                    settings.whole("specifics.origin_kind", -1), settings.flag("specifics.direct")});
+  for (const auto& request_class : request_classes(settings)) policy.add_request_class(request_class);
+  const SlowStartSettings caches{settings.number("rules.cold_from", 1),
+                                 settings.number("rules.fall_multiple", 1), settings.ms("rules.warm_after"),
+                                 settings.ms("rules.overload_for")};
+  const SlowStartSettings parents{
+      settings.number("specifics.upper_cold_from", 1), settings.number("specifics.upper_fall_multiple", 1),
+      settings.ms("specifics.parent_warms_in"), settings.ms("rules.overload_for")};
+  policy.set_slow_start(caches, parents);
+  const auto weights = settings.text("weights");
+  policy.set_weight_meaning(weights == "nominal" || weights == "rough");
+  policy.set_discovery_polling(settings.text("registry_mode") == "ask");
+  apply_live_settings(settings, policy);
 }
 
 bool is_live_setting(std::string_view path) {
@@ -189,17 +243,19 @@
   return std::ranges::find(kLive, path) != std::end(kLive);
 }
 
-void apply_live_settings(const Settings& s, RoutingPolicy& b) {
-  b.set_retries({s.whole("allowed.max_attempts", 1), s.flag("allowed.cancel")});
-  b.set_fills(
-      {value_of_name(s.text("specifics.peers_fill"),
-                     {{"location", SiblingFills::location}, {"any", SiblingFills::any}}, SiblingFills::none),
-       s.flag("specifics.merges_fills"),
-       value_of_name(s.text("specifics.notes_given"),
-                     {{"all", FillReporting::all}, {"hit", FillReporting::hit}}, FillReporting::none),
-       s.number("specifics.client_kb_per_s")});
-  b.set_client_habits({s.flag("client_habits.marks_retry"),
-                       s.flag("allowed.retry_after") ? s.ms("allowed.max_retry_after") : 0});
+void apply_live_settings(const Settings& settings, RoutingPolicy& policy) {
+  policy.set_retries({settings.whole("allowed.max_attempts", 1), settings.flag("allowed.cancel")});
+  const auto sibling_fills =
+      value_of_name(settings.text("specifics.peers_fill"),
+                    {{"location", SiblingFills::location}, {"any", SiblingFills::any}}, SiblingFills::none);
+  const auto reporting =
+      value_of_name(settings.text("specifics.notes_given"),
+                    {{"all", FillReporting::all}, {"hit", FillReporting::hit}}, FillReporting::none);
+  policy.set_fills({sibling_fills, settings.flag("specifics.merges_fills"), reporting,
+                    settings.number("specifics.client_kb_per_s")});
+  const bool retry_after = settings.flag("allowed.retry_after");
+  policy.set_client_habits(
+      {settings.flag("client_habits.marks_retry"), retry_after ? settings.ms("allowed.max_retry_after") : 0});
 }
 
-}  // namespace walkpaddle
+}  // namespace walkpaddle::config
--- a/src/fronts.cpp
+++ b/src/fronts.cpp
@@ -4,15 +4,16 @@
 
 namespace walkpaddle {
 
-void add_fronts(server::Server& server, const control::File& operators) {
+void add_fronts(server::Server& server, const config::OperatorConfig& operators) {
   const auto& options = operators.dns;
-  if (!options.on) return;
+  if (!options.enabled) return;
   const auto context = server.listener_context();
   std::vector<std::string> class_names;
-  for (const auto& named : net::request_class_names(context.settings)) class_names.push_back(named.name);
+  for (const auto& named : config::request_class_names(context.settings)) class_names.push_back(named.name);
   server.add_listener(std::make_shared<dns::Front>(
       context.scheduler, context.outbox, context.log, context.dispatcher, context.upstream,
-      dns::Zone({options.zone, options.server, options.use, options.txns}, std::move(class_names)),
+      dns::Zone({options.zone, options.server, options.time_to_live, options.requests_per_answer},
+                std::move(class_names)),
       parse_address(options.listen)));
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -19,11 +19,11 @@
 #include <sstream>
 #include <stdexcept>
 
+#include "admin/admin_client.h"
+#include "admin/change_documents.h"
 #include "base/text.h"
+#include "config/operator_config.h"
 #include "config/platform_config.h"
-#include "control/command.h"
-#include "control/documents.h"
-#include "control/file.h"
 #include "fronts.h"
 #include "server/server.h"
 
@@ -86,15 +86,15 @@
     std::ifstream in(path);
     std::stringstream text;
     if (!(text << in.rdbuf())) throw InputError(std::string("cannot read ") + path);
-    auto config = net::parse_config(text.str());
+    auto config = config::parse_platform_config(text.str());
     if (const char* listen = std::getenv("LB_LISTEN")) config.listen = parse_address(listen);
     if (const char* left = std::getenv(server::kListenerVariable))
-      config.listening = parse<int>(left, server::kListenerVariable);
+      config.inherited_listener = parse<int>(left, server::kListenerVariable);
     if (const char* lines = std::getenv(server::kSettingsVariable)) config.settings.put_lines(lines);
     return config;
   };
   auto config = read();
-  const auto operators = file.empty() ? control::File{} : control::read_file(file);
+  const auto operators = file.empty() ? config::OperatorConfig{} : config::read_operator_config(file);
   const bool json = log_form.empty() ? operators.log_json : log_form == "json";
   Log log(config.name, json ? Log::Form::json : Log::Form::text);
   std::optional<server::Successor> next;
@@ -109,11 +109,11 @@
 
 // The file, and the documents in the folder that it names.
 void check_all(const std::string& path) {
-  const auto file = control::read_file(path);
-  if (file.changes.on) {
+  const auto file = config::read_operator_config(path);
+  if (file.rollouts.enabled) {
     const auto now =
         std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
-    const auto documents = control::read_documents(file.changes.folder, now);
+    const auto documents = admin::read_change_documents(file.rollouts.folder, now);
     // Whether a change fits before the next freeze, as far as the windows here tell.
     freeze::Calendar calendar(0, {0}, {});
     for (const auto& w : documents.windows) calendar.declare(w);
@@ -139,7 +139,7 @@
 std::string socket_of(const std::string& socket, const std::string& file) {
   if (!socket.empty()) return socket;
   if (file.empty()) throw WrongUse("name the router by --socket or --file");
-  const auto named = control::read_file(file).socket;
+  const auto named = config::read_operator_config(file).admin_socket;
   if (named.empty()) throw InputError(file + " names no operators' socket");
   return named;
 }
@@ -170,7 +170,7 @@
   purge->require_subcommand(1);
   purge->add_option("--socket", socket, "the operators' socket of a running router");
   purge->add_option("--file", file, "the operator's file that names it")->envname("WALKPADDLE_FILE");
-  control::PurgeAsked asked;
+  admin::PurgeCommand asked;
   const std::pair<const char*, const char*> kinds[] = {
       {"object", "one object, by its id"},
       {"group", "all objects of a group, by its number"},
@@ -180,13 +180,13 @@
   for (const auto& [kind, help] : kinds) {
     auto* one = purge->add_subcommand(kind, help);
     if (std::string_view(kind) != "all") one->add_option("WHAT", asked.what)->required();
-    one->add_flag("--wait", asked.wait, "until every router holds it and every box has confirmed it");
-    one->add_option("--within", asked.within, "seconds to wait")->check(CLI::Range(0.1, 86400.0));
+    one->add_flag("--wait", asked.wait_for_all, "until every router holds it and every box has confirmed it");
+    one->add_option("--within", asked.timeout, "seconds to wait")->check(CLI::Range(0.1, 86400.0));
     one->callback([&, kind = std::string(kind)] {
       asked.kind = kind;
       std::string where;
       code = plainly([&] { where = socket_of(socket, file); });
-      if (code == 0) code = control::purge(where, asked);
+      if (code == 0) code = admin::purge(where, asked);
     });
   }
   auto* status = purge->add_subcommand("status", "of one purge, or of the router and its last ones");
@@ -194,7 +194,7 @@
   status->callback([&] {
     std::string where;
     code = plainly([&] { where = socket_of(socket, file); });
-    if (code == 0) code = control::purge_status(where, number);
+    if (code == 0) code = admin::purge_status(where, number);
   });
 
   auto* fleet = app.add_subcommand("fleet", "who of the fleet is alive, and what it knows of the servers");
@@ -205,7 +205,8 @@
   fleet->callback([&] {
     std::string where;
     code = plainly([&] { where = socket_of(socket, file); });
-    if (code == 0) code = control::fleet(where, as_json);
+    if (code == 0)
+      code = admin::fleet_status(where, as_json ? admin::OutputForm::json : admin::OutputForm::text);
   });
 
   app.add_subcommand("version", "print the version")->callback([] {
--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -71,7 +71,7 @@
 }
 
 ClientListener::ClientListener(Scheduler& scheduler, Outbox& outbox, Log& log, Fd listener, std::size_t most,
-                               std::vector<RequestClassName> rules, Serve serve)
+                               std::vector<config::RequestClassName> rules, Serve serve)
     : scheduler_(scheduler),
       outbox_(outbox),
       log_(log),
@@ -303,7 +303,7 @@
   Request o;
   o.tag = words[1];
   o.rule_name = words[2];
-  const auto rule = std::ranges::find(rules_, words[2], &RequestClassName::name);
+  const auto rule = std::ranges::find(rules_, words[2], &config::RequestClassName::name);
   if (rule == rules_.end()) throw_bad_value("class", words[2]);
   o.rule = static_cast<int>(rule - rules_.begin());
   o.uncacheable = rule->uncacheable, o.effect = rule->effect;
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -90,7 +90,7 @@
   static constexpr std::size_t kLeaving = 4;  // past `most`, while their connections end
   // listener: what listens already.
   ClientListener(Scheduler& scheduler, Outbox& outbox, Log& log, Fd listener, std::size_t most,
-                 std::vector<RequestClassName> rules, Serve serve);
+                 std::vector<config::RequestClassName> rules, Serve serve);
 
   void set_guard(guard::Guard& guard) { guard_ = &guard; }
   void set_word(std::string_view alive) { alive_ = alive; }  // what ALIVE is answered with
@@ -120,7 +120,7 @@
   Outbox& outbox_;
   Log& log_;
   const std::size_t most_;
-  std::vector<RequestClassName> rules_;
+  std::vector<config::RequestClassName> rules_;
   OpenId::Ids open_ids_;
   guard::Guard* guard_ = nullptr;  // null: no counts, no checks
   Serve serve_;
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -4,9 +4,10 @@
 
 namespace {
 
-std::vector<guard::RequestRecord::Rule> effect_rules(const Settings& settings) {
+std::vector<guard::RequestRecord::Rule> effect_rules(const config::Settings& settings) {
   std::vector<guard::RequestRecord::Rule> rules;
-  for (const auto& r : request_classes(settings)) rules.push_back({r.idempotency, r.deduplication_window});
+  for (const auto& r : config::request_classes(settings))
+    rules.push_back({r.idempotency, r.deduplication_window});
   return rules;
 }
 
@@ -67,8 +68,9 @@
   event_.set();
 }
 
-RequestDispatcher::RequestDispatcher(Scheduler& scheduler, std::uint32_t seed, const Settings& settings,
-                                     fleet::Purges& purges, guard::Guard::Report report)
+RequestDispatcher::RequestDispatcher(Scheduler& scheduler, std::uint32_t seed,
+                                     const config::Settings& settings, fleet::Purges& purges,
+                                     guard::Guard::Report report)
     : scheduler_(scheduler),
       purges_(purges),
       guard_(std::move(report)),
@@ -78,7 +80,7 @@
       answers_tell_load_(settings.text("report.source") == "answers"),
       wake_(scheduler),
       pull_(scheduler) {
-  apply_settings(settings, input());
+  config::apply_settings(settings, input());
   for (int n = 0; n < settings.whole("categories.count"); ++n)
     sla_.push_back(settings.ms("categories." + std::to_string(n) + ".aim"));
   scheduler_.at_turns_end([this] { turn_ends(); });
--- a/src/net/request_dispatcher.h
+++ b/src/net/request_dispatcher.h
@@ -57,8 +57,8 @@
 
 class RequestDispatcher {
  public:
-  RequestDispatcher(Scheduler& scheduler, std::uint32_t seed, const Settings& settings, fleet::Purges& purges,
-                    guard::Guard::Report report = {});
+  RequestDispatcher(Scheduler& scheduler, std::uint32_t seed, const config::Settings& settings,
+                    fleet::Purges& purges, guard::Guard::Report report = {});
 
   RoutingPolicy& input();  // the module, with the clock set
   const RoutingPolicy& module() const { return *brain_; }
@@ -71,7 +71,7 @@
   void txn_ended(change::Tally::End end, int rule, Seconds took, int hops);
   void hop_counted(AttemptOutcome verdict, FillOutcome note);
   change::Tally* tally() { return tally_ ? &*tally_ : nullptr; }  // null: nothing is counted
-  void settings_changed(const Settings& settings) { apply_live_settings(settings, input()); }
+  void settings_changed(const config::Settings& settings) { config::apply_live_settings(settings, input()); }
   std::size_t txns_open() const { return handles_.size() - free_.size(); }
 
  private:
--- /dev/null
+++ b/src/server/admin_view.h
@@ -0,0 +1,32 @@
+/// \file
+/// What the admin socket shows of the server beside its purges and its fleet.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "admin/admin_replies.h"
+#include "net/upstream_pool.h"
+#include "server/metrics.h"
+
+namespace walkpaddle::server {
+
+/// Reads the upstream pool and the counters, which must outlive it.
+class AdminView final : public admin::RouterView {
+ public:
+  /// Only reads; nothing of it is called before the admin socket opens.
+  AdminView(const net::UpstreamPool& upstream, const Metrics& metrics)
+      : upstream_(upstream), metrics_(metrics) {}
+
+  int endpoints() const override { return upstream_.members(); }
+  std::string endpoint_id(int endpoint) const override { return std::string(upstream_.id(endpoint)); }
+  std::vector<std::pair<std::string, std::uint64_t>> counters() const override { return metrics_.by_name(); }
+
+ private:
+  const net::UpstreamPool& upstream_;
+  const Metrics& metrics_;
+};
+
+}  // namespace walkpaddle::server
--- a/src/server/descriptor_budget.cpp
+++ b/src/server/descriptor_budget.cpp
@@ -32,20 +32,20 @@
 
 constexpr int kLeastPerSide = 2;
 
-int server_descriptors(const control::File& operators) {
+int server_descriptors(const config::OperatorConfig& operators) {
   int count = kAlwaysOpen;
-  if (operators.fleet.on && operators.fleet.purges)
+  if (operators.fleet.enabled && operators.fleet.exchange_purges)
     count += kConnectionsPerPeer * static_cast<int>(operators.fleet.peers.size()) + kPeerListenerAndStrangers;
-  if (operators.fleet.share) count += kReplicationSocket;
-  if (!operators.socket.empty()) count += kAdminSocket;
-  if (operators.dns.on) count += kDns;
+  if (operators.fleet.replicate) count += kReplicationSocket;
+  if (!operators.admin_socket.empty()) count += kAdminSocket;
+  if (operators.dns.enabled) count += kDns;
   if (!operators.store_folder.empty()) count += kStore;
   return count;
 }
 
 }  // namespace
 
-DescriptorBudget::DescriptorBudget(int platform_limit, const control::File& operators) {
+DescriptorBudget::DescriptorBudget(int platform_limit, const config::OperatorConfig& operators) {
   const int for_connections = platform_limit - server_descriptors(operators);
   const int for_clients = for_connections / 2;
   client_connections = static_cast<std::size_t>(std::max(kLeastPerSide, for_clients));
--- a/src/server/descriptor_budget.h
+++ b/src/server/descriptor_budget.h
@@ -5,7 +5,7 @@
 
 #include <cstddef>
 
-#include "control/file.h"
+#include "config/operator_config.h"
 
 namespace walkpaddle::server {
 
@@ -13,7 +13,7 @@
 /// is left leaves room for those that stay; the upstream connections have the rest.
 struct DescriptorBudget {
   /// `platform_limit`: descriptors that the platform allows this process.
-  DescriptorBudget(int platform_limit, const control::File& operators);
+  DescriptorBudget(int platform_limit, const config::OperatorConfig& operators);
 
   std::size_t client_connections;    ///< at least 2
   std::size_t upstream_connections;  ///< at least 2
--- a/src/server/fleet_setup.cpp
+++ b/src/server/fleet_setup.cpp
@@ -7,39 +7,39 @@
 
 namespace walkpaddle::server {
 
-std::unique_ptr<store::Store> open_store(const control::File& operators) {
-  if (!operators.fleet.on || operators.store_folder.empty()) return nullptr;
+std::unique_ptr<store::Store> open_store(const config::OperatorConfig& operators) {
+  if (!operators.fleet.enabled || operators.store_folder.empty()) return nullptr;
   return std::make_unique<store::Store>(
       store::Store::Setup{operators.store_folder, static_cast<std::size_t>(operators.store_megabytes)});
 }
 
-std::string purge_run(const control::File& operators, const net::Config& config, store::Store* store,
-                      Seconds now) {
+std::string purge_run(const config::OperatorConfig& operators, const config::PlatformConfig& config,
+                      store::Store* store, Seconds now) {
   const auto& fleet = operators.fleet;
-  if (!fleet.on || !fleet.purges) return {};
+  if (!fleet.enabled || !fleet.exchange_purges) return {};
   const auto fresh =
       fmt::format("{:016x}", stable_hash(fmt::format("{} {} {}", fleet.name, config.seed, now)));
   return store != nullptr ? fleet::run_of(*store, fresh) : fresh;
 }
 
-fleet::Purges::Setup purges_setup(const control::File& operators, const Settings& settings,
+fleet::Purges::Setup purges_setup(const config::OperatorConfig& operators, const config::Settings& settings,
                                   const std::string& run, bool lasting) {
   fleet::Purges::Setup setup;
   setup.settle = settings.ms("specifics.purge_settles");
   const auto& fleet = operators.fleet;
-  if (!fleet.on || !fleet.purges) return setup;
+  if (!fleet.enabled || !fleet.exchange_purges) return setup;
   setup.fleet = true;
   setup.peers = static_cast<int>(fleet.peers.size());
   setup.lasting = lasting;
   setup.self = stable_hash(fleet.name + " " + run);
-  setup.copy_life = fleet.copy_life;
-  setup.sync = {fleet.lease, fleet.beat};
-  setup.entries = static_cast<std::size_t>(fleet.entries);
-  setup.objects = static_cast<std::size_t>(fleet.objects);
+  setup.copy_life = fleet.copy_lifetime;
+  setup.sync = {fleet.lease, fleet.heartbeat};
+  setup.entries = static_cast<std::size_t>(fleet.purge_log_entries);
+  setup.objects = static_cast<std::size_t>(fleet.indexed_objects);
   return setup;
 }
 
-std::vector<fleet::Links::Peer> fleet_peers(const control::File& operators) {
+std::vector<fleet::Links::Peer> fleet_peers(const config::OperatorConfig& operators) {
   std::vector<fleet::Links::Peer> peers;
   for (const auto& peer : operators.fleet.peers) peers.push_back({peer.name, parse_address(peer.address)});
   return peers;
--- a/src/server/fleet_setup.h
+++ b/src/server/fleet_setup.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
+#include "config/operator_config.h"
 #include "config/platform_config.h"
-#include "control/file.h"
 #include "fleet/links.h"
 #include "fleet/purges.h"
 #include "store/store.h"
@@ -15,18 +15,18 @@
 namespace walkpaddle::server {
 
 /// The store on disk; null where the operator's file names none. StoreError if it cannot be used.
-std::unique_ptr<store::Store> open_store(const control::File& operators);
+std::unique_ptr<store::Store> open_store(const config::OperatorConfig& operators);
 
 /// Name of the purge numbers' run: of the store's life, or of this start where there is no store, whose
 /// numbers begin anew. Empty where purges do not go between routers. `store` may be null.
-std::string purge_run(const control::File& operators, const net::Config& config, store::Store* store,
-                      Seconds now);
+std::string purge_run(const config::OperatorConfig& operators, const config::PlatformConfig& config,
+                      store::Store* store, Seconds now);
 
 /// `run`: as purge_run() gave it; `lasting`: there is a store.
-fleet::Purges::Setup purges_setup(const control::File& operators, const Settings& settings,
+fleet::Purges::Setup purges_setup(const config::OperatorConfig& operators, const config::Settings& settings,
                                   const std::string& run, bool lasting);
 
 /// The other routers with their addresses, in the order of the file. InputError if one is no address.
-std::vector<fleet::Links::Peer> fleet_peers(const control::File& operators);
+std::vector<fleet::Links::Peer> fleet_peers(const config::OperatorConfig& operators);
 
 }  // namespace walkpaddle::server
--- a/src/server/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -26,7 +26,7 @@
 constexpr Seconds kLateRequestPollInterval = kDrainPollInterval / 2;
 constexpr Seconds kHandOverPollInterval = 0.01;
 
-Seconds longest_deadline(const Settings& settings) {
+Seconds longest_deadline(const config::Settings& settings) {
   Seconds longest = 0;
   for (int n = 0; n < settings.whole("categories.count"); ++n)
     longest = std::max(longest, settings.ms("categories." + std::to_string(n) + ".deadline"));
@@ -57,9 +57,10 @@
 
 void Lifecycle::load_initial_state() {
   const auto& config = parts_.config;
-  parts_.discovery.held(net::hand_known(config.known, config.settings, parts_.discovery));
+  parts_.discovery.held(
+      config::replay_initial_events(config.initial_events, config.settings, parts_.discovery));
   parts_.warm_start.restore_from_file();
-  if (config.has_bus) parts_.discovery.follow(config.bus);
+  if (config.discovery) parts_.discovery.follow(*config.discovery);
 }
 
 // Those that are open have their time, as far as the platform gives it; further signals change nothing.
--- a/src/server/lifecycle.h
+++ b/src/server/lifecycle.h
@@ -91,7 +91,7 @@
   struct Parts {
     Scheduler& scheduler;                  ///< whose tasks they are
     Log& log;                              ///< a line for each phase
-    const net::Config& config;             ///< what was known at the start; deadlines
+    const config::PlatformConfig& config;  ///< what was known at the start; deadlines
     Signals& signals;                      ///< that end and reload
     net::RequestDispatcher& dispatcher;    ///< requests that are open
     net::DiscoveryClient& discovery;       ///< followed from the start on
--- a/src/server/reload.cpp
+++ b/src/server/reload.cpp
@@ -25,8 +25,8 @@
 bool ConfigReload::reload() {
   try {
     const auto config = read_config_();
-    log_("reload", "event bus {}", config.has_bus ? text_of(config.bus) : "none");
-    if (config.has_bus) discovery_.follow(config.bus);
+    log_("reload", "event bus {}", config.discovery ? text_of(*config.discovery) : "none");
+    if (config.discovery) discovery_.follow(*config.discovery);
     return true;
   } catch (const std::exception& e) {
     log_("reload", "kept as it was: {}", e.what());
--- a/src/server/reload.h
+++ b/src/server/reload.h
@@ -17,7 +17,7 @@
 class ConfigReload {
  public:
   /// Gives the configuration as it now stands, or throws InputError.
-  using ReadConfig = std::function<net::Config()>;
+  using ReadConfig = std::function<config::PlatformConfig()>;
 
   /// `read_config` is called at each reload.
   ConfigReload(ReadConfig read_config, Scheduler& scheduler, net::DiscoveryClient& discovery, Log& log)
--- a/src/server/rollout_agent.cpp
+++ b/src/server/rollout_agent.cpp
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
+#include "admin/change_documents.h"
 #include "base/error.h"
 #include "compat/release.h"
-#include "control/documents.h"
 #include "freeze/window.h"
 
 namespace walkpaddle::server {
@@ -58,22 +58,22 @@
 }  // namespace
 
 std::optional<fleet::Changes::Setup> RolloutAgent::changes_setup() {
-  const auto& changes = parts_.operators.changes;
-  if (!changes.on) return std::nullopt;
+  const auto& rollouts = parts_.operators.rollouts;
+  if (!rollouts.enabled) return std::nullopt;
   const char* handed_generation = std::getenv(kGenerationVariable);
-  const std::string generation = handed_generation != nullptr ? handed_generation : changes.generation;
+  const std::string generation = handed_generation != nullptr ? handed_generation : rollouts.generation;
   // What a predecessor handed on stands in the configuration already.
   if (const char* lines = std::getenv(kSettingsVariable)) settings_lines_ = lines;
   generations_[generation] = settings_lines_;
   fleet::Changes::Setup setup{
       .name = parts_.operators.fleet.name,
-      .site = changes.site,
+      .site = rollouts.site,
       .generation = generation,
       .peers = {},
       .seed = fold_seed(parts_.config.seed),
-      .kept = [folder = changes.protocol] { return read_releases(folder); },
-      .release = [folder =
-                      changes.protocol](const std::string& name) { return read_release_of(folder, name); },
+      .kept = [folder = rollouts.protocol_folder] { return read_releases(folder); },
+      .release = [folder = rollouts.protocol_folder](
+                     const std::string& generation_name) { return read_release_of(folder, generation_name); },
       .carry_out = [this](const change::Rollout::Move& move) { carry_out(move); },
       .counted = [this] { return parts_.metrics.rollout_counters(); }};
   for (const auto& peer : parts_.operators.fleet.peers) setup.peers.push_back({peer.name, peer.site});
@@ -100,9 +100,9 @@
 void RolloutAgent::reload_documents() {
   if (!rollouts_on()) return;
   const Seconds now = parts_.scheduler.now();
-  const auto& folder = parts_.operators.changes.folder;
+  const auto& folder = parts_.operators.rollouts.folder;
   try {
-    const auto documents = control::read_documents(folder, now);
+    const auto documents = admin::read_change_documents(folder, now);
     auto& calendar = replication_->changes()->calendar();
     auto& rollout = replication_->changes()->rollout();
     for (const auto& window : documents.windows) calendar.declare(window);
@@ -149,7 +149,7 @@
   try {
     auto settings = parts_.config.settings;
     settings.put_lines(lines);
-    check(settings);
+    config::check_settings(settings);
     parts_.dispatcher.settings_changed(settings);
   } catch (const InputError& e) {
     return rollout.move_failed(e.what(), now);
--- a/src/server/rollout_agent.h
+++ b/src/server/rollout_agent.h
@@ -9,8 +9,8 @@
 #include <utility>
 
 #include "change/rollout.h"
+#include "config/operator_config.h"
 #include "config/platform_config.h"
-#include "control/file.h"
 #include "fleet/changes.h"
 #include "fleet/share.h"
 #include "io/fd.h"
@@ -44,14 +44,14 @@
  public:
   /// What it works on.
   struct Parts {
-    Scheduler& scheduler;                ///< its clock
-    Log& log;                            ///< a line for each change of documents and programs
-    const net::Config& config;           ///< settings under those of a rollout
-    const control::File& operators;      ///< the section of rollouts
-    Signals& signals;                    ///< woken for a successor
-    net::RequestDispatcher& dispatcher;  ///< that settings are applied to
-    Metrics& metrics;                    ///< for the judge
-    const Lifecycle& lifecycle;          ///< steps are taken only while serving
+    Scheduler& scheduler;                     ///< its clock
+    Log& log;                                 ///< a line for each change of documents and programs
+    const config::PlatformConfig& config;     ///< settings under those of a rollout
+    const config::OperatorConfig& operators;  ///< the section of rollouts
+    Signals& signals;                         ///< woken for a successor
+    net::RequestDispatcher& dispatcher;       ///< that settings are applied to
+    Metrics& metrics;                         ///< for the judge
+    const Lifecycle& lifecycle;               ///< steps are taken only while serving
   };
   /// Nothing is on before changes_setup() and connect().
   explicit RolloutAgent(const Parts& parts) : parts_(parts) {}
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -30,18 +30,18 @@
 }
 
 // A hot restart leaves the predecessor's listener open.
-Fd client_listener_socket(const net::Config& config) {
-  return config.listening >= 0 ? Fd(config.listening) : listen_on(config.listen);
+Fd client_listener_socket(const config::PlatformConfig& config) {
+  return config.inherited_listener >= 0 ? Fd(config.inherited_listener) : listen_on(config.listen);
 }
 
 }  // namespace
 
-Server::Server(net::Config config, const control::File& operators, ConfigReload::ReadConfig read_config,
-               Log& log)
+Server::Server(config::PlatformConfig config, const config::OperatorConfig& operators,
+               ConfigReload::ReadConfig read_config, Log& log)
     : log_(log),
       config_(std::move(config)),
       operators_(operators),
-      descriptors_(config_.sockets, operators_),
+      descriptors_(config_.descriptor_limit, operators_),
       signals_(scheduler_),
       store_(open_store(operators_)),
       purge_run_(purge_run(operators_, config_, store_.get(), scheduler_.now())),
@@ -56,26 +56,27 @@
       discovery_(scheduler_, outbox_, log, dispatcher_, upstream_),
       client_listener_(
           scheduler_, outbox_, log, client_listener_socket(config_), descriptors_.client_connections,
-          net::request_class_names(config_.settings),
+          config::request_class_names(config_.settings),
           [this](std::shared_ptr<net::ClientConnection> client, net::Request request) {
             scheduler_.start_isolated(net::serve(scheduler_, log_, dispatcher_, upstream_, std::move(client),
-                                                 std::move(request), config_.bytes_a_second));
+                                                 std::move(request), config_.transfer_rate));
           }),
       reload_(std::move(read_config), scheduler_, discovery_, log),
       metrics_(scheduler_, dispatcher_),
-      warm_start_(operators_.learnt, config_.settings, scheduler_, dispatcher_, upstream_, log),
+      admin_view_(upstream_, metrics_),
+      warm_start_(operators_.warm_start_file, config_.settings, scheduler_, dispatcher_, upstream_, log),
       lifecycle_({scheduler_, log, config_, signals_, dispatcher_, discovery_, client_listener_, reload_,
                   warm_start_, metrics_}),
       rollout_agent_({scheduler_, log, config_, operators_, signals_, dispatcher_, metrics_, lifecycle_}) {
   upstream_.set_guard(dispatcher_.guard());
   client_listener_.set_guard(dispatcher_.guard());
   log_isolated_failures();
-  log_("start", "{} on {}, {} descriptors, {} MB", config_.name, text_of(config_.listen), config_.sockets,
-       config_.memory_mb);
+  log_("start", "{} on {}, {} descriptors, {} MB", config_.name, text_of(config_.listen),
+       config_.descriptor_limit, config_.memory_mb);
   connect_fleet();
-  if (operators_.tell_boxes)
+  if (operators_.notify_purges)
     purge_notifier_ = std::make_unique<net::PurgeNotifier>(scheduler_, log_, purges_, upstream_, purge_run_);
-  if (!operators_.socket.empty()) open_admin_socket();
+  if (!operators_.admin_socket.empty()) open_admin_socket();
   lifecycle_.start(rollout_agent_);
 }
 
@@ -97,14 +98,14 @@
 
 void Server::connect_fleet() {
   const auto& fleet = operators_.fleet;
-  if (store_ && fleet.purges)
+  if (store_ && fleet.exchange_purges)
     purge_persister_ = std::make_unique<fleet::Keeper>(scheduler_, log_, purges_, *store_);
   purges_.after_input(scheduler_.now());
-  if (fleet.on && fleet.purges) {
+  if (fleet.enabled && fleet.exchange_purges) {
     const fleet::Links::Setup setup{fleet.name, parse_address(fleet.listen), fleet_peers(operators_)};
     links_ = std::make_unique<fleet::Links>(scheduler_, outbox_, log_, purges_, setup);
   }
-  if (!fleet.share) return;
+  if (!fleet.replicate) return;
   replication_ = std::make_unique<fleet::Share>(scheduler_, log_, replication_setup());
   discovery_.share(&replication_->watch());
   rollout_agent_.connect(*replication_);
@@ -123,14 +124,11 @@
 }
 
 void Server::open_admin_socket() {
-  control::Operators::Names names{operators_.fleet.name,
-                                  {},
-                                  [this](int endpoint) { return std::string(upstream_.id(endpoint)); },
-                                  [this] { return upstream_.members(); },
-                                  [this] { return metrics_.by_name(); }};
+  admin::AdminReplies::Names names{operators_.fleet.name, {}};
   for (const auto& peer : operators_.fleet.peers) names.peers.push_back(peer.name);
-  admin_server_ = std::make_unique<control::Operators>(scheduler_, outbox_, log_, purges_, operators_.socket,
-                                                       std::move(names), replication_.get());
+  admin::AdminReplies replies(scheduler_, log_, purges_, std::move(names), admin_view_, replication_.get());
+  admin_server_ =
+      std::make_unique<admin::AdminServer>(scheduler_, outbox_, operators_.admin_socket, std::move(replies));
 }
 
 void Server::fleet_turn_ends() {
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
+#include "admin/admin_server.h"
+#include "config/operator_config.h"
 #include "config/platform_config.h"
-#include "control/file.h"
-#include "control/operators.h"
 #include "fleet/keeper.h"
 #include "fleet/links.h"
 #include "fleet/purges.h"
@@ -25,6 +25,7 @@
 #include "net/purge_notifier.h"
 #include "net/request_dispatcher.h"
 #include "net/upstream_pool.h"
+#include "server/admin_view.h"
 #include "server/descriptor_budget.h"
 #include "server/lifecycle.h"
 #include "server/metrics.h"
@@ -43,7 +44,7 @@
   Log& log;                            ///< for its lines
   net::RequestDispatcher& dispatcher;  ///< who decides
   net::UpstreamPool& upstream;         ///< what is known of the endpoints
-  const Settings& settings;            ///< the platform's
+  const config::Settings& settings;    ///< the platform's
 };
 
 /// One router. The log must outlive it.
@@ -52,7 +53,8 @@
   /// `operators`: what the operator's file switches on. `read_config` is called at each reload.
   /// Throws SystemError if an address, the admin socket or a descriptor cannot be had, StoreError if the
   /// store cannot be used.
-  Server(net::Config config, const control::File& operators, ConfigReload::ReadConfig read_config, Log& log);
+  Server(config::PlatformConfig config, const config::OperatorConfig& operators,
+         ConfigReload::ReadConfig read_config, Log& log);
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
   ~Server();
@@ -85,8 +87,8 @@
   // out with the outbox at the same turn's end. Whatever holds a stream comes after the outbox. The
   // lifecycle's task is started last of all, when each part that it may touch exists.
   Log& log_;
-  const net::Config config_;
-  const control::File operators_;
+  const config::PlatformConfig config_;
+  const config::OperatorConfig operators_;
   const DescriptorBudget descriptors_;
   Scheduler scheduler_;
   Signals signals_;
@@ -102,6 +104,7 @@
   net::ClientListener client_listener_;
   ConfigReload reload_;
   Metrics metrics_;
+  AdminView admin_view_;
   WarmStart warm_start_;
   Lifecycle lifecycle_;
   RolloutAgent rollout_agent_;
@@ -109,7 +112,7 @@
   std::unique_ptr<fleet::Links> links_;                 // null: no purges between routers
   std::unique_ptr<fleet::Share> replication_;           // null: nothing is shared
   std::unique_ptr<net::PurgeNotifier> purge_notifier_;  // null: cache servers are not notified
-  std::unique_ptr<control::Operators> admin_server_;    // null: no admin socket
+  std::unique_ptr<admin::AdminServer> admin_server_;    // null: no admin socket
   std::vector<std::shared_ptr<void>> optional_listeners_;
 };
 
--- a/src/server/warm_start.cpp
+++ b/src/server/warm_start.cpp
@@ -48,7 +48,7 @@
 // By the names of the present classes; gives the number that the file knew.
 int WarmStart::restore_service_times(const learning::Kept& kept, WarmStartSnapshot& snapshot) const {
   int known = 0;
-  for (const auto& request_class : net::request_class_names(settings_)) {
+  for (const auto& request_class : config::request_class_names(settings_)) {
     const auto at = std::ranges::find(kept.rules, request_class.name, &learning::Kept::Rule::name);
     WarmStartSnapshot::ServiceTime time;
     if (at != kept.rules.end()) time = {at->sending, at->answers};
@@ -76,7 +76,7 @@
   learning::Kept kept{.family = std::string(settings_.text("family")),
                       .pace = settings_.number(kTransferRateKey),
                       .written = scheduler_.now()};
-  const auto names = net::request_class_names(settings_);
+  const auto names = config::request_class_names(settings_);
   const auto classes = std::min(names.size(), snapshot.service_times.size());
   for (std::size_t n = 0; n < classes; ++n) {
     const auto& time = snapshot.service_times[n];
--- a/src/server/warm_start.h
+++ b/src/server/warm_start.h
@@ -3,8 +3,8 @@
 /// routers of the fleet.
 #pragma once
 
+#include "config/operator_config.h"
 #include "config/settings.h"
-#include "control/file.h"
 #include "fleet/keepers.h"
 #include "io/log.h"
 #include "io/scheduler.h"
@@ -18,7 +18,7 @@
 class WarmStart {
  public:
   /// `file`: path of the snapshot file; empty: nothing is read or written there.
-  WarmStart(const std::string& file, const Settings& settings, Scheduler& scheduler,
+  WarmStart(const std::string& file, const config::Settings& settings, Scheduler& scheduler,
             net::RequestDispatcher& dispatcher, const net::UpstreamPool& upstream, Log& log)
       : file_(file),
         settings_(settings),
@@ -44,7 +44,7 @@
   learning::Kept kept_snapshot();
 
   const std::string& file_;
-  const Settings& settings_;
+  const config::Settings& settings_;
   Scheduler& scheduler_;
   net::RequestDispatcher& dispatcher_;
   const net::UpstreamPool& upstream_;
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 // The pairs of ENLIST.
-Settings settings_of(std::string_view rest) {
-  Settings s;
+config::Settings settings_of(std::string_view rest) {
+  config::Settings s;
   while (!rest.empty()) {
     auto pair = take_field(rest, ' ');
     if (pair.empty()) continue;
@@ -161,13 +161,13 @@
 void Host::enlist(Fields& f) {
   const int number = static_cast<int>(f.integer("i"));
   const auto seed = f.integer("entropy");
-  const Settings s = settings_of(f.rest());
+  const config::Settings s = settings_of(f.rest());
   instances_.erase(number);
   auto& in = instances_.try_emplace(number, fold_seed(seed)).first->second;
   touch(number);
   guarded(number, [&] {
     in.brain->clock(clock_);
-    apply_settings(s, *in.brain);
+    config::apply_settings(s, *in.brain);
     // A second more than the settling: servers' clocks and the way to them.
     in.purges = std::make_unique<purge::Cover>(
         purge::Cover::Bounds{.life = s.ms("specifics.purge_settles") + 1, .most = 4096, .objects = 4});
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -404,7 +404,7 @@
 TEST_CASE("given all descriptors taken when the bus breaks, then the list is followed all the same") {
   Stand s;
   const Ear bus;
-  const auto config = parse_config(config_text("n0", 1, bus.address.port, "", "{}"));
+  const auto config = config::parse_platform_config(config_text("n0", 1, bus.address.port, "", "{}"));
   fleet::Purges purges({}, s.scheduler.now());
   RequestDispatcher dispatcher(s.scheduler, 7, config.settings, purges);
   UpstreamPool caches(s.scheduler, s.outbox, s.log, 8, 32, 1, 60, true);
@@ -527,7 +527,7 @@
     "sent") {
   CachesStand s;
   const Ear full(0);
-  const auto config = parse_config(config_text("n0", 1, 1, "", "{}"));
+  const auto config = config::parse_platform_config(config_text("n0", 1, 1, "", "{}"));
   fleet::Purges purges({}, s.scheduler.now());
   RequestDispatcher dispatcher(s.scheduler, 7, config.settings, purges);
   DiscoveryClient list(s.scheduler, s.outbox, s.log, dispatcher, s.caches);
@@ -621,7 +621,7 @@
     asked.reset(), handle.reset();
   }
   const std::string answered = words_text({"1", "RESULT", "etag=1", "one"});
-  Config config = parse_config(config_text("n0", 1, 1, "", "{}"));
+  config::PlatformConfig config = config::parse_platform_config(config_text("n0", 1, 1, "", "{}"));
   fleet::Purges purges{{}, scheduler.now()};
   RequestDispatcher dispatcher{scheduler, 7, config.settings, purges};
   std::string tag;
@@ -713,7 +713,7 @@
     return got.size() < 8 ? -1 : got[7];
   }
 
-  Config config = parse_config(config_text("n0", 1, 1, "", "{}"));
+  config::PlatformConfig config = config::parse_platform_config(config_text("n0", 1, 1, "", "{}"));
   fleet::Purges purges{{}, scheduler.now()};
   RequestDispatcher dispatcher{scheduler, 7, config.settings, purges};
   UpstreamPool caches{scheduler, outbox, log, 8, 32, 1, 60, true};
--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -170,11 +170,11 @@
 
 void play_config(const std::string& text) {
   try {
-    const auto c = net::parse_config(text);
+    const auto c = config::parse_platform_config(text);
     std::printf(" %s on %s, first class %s\n", c.name.c_str(), text_of(c.listen).c_str(),
-                net::request_class_names(c.settings).front().name.c_str());
+                config::request_class_names(c.settings).front().name.c_str());
     PrintedEvents events;
-    if (c.known != "{}") net::hand_known(c.known, c.settings, events);
+    if (c.initial_events != "{}") config::replay_initial_events(c.initial_events, c.settings, events);
     std::printf("%s", events.out.c_str());
   } catch (const InputError& e) {
     std::printf(" malformed: %s\n", std::string(e.what()).substr(0, 140).c_str());
