--- a/lab/faulty.cpp
+++ b/lab/faulty.cpp
@@ -1,5 +1,5 @@
 // The program with a fault planted, as a release that should not have been: WALKPADDLE_FAULT says which. It
-// is built from the same sources; the fault stands where the fronts do.
+// is built from the same sources; the fault stands where the optional listeners do.
 //   slow      each turn takes 15 ms more         fall      it ends by a fault 5 s after its start
 //   refuse    it forgets every server            unready   it never begins to serve
 //   leak      30 MB a second                     (none)    a program that differs in nothing
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "fronts.h"
+#include "cli/optional_listeners.h"
 
-namespace walkpaddle {
+namespace walkpaddle::cli {
 
 namespace {
 
@@ -38,11 +38,11 @@
 
 }  // namespace
 
-void add_fronts(server::Server& server, const config::OperatorConfig&) {
+void add_optional_listeners(server::Server& server, const config::OperatorConfig&) {
   const char* kind = std::getenv("WALKPADDLE_FAULT");
   if (kind == nullptr) return;
   while (std::string_view(kind) == "unready") ::pause();
   server.add_listener(std::make_shared<Fault>(server.listener_context(), kind));
 }
 
-}  // namespace walkpaddle
+}  // namespace walkpaddle::cli
--- /dev/null
+++ b/src/cli/check_command.cpp
@@ -0,0 +1,64 @@
+#include "cli/check_command.h"
+
+#include <fmt/core.h>
+#include <fmt/ranges.h>
+
+#include <chrono>
+
+#include "admin/change_documents.h"
+#include "base/error.h"
+#include "base/time.h"
+#include "change/document.h"
+#include "config/operator_config.h"
+#include "freeze/calendar.h"
+
+namespace walkpaddle::cli {
+
+namespace {
+
+constexpr double kSecondsPerMinute = 60;
+
+Seconds unix_time() {
+  const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration<double>(since_epoch).count();
+}
+
+// The freeze windows as far as the documents here tell.
+freeze::Calendar calendar_of(const admin::ChangeDocuments& documents, Seconds now) {
+  freeze::Calendar calendar(0, {0}, {});
+  for (const auto& window : documents.windows) calendar.declare(window);
+  for (const auto& exception : documents.exceptions) calendar.except(exception);
+  calendar.in_contact(now);
+  return calendar;
+}
+
+// Whether a change fits before the next freeze.
+void check_change(const change::Document& change, const freeze::Calendar& calendar, std::size_t routers,
+                  Seconds now) {
+  const Seconds longest = change::worst(change, routers);
+  const auto answer = calendar.ask(
+      freeze::Act::propose, {.change = change.name, .work = change.work, .sites = {}, .worst = longest}, now);
+  if (answer.may == freeze::Answer::May::never) throw InputError("change " + change.name + ": " + answer.why);
+  const std::string begin = answer.may == freeze::Answer::May::now
+                                ? "it may begin now"
+                                : "not before " + freeze::text_of_moment(answer.at) + ", as " + answer.why;
+  fmt::print("change {}: {} routers in stages of {}, {:.0f} minutes at most, the way back included; {}\n",
+             change.name, routers, fmt::join(change::stage_sizes(change, routers), ", "),
+             longest / kSecondsPerMinute, begin);
+}
+
+}  // namespace
+
+void check_operator_file(const std::string& path) {
+  const auto file = config::read_operator_config(path);
+  if (file.rollouts.enabled) {
+    const Seconds now = unix_time();
+    const auto documents = admin::read_change_documents(file.rollouts.folder, now);
+    const auto calendar = calendar_of(documents, now);
+    const auto routers = file.fleet.peers.size() + 1;
+    for (const auto& change : documents.changes) check_change(change, calendar, routers, now);
+  }
+  fmt::print("{}: good\n", path);
+}
+
+}  // namespace walkpaddle::cli
--- /dev/null
+++ b/src/cli/main.cpp
@@ -0,0 +1,19 @@
+// The program: the router, and the commands of those who run it.
+#include <CLI/CLI.hpp>
+
+#include "cli/commands.h"
+
+int main(int argc, char** argv) {
+  using namespace walkpaddle;
+  CLI::App app("walkpaddle: a txn router for edge caches. Without a command it runs the router.",
+               "walkpaddle");
+  cli::Arguments arguments;
+  cli::add_commands(app, arguments);
+  try {
+    app.parse(argc, argv);
+  } catch (const CLI::ParseError& e) {
+    return app.exit(e) == 0 ? cli::kDone : cli::kMisused;
+  }
+  if (argc <= 1) return cli::run_without_command();
+  return arguments.exit_code;
+}
--- /dev/null
+++ b/src/cli/successor.cpp
@@ -0,0 +1,68 @@
+#include "cli/successor.h"
+
+#include <fcntl.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <cerrno>
+#include <cmath>
+#include <filesystem>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "base/error.h"
+
+namespace walkpaddle::cli {
+
+namespace {
+
+using Variables = std::vector<std::pair<std::string, std::string>>;
+
+Variables handed_variables(const server::Successor& successor) {
+  return {{server::kGenerationVariable, successor.move.to},
+          {server::kPredecessorVariable, std::filesystem::read_symlink("/proc/self/exe").string()},
+          {server::kSettingsVariable, successor.settings_lines},
+          {server::kListenerVariable, std::to_string(successor.listener.get())}};
+}
+
+// This process's environment with the variables in place of earlier ones of their names.
+std::vector<std::string> environment_with(const Variables& variables) {
+  std::vector<std::string> environment;
+  for (char** entry = environ; *entry != nullptr; ++entry) {
+    const auto replaced = [&](const auto& variable) {
+      return std::string_view(*entry).starts_with(variable.first + "=");
+    };
+    if (std::ranges::none_of(variables, replaced)) environment.emplace_back(*entry);
+  }
+  for (const auto& [name, value] : variables) {
+    auto& entry = environment.emplace_back(name);
+    entry.append("=").append(value);
+  }
+  return environment;
+}
+
+// As execve(2) takes them; they point into `texts`.
+std::vector<char*> pointers(std::vector<std::string>& texts) {
+  std::vector<char*> all;
+  for (auto& text : texts) all.push_back(text.data());
+  all.push_back(nullptr);
+  return all;
+}
+
+}  // namespace
+
+void exec_successor(const server::Successor& successor, const std::string& operator_file) {
+  auto environment = environment_with(handed_variables(successor));
+  std::vector<std::string> arguments = {successor.program, "run", "--file", operator_file};
+  const auto environment_pointers = pointers(environment);
+  const auto argument_pointers = pointers(arguments);
+  constexpr int kKeptOverExec = 0;  // no FD_CLOEXEC
+  ::fcntl(successor.listener.get(), F_SETFD, kKeptOverExec);
+  ::alarm(static_cast<unsigned>(std::ceil(successor.move.document.ready_in)));
+  ::execve(successor.program.c_str(), argument_pointers.data(), environment_pointers.data());
+  const int error_number = errno;
+  throw SystemError("cannot run " + successor.program, error_number);
+}
+
+}  // namespace walkpaddle::cli
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -20,10 +20,10 @@
   };
   /// Section `fleet`.
   struct Fleet {
-    bool enabled = false;
-    std::string name;    ///< this router's
-    std::string listen;  ///< address for the other routers
-    std::vector<Peer> peers;
+    bool enabled = false;           ///< the section is there
+    std::string name;               ///< this router's
+    std::string listen;             ///< address for the other routers
+    std::vector<Peer> peers;        ///< the others, this router not among them
     Seconds lease = 2;              ///< how long a purge log is trusted without its majority; 0.2 to 600
     Seconds heartbeat = 0.4;        ///< at most half of `lease`; a fifth of it where the file does not say
     Seconds copy_lifetime = 86400;  ///< no cached copy is older: purges are kept so long
@@ -34,7 +34,7 @@
   };
   /// Section `dns`.
   struct Dns {
-    bool enabled = false;
+    bool enabled = false;            ///< the section is there
     std::string listen;              ///< address for lookups
     std::string zone;                ///< that it answers for
     std::string server;              ///< its own name
@@ -43,7 +43,7 @@
   };
   /// Section `changes`.
   struct Rollouts {
-    bool enabled = false;
+    bool enabled = false;         ///< the section is there
     std::string folder;           ///< of the documents, see admin/change_documents.h
     std::string site;             ///< where this router stands
     std::string generation;       ///< name of what its program and settings are
@@ -51,9 +51,9 @@
                                   ///< are refused
   };
 
-  Fleet fleet;
-  Dns dns;
-  Rollouts rollouts;
+  Fleet fleet;                  ///< section `fleet`
+  Dns dns;                      ///< section `dns`
+  Rollouts rollouts;            ///< section `changes`
   std::string store_folder;     ///< key `store.folder`; empty: all in memory
   int store_megabytes = 256;    ///< the most that the store may grow to
   std::string warm_start_file;  ///< key `learnt.file`: the snapshot from one start to the next; empty: none
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -75,10 +75,10 @@
 
 void replay_endpoint(const json& member, const Settings& settings, net::DiscoveryEvents& events) {
   const auto state = parse_state(member.at("phase").get<std::string>());
-  const auto id = member.at("id").get<std::string>();
-  const auto address = parse_address(member.at("host_port").get<std::string>());
-  const int location = index_in("failure_domains", member.at("locality").get<std::string>(), settings);
   const int kind = index_in("models", member.at("flavor").get<std::string>(), settings);
+  const int location = index_in("failure_domains", member.at("locality").get<std::string>(), settings);
+  const auto address = parse_address(member.at("host_port").get<std::string>());
+  const auto id = member.at("id").get<std::string>();
   events.update_endpoint(id, address, location, kind, member.value("cell", 0), state,
                          member.value("size", 1.0), member.value("up_since_ms", 0.0) / 1e3);
 }
