--- a/lab/faulty.cpp
+++ b/lab/faulty.cpp
@@ -1,5 +1,5 @@
 // The program with a fault planted, as a release that should not have been: WALKPADDLE_FAULT says which. It
-// is built from the same sources; the fault stands where the fronts do.
+// is built from the same sources; the fault stands where the optional listeners do.
 //   slow      each turn takes 15 ms more         fall      it ends by a fault 5 s after its start
 //   refuse    it forgets every server            unready   it never begins to serve
 //   leak      30 MB a second                     (none)    a program that differs in nothing
@@ -9,14 +9,14 @@
 #include <string>
 #include <vector>
 
-#include "fronts.h"
+#include "cli/optional_listeners.h"
 
-namespace walkpaddle {
+namespace walkpaddle::cli {
 
 namespace {
 
 struct Fault {
-  explicit Fault(const net::Router::Parts& p, const std::string& kind) : parts(p), kind(kind) {
+  explicit Fault(const server::ListenerContext& p, const std::string& kind) : parts(p), kind(kind) {
     if (kind == "slow") p.scheduler.at_turns_end([] { ::usleep(15000); });
     if (kind == "refuse" || kind == "fall" || kind == "leak") p.scheduler.start(work());
   }
@@ -31,18 +31,18 @@
         parts.dispatcher.input().begin_endpoint_list(true), parts.dispatcher.input().end_endpoint_list();
     }
   }
-  const net::Router::Parts parts;
+  const server::ListenerContext parts;
   const std::string kind;
   std::vector<std::string> held;
 };
 
 }  // namespace
 
-void add_fronts(net::Router& router, const control::File&) {
+void add_optional_listeners(server::Server& server, const config::OperatorConfig&) {
   const char* kind = std::getenv("WALKPADDLE_FAULT");
   if (kind == nullptr) return;
   while (std::string_view(kind) == "unready") ::pause();
-  router.add([&](const net::Router::Parts& p) { return std::make_shared<Fault>(p, kind); });
+  server.add_listener(std::make_shared<Fault>(server.listener_context(), kind));
 }
 
-}  // namespace walkpaddle
+}  // namespace walkpaddle::cli
