--- a/lab/changes.cpp
+++ b/lab/changes.cpp
@@ -73,11 +73,12 @@
     if (p != r.number) s.peers.push_back({Memory::Router::name(p), site_of(p, setup_.sites)});
   auto rollout = std::make_unique<Rollout>(s, *calendar, Rollout::Bounds{}, now);
   if (setup_.store) {
-    if (const auto own = m.store.find("own"); own != m.store.end()) rollout->own_back(own->second);
+    if (const auto own = m.store.find("own"); own != m.store.end())
+      rollout->restore_private_state(own->second);
     for (const char* kind : {"0", "1"})
       for (const auto& [key, item] : m.store)
         if (key.starts_with(kind))
-          (kind[0] == '0' ? static_cast<replica::Kind&>(*calendar) : *rollout).take(item, now);
+          (kind[0] == '0' ? static_cast<replica::ReplicatedState&>(*calendar) : *rollout).join(item, now);
   }
   m.tally.begin(static_cast<std::uint64_t>(now * 1e6), now + 4);
   m.cpu = 0;
@@ -122,11 +123,11 @@
   if (setup_.store) {
     m.store.clear();
     for (auto& kind : r.kinds)
-      for (int range = 0; range < replica::Kind::kRanges; ++range)
-        for (const auto id : kind->of_range(range))
+      for (int range = 0; range < replica::ReplicatedState::kDigestRanges; ++range)
+        for (const auto id : kind->ids_of_range(range))
           m.store[std::to_string(kind->number()) + (kind->number() == 1 ? "abc"[0] : 'x') +
                   std::to_string(id)] = kind->bytes(id);
-    if (auto own = rollout.own(); !own.empty()) m.store["own"] = own;
+    if (auto own = rollout.private_state(); !own.empty()) m.store["own"] = own;
   }
   if (const auto move = rollout.next_move(now)) carry_out(r, *move, now);
   if (r.number == 0) supervise();
--- a/lab/memory.cpp
+++ b/lab/memory.cpp
@@ -17,8 +17,8 @@
       keepers(members, {}, now),
       gossip(members, watch, keepers, {}, seed + 2, now) {
   members.announce(compat::announced(fleet::kReads));
-  watch.list_heard(now);
-  for (int s = 0; s < 4; ++s) watch.listed(s, {.hash = kServer + static_cast<std::uint64_t>(s)}, now);
+  watch.discovery_heard(now);
+  for (int s = 0; s < 4; ++s) watch.update_listing(s, {.hash = kServer + static_cast<std::uint64_t>(s)}, now);
 }
 
 std::vector<std::uint64_t> Memory::Router::others(int n, int routers) {
@@ -34,7 +34,8 @@
 }
 
 Health Memory::Router::takes_for(Seconds now, std::uint64_t server) const {
-  const auto view = watch.facts().view(server, {static_cast<std::int64_t>(now * 1e6), 0});
+  const auto view =
+      replica::view_endpoint(watch.observations(), server, {static_cast<std::int64_t>(now * 1e6), 0});
   return view ? view->health : Health::ready;
 }
 
@@ -67,7 +68,8 @@
 void Memory::skew(int n, Seconds by) { skews_[n] = by; }
 
 void Memory::bus(int n, EndpointState state, Seconds started) {
-  (*this)[n].watch.listed(0, {.hash = kServer, .state = state, .started = started}, now + (*this)[n].skew);
+  (*this)[n].watch.update_listing(0, {.hash = kServer, .state = state, .started = started},
+                                  now + (*this)[n].skew);
 }
 
 Belief Memory::learnt_by(int n) {
@@ -95,7 +97,7 @@
       auto& r = (*this)[n];
       const Seconds own = now + r.skew;
       for (const auto& [from, bytes] : std::exchange(r.held, {})) take(r, bytes);
-      if (r.bus) r.watch.list_heard(own);
+      if (r.bus) r.watch.discovery_heard(own);
       while (const auto packet = r.gossip.next(own))
         send(n, packet_bytes(*packet, r.members.self()), *packet);
       r.gossip.take_caught();
@@ -115,7 +117,7 @@
   const int to =
       static_cast<int>((*this)[from].members.peers()[static_cast<std::size_t>(packet.peer)].name - 1000);
   sent += bytes.size(), largest = std::max(largest, bytes.size());
-  facts_sent += packet.facts.size();
+  facts_sent += packet.observations.size();
   const auto roll = [&] { return std::uniform_real_distribution<>(0, 1)(chance); };
   if (cuts.contains({from, to}) || (net.lost > 0 && roll() < net.lost)) return;
   for (int times = net.twice > 0 && roll() < net.twice ? 2 : 1; times > 0; --times)
@@ -127,7 +129,7 @@
   for (int n = 0; n < count; ++n)
     if (up(n) && first == nullptr) first = &(*this)[n];
   return all([&](Router& r) {
-    return r.watch.facts().all() == first->watch.facts().all() &&
+    return r.watch.observations().all() == first->watch.observations().all() &&
            r.gossip.digests() == first->gossip.digests();
   });
 }
--- a/lab/memory.h
+++ b/lab/memory.h
@@ -37,11 +37,11 @@
     replica::Health takes_for(Seconds now, std::uint64_t server = kServer) const;
     const int number;
     Seconds skew;  // of its clock
-    replica::Watch watch;
+    replica::ObservationTracker watch;
     fleet::Members members;
     fleet::Keepers keepers;
     fleet::Gossip gossip;
-    std::vector<std::unique_ptr<replica::Kind>> kinds;
+    std::vector<std::unique_ptr<replica::ReplicatedState>> kinds;
     std::optional<fleet::Belief> back;  // what it had learnt before its start
     bool stalled = false, bus = true;
     std::vector<std::pair<int, std::string>> held;  // came while it was stalled
--- a/src/change/rollout.cpp
+++ b/src/change/rollout.cpp
@@ -7,14 +7,14 @@
 
 #include "base/text.h"
 #include "change/change.capnp.h"
-#include "replica/flat.h"
+#include "replica/capnp_message.h"
 
 namespace walkpaddle::change {
 
 namespace {
 
 using freeze::Act, freeze::Answer, freeze::Overtaken;
-using replica::flat;
+using replica::message_bytes;
 
 constexpr std::size_t kLongestName = 64, kLongestWhy = 200, kMostSaid = 64;
 constexpr std::uint64_t kRouters = 1024;  // a term is a count and who asks: no two ask for the same
@@ -31,7 +31,7 @@
   for (unsigned n = 0; n < d.stages.size(); ++n) stages.set(n, d.stages[n]);
   b.setLeastS(d.least), b.setLongestS(d.longest), b.setWarmUpS(d.warm_up), b.setReadyInS(d.ready_in);
   b.setAtOnce(d.at_once), b.setHarm(d.harm), b.setRatio(d.ratio);
-  return flat(message);
+  return message_bytes(message);
 }
 
 Document document_of(const schema::Document::Reader& b) {
@@ -74,7 +74,7 @@
              .turned_away = b.getTurnedAway(),
              .breaches = b.getBreaches(),
              .memory_mb = b.getMemoryMb(),
-             .cpu = replica::time_of(b.getCpuS())};
+             .cpu = replica::checked_time(b.getCpuS())};
   if (!(c.memory_mb >= 0 && c.memory_mb < 1e9)) throw_bad_value("memory", std::to_string(c.memory_mb));
   const auto took = b.getTook();
   for (unsigned n = 0; n < std::min<unsigned>(took.size(), Counters::kTimes); ++n) c.took[n] = took[n];
@@ -111,8 +111,8 @@
   const auto id = id_of(item);
   auto& held = keys_[key];
   if (held == id) return;
-  drop_item(std::exchange(held, id));
-  hold_item(item);
+  remove_item(std::exchange(held, id));
+  add_item(item);
   due_ = 0;
 }
 
@@ -142,7 +142,7 @@
     if (over == courses_.end()) return say("change " + d.name + ": refused, there are too many changes");
     for (const char* kind : {"d", "o", "s"})
       if (const auto key = keys_.find(kind + over->first); key != keys_.end())
-        drop_item(key->second), keys_.erase(key);
+        remove_item(key->second), keys_.erase(key);
     courses_.erase(over);
   }
   Course fresh{.document = d};
@@ -173,7 +173,7 @@
   auto b = message.initRoot<schema::Item>().initOrder();
   b.setChange(c.document.name.c_str()), b.setTerm(joined.term), b.setStage(joined.stage),
       b.setDone(joined.done);
-  publish("o" + c.document.name, flat(message));
+  publish("o" + c.document.name, message_bytes(message));
   return true;
 }
 
@@ -189,14 +189,14 @@
   capnp::MallocMessageBuilder message;
   auto b = message.initRoot<schema::Item>().initStop();
   b.setChange(c.document.name.c_str()), b.setBy(s.by), b.setAt(s.at), b.setWhy(s.why.c_str());
-  publish("s" + c.document.name, flat(message));
+  publish("s" + c.document.name, message_bytes(message));
   return true;
 }
 
 bool Rollout::propose(const Document& d, Seconds now) {
   const auto why = [&]() -> std::string {
     if (auto text = refusal(d); !text.empty()) return text;
-    if (item_of(d).size() > kLargestItem) return "its document is too long";
+    if (item_of(d).size() > kMaxItemBytes) return "its document is too long";
     // A generation's name stands for one thing: a second try has another.
     for (const auto& [name, c] : courses_)
       if (name != d.name && (c.document.after == d.after || c.document.before == d.after))
@@ -217,15 +217,15 @@
   return c != nullptr && set_stop(*c, s, now);
 }
 
-std::size_t Rollout::place_of(std::uint64_t id) const {
+std::size_t Rollout::join_order(std::uint64_t id) const {
   const auto it = std::ranges::find(keys_, id, [](const auto& key) { return key.second; });
   return it == keys_.end() ? 0 : std::string_view("dos").find(it->first.front());
 }
 
-bool Rollout::take(std::string_view bytes, Seconds now) {
-  if (bytes.size() > kLargestItem) throw_bad_value("item of length", std::to_string(bytes.size()));
-  const auto before = news();
-  replica::reading<schema::Item>(bytes, kLargestItem, [&](const schema::Item::Reader& item) {
+bool Rollout::join(std::string_view bytes, Seconds now) {
+  if (bytes.size() > kMaxItemBytes) throw_bad_value("item of length", std::to_string(bytes.size()));
+  const auto before = pending_updates();
+  replica::read_root<schema::Item>(bytes, kMaxItemBytes, [&](const schema::Item::Reader& item) {
     switch (item.which()) {
       case schema::Item::DOCUMENT:
         return set_document(document_of(item.getDocument()), now);
@@ -239,14 +239,14 @@
         auto* c = course(b.getChange());
         if (c != nullptr)
           set_stop(*c,
-                   {b.getBy(), replica::time_of(b.getAt()),
-                    std::string(replica::text_of(b.getWhy())).substr(0, kLongestWhy)},
+                   {b.getBy(), replica::checked_time(b.getAt()),
+                    std::string(replica::text_view(b.getWhy())).substr(0, kLongestWhy)},
                    now);
         return;
       }
     }
   });
-  return news() > before;
+  return pending_updates() > before;
 }
 
 // ---- what the fleet and this router stand at ---------------------------------------------------
@@ -373,9 +373,9 @@
   return true;
 }
 
-void Rollout::letter(int from, std::string_view bytes, Seconds now) {
-  if (bytes.size() > kLargestItem) throw_bad_value("letter of length", std::to_string(bytes.size()));
-  replica::reading<schema::Letter>(bytes, kLargestItem, [&](const schema::Letter::Reader& l) {
+void Rollout::receive(int from, std::string_view bytes, Seconds now) {
+  if (bytes.size() > kMaxItemBytes) throw_bad_value("letter of length", std::to_string(bytes.size()));
+  replica::read_root<schema::Letter>(bytes, kMaxItemBytes, [&](const schema::Letter::Reader& l) {
     if (l.which() == schema::Letter::REPORT) {
       const auto b = l.getReport();
       if (b.getPhase() > static_cast<int>(Phase::held))
@@ -415,7 +415,7 @@
     out.setPhase(static_cast<std::uint8_t>(r.phase));
     out.setSent(sent_ = std::max(sent_ + 1, static_cast<std::uint64_t>(now * 1e6)));
     put(out.initCounters(), r.counters);
-    if (letters_.size() < 2 * fleet()) letters_.push_back({from, flat(message)});
+    if (letters_.size() < 2 * fleet()) letters_.push_back({from, message_bytes(message)});
     due_ = 0;
   });
 }
@@ -425,12 +425,12 @@
   auto b = message.initRoot<schema::Letter>().initAsk();
   b.setChange(hash_of(c.document.name)), b.setTerm(promised_), b.setVote(vote), b.setStage(c.decided.stage);
   b.setWanted(wanted), b.setTurn(static_cast<std::uint32_t>(drive_->turn));
-  const auto bytes = flat(message);
+  const auto bytes = message_bytes(message);
   for (int p = 0; p < self(); ++p)
     if (alive(p) && letters_.size() < 2 * fleet()) letters_.push_back({p, bytes});
 }
 
-std::optional<replica::Kind::Letter> Rollout::next_letter(Seconds now) {
+std::optional<replica::ReplicatedMessage> Rollout::next_message(Seconds now) {
   step(now);
   if (letters_.empty()) return std::nullopt;
   auto letter = std::move(letters_.front());
@@ -438,14 +438,14 @@
   return letter;
 }
 
-std::string Rollout::own() const {
+std::string Rollout::private_state() const {
   const bool leaves = moving_ && !moving_->back && moving_->document.work == freeze::kRelease;
   const auto& tried = leaves ? moving_->document.name : tried_;
   if (promised_ == 0 && tried.empty()) return {};
   return std::to_string(promised_) + " " + tried;
 }
 
-void Rollout::own_back(std::string_view bytes) {
+void Rollout::restore_private_state(std::string_view bytes) {
   promised_ = std::max(promised_, parse<std::uint64_t>(take_field(bytes, ' '), "term"));
   tried_ = bytes.substr(0, kLongestName);
 }
--- a/src/change/rollout.h
+++ b/src/change/rollout.h
@@ -30,11 +30,11 @@
 #include "change/evidence.h"
 #include "change/judge.h"
 #include "freeze/calendar.h"
-#include "replica/kind.h"
+#include "replica/replicated_state.h"
 
 namespace walkpaddle::change {
 
-class Rollout : public replica::Kind {
+class Rollout : public replica::ReplicatedState {
  public:
   struct Bounds {
     Seconds beat = 2;         // between a driver's questions: 300 answers of 200 bytes each
@@ -89,13 +89,13 @@
 
   // As a kind of replicated state.
   std::uint8_t number() const override { return 1; }
-  std::size_t place_of(std::uint64_t id) const override;
-  bool take(std::string_view bytes, Seconds now) override;
-  std::optional<Letter> next_letter(Seconds now) override;
-  void letter(int from, std::string_view bytes, Seconds now) override;
+  std::size_t join_order(std::uint64_t id) const override;
+  bool join(std::string_view bytes, Seconds now) override;
+  std::optional<replica::ReplicatedMessage> next_message(Seconds now) override;
+  void receive(int from, std::string_view bytes, Seconds now) override;
   Seconds next_due() const override { return due_; }
-  std::string own() const override;
-  void own_back(std::string_view bytes) override;
+  std::string private_state() const override;
+  void restore_private_state(std::string_view bytes) override;
 
  private:
   struct Order {
@@ -206,7 +206,7 @@
   std::map<std::string, Stop> early_;          // told before the change was known
   std::map<std::string, std::uint64_t> keys_;  // items by what they are of, by their present id
   std::vector<std::string> said_;
-  std::deque<Letter> letters_;
+  std::deque<replica::ReplicatedMessage> letters_;
   Counters counters_;
   std::string tried_;  // the change whose release this machine last ended for; see own()
   std::uint64_t promised_ = 0;
--- a/src/compat/release.cpp
+++ b/src/compat/release.cpp
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "base/text.h"
-#include "replica/flat.h"
+#include "replica/capnp_message.h"
 
 namespace walkpaddle::compat {
 
--- a/src/control/operators.cpp
+++ b/src/control/operators.cpp
@@ -92,7 +92,6 @@
 
 // Who is of the fleet, and what it knows of the cache servers that a list may not tell: from whom, how old.
 std::string Operators::fleet_answer() const {
-  constexpr std::string_view kHealths[] = {"ready", "slow", "cold", "draining", "gone"};
   constexpr std::size_t kMostFacts = 500;  // of a reply; the count tells that there are more
   const Seconds now = scheduler_.now();
   const auto& share = *share_;
@@ -105,14 +104,14 @@
                        {"heard_s_ago", peers[p].heard > 0 ? json(now - peers[p].heard) : json(nullptr)}});
   std::map<std::uint64_t, std::string> servers;
   for (int b = 0; b < names_.boxes(); ++b) servers[stable_hash(names_.box(b))] = names_.box(b);
-  const auto all = share.watch().facts().all();
+  const auto all = share.watch().observations().all();
   for (const auto& f : all) {
     if (facts.size() >= kMostFacts) break;
-    const auto known = servers.find(f.server);
-    facts.push_back({{"server", known == servers.end() ? fmt::format("{:016x}", f.server) : known->second},
-                     {"state", kHealths[static_cast<int>(f.health)]},
+    const auto known = servers.find(f.endpoint);
+    facts.push_back({{"server", known == servers.end() ? fmt::format("{:016x}", f.endpoint) : known->second},
+                     {"state", replica::to_string(f.health)},
                      {"by", share.name_of(f.observer)},
-                     {"ago_s", now - f.seen.seconds()}});
+                     {"ago_s", now - f.observed_at.seconds()}});
   }
   json changes = json::array(), windows = json::array();
   if (const auto* c = share.changes(); c != nullptr) {
--- a/src/fleet/changes.cpp
+++ b/src/fleet/changes.cpp
@@ -14,14 +14,14 @@
   return names;
 }
 
-std::string numbered(char letter, const replica::Kind& kind) {
+std::string numbered(char letter, const replica::ReplicatedState& kind) {
   std::string key(1, letter);
   return key += std::to_string(kind.number());
 }
 
 // Items in the order in which a start takes them: what is said of a change that is not known is passed over.
-std::string key_of(const replica::Kind& kind, std::uint64_t id) {
-  return numbers_text(numbered('k', kind), {kind.place_of(id), id});
+std::string key_of(const replica::ReplicatedState& kind, std::uint64_t id) {
+  return numbers_text(numbered('k', kind), {kind.join_order(id), id});
 }
 
 }  // namespace
@@ -100,11 +100,11 @@
 }
 
 void Changes::restore(std::string_view key, std::string_view value, Seconds now) {
-  replica::Kind* kinds[] = {&calendar_, &rollout_};
+  replica::ReplicatedState* kinds[] = {&calendar_, &rollout_};
   for (auto* kind : kinds) {
     const bool own = key == numbered('o', *kind), item = key.starts_with(numbered('k', *kind));
-    if (own) kind->own_back(value);
-    if (item) kind->take(value, now);
+    if (own) kind->restore_private_state(value);
+    if (item) kind->join(value, now);
     if (own || item) stored_[std::string(key)] = value;
   }
 }
@@ -113,11 +113,11 @@
 // look.
 void Changes::keep(bool all) {
   std::map<std::string, std::string> now;
-  const replica::Kind* kinds[] = {&calendar_, &rollout_};
+  const replica::ReplicatedState* kinds[] = {&calendar_, &rollout_};
   for (const auto* kind : kinds) {
-    if (auto own = kind->own(); !own.empty()) now[numbered('o', *kind)] = std::move(own);
-    for (int range = 0; all && range < replica::Kind::kRanges; ++range)
-      for (const auto id : kind->of_range(range)) now[key_of(*kind, id)] = kind->bytes(id);
+    if (auto own = kind->private_state(); !own.empty()) now[numbered('o', *kind)] = std::move(own);
+    for (int range = 0; all && range < replica::ReplicatedState::kDigestRanges; ++range)
+      for (const auto id : kind->ids_of_range(range)) now[key_of(*kind, id)] = kind->bytes(id);
   }
   for (const auto& [key, value] : now)
     if (const auto it = stored_.find(key); it == stored_.end() || it->second != value)
--- a/src/fleet/gossip.cpp
+++ b/src/fleet/gossip.cpp
@@ -12,7 +12,7 @@
 
 namespace walkpaddle::fleet {
 
-using replica::Facts;
+using replica::EndpointObservations;
 
 namespace {
 
@@ -21,15 +21,18 @@
   return XXH3_64bits(words, sizeof words) | 1;
 }
 
-std::size_t member_range(std::uint64_t who) { return Facts::kRanges + who % Gossip::kMemberRanges; }
+std::size_t member_range(std::uint64_t who) {
+  return EndpointObservations::kDigestRanges + who % Gossip::kMemberRanges;
+}
 
-std::size_t range_of(const replica::Kind& kind, std::size_t range) {
-  return Facts::kRanges + Gossip::kMemberRanges + kind.number() * std::size_t{replica::Kind::kRanges} + range;
+std::size_t range_of(const replica::ReplicatedState& kind, std::size_t range) {
+  return EndpointObservations::kDigestRanges + Gossip::kMemberRanges +
+         kind.number() * std::size_t{replica::ReplicatedState::kDigestRanges} + range;
 }
 
 }  // namespace
 
-Gossip::Gossip(Members& members, replica::Watch& watch, Keepers& keepers, const Bounds& bounds,
+Gossip::Gossip(Members& members, replica::ObservationTracker& watch, Keepers& keepers, const Bounds& bounds,
                std::uint32_t seed, Seconds now)
     : members_(members),
       watch_(watch),
@@ -44,16 +47,17 @@
 int Gossip::rounds() const { return 2 + static_cast<int>(std::ceil(std::log10(members_.alive() + 2.0))); }
 
 std::vector<std::uint64_t> Gossip::digests() const {
-  std::vector<std::uint64_t> sums(Facts::kRanges + kMemberRanges);
-  for (int r = 0; r < Facts::kRanges; ++r) sums[static_cast<std::size_t>(r)] = watch_.facts().digest(r);
+  std::vector<std::uint64_t> sums(EndpointObservations::kDigestRanges + kMemberRanges);
+  for (int r = 0; r < EndpointObservations::kDigestRanges; ++r)
+    sums[static_cast<std::size_t>(r)] = watch_.observations().digest(r);
   const auto add = [&](const Members::Record& r) { sums[member_range(r.who)] += hash_of(r); };
   add(members_.self());
   for (std::size_t p = 0; p < members_.peers().size(); ++p)
     if (const auto r = members_.record(static_cast<int>(p))) add(*r);
   for (const auto* kind : kinds_) {
     const auto first = range_of(*kind, 0);
-    sums.resize(std::max(sums.size(), first + replica::Kind::kRanges));
-    for (int r = 0; r < replica::Kind::kRanges; ++r)
+    sums.resize(std::max(sums.size(), first + replica::ReplicatedState::kDigestRanges));
+    for (int r = 0; r < replica::ReplicatedState::kDigestRanges; ++r)
       sums[first + static_cast<std::size_t>(r)] = kind->digest(r);
   }
   return sums;
@@ -65,7 +69,7 @@
   return compat::version_to_write(kItems, {compat::version_of(reads, compat::ChannelOf::gossip)}) >= kItems;
 }
 
-replica::Kind* Gossip::kind_of(std::uint8_t number) const {
+replica::ReplicatedState* Gossip::kind_of(std::uint8_t number) const {
   const auto it = std::ranges::find(kinds_, number, [](const auto* k) { return k->number(); });
   return it == kinds_.end() ? nullptr : *it;
 }
@@ -88,19 +92,19 @@
 
 // An item that cannot be read costs itself alone; one of a kind that is not known here is passed over.
 void Gossip::item(std::uint8_t number, std::string_view bytes, Seconds now) try {
-  if (auto* kind = kind_of(number)) kind->take(bytes, now);
+  if (auto* kind = kind_of(number)) kind->join(bytes, now);
 } catch (const InputError&) {
   ++unreadable_items_;
 }
 
 void Gossip::letter(int from, const Item& item, Seconds now) try {
-  if (auto* kind = kind_of(item.kind)) kind->letter(from, item.bytes, now);
+  if (auto* kind = kind_of(item.kind)) kind->receive(from, item.bytes, now);
 } catch (const InputError&) {
   ++unreadable_items_;
 }
 
-void Gossip::fact(const replica::Fact& f, Seconds now) {
-  if (watch_.heard(f, now) == Facts::Took::news) ++facts_heard_;
+void Gossip::fact(const replica::EndpointObservation& f, Seconds now) {
+  if (watch_.receive(f, now) == EndpointObservations::JoinResult::changed) ++facts_heard_;
 }
 
 void Gossip::probe(int from, Members::Probe::Kind kind, std::uint64_t number, std::uint64_t about,
@@ -119,12 +123,12 @@
 // What is new goes round from now on.
 void Gossip::collect() {
   const int rounds = this->rounds();
-  for (const auto& key : watch_.take_news())
+  for (const auto& key : watch_.take_updates())
     if (facts_.size() < bounds_.rumours || facts_.contains(key)) facts_[key] = rounds;
-  for (const auto& r : members_.take_news())
+  for (const auto& r : members_.take_updates())
     if (records_.size() < bounds_.rumours || records_.contains(r.who)) records_[r.who] = rounds;
   for (auto* kind : kinds_)
-    for (const auto id : kind->take_news())
+    for (const auto id : kind->take_updates())
       if (items_.size() < bounds_.rumours) items_[{kind->number(), id}] = rounds;
 }
 
@@ -151,9 +155,10 @@
   });
   // Room that items took the facts have not.
   constexpr std::size_t kFactBytes = 56;
-  pick(facts_, bounds_.facts - std::min(bounds_.facts, bytes / kFactBytes),
-       [&](const replica::Watch::Key& key) {
-         if (const auto* f = watch_.facts().find(key.server, key.observer)) packet.facts.push_back(*f);
+  pick(facts_, bounds_.observations - std::min(bounds_.observations, bytes / kFactBytes),
+       [&](const replica::ObservationKey& key) {
+         if (const auto* f = watch_.observations().find(key.endpoint, key.observer))
+           packet.observations.push_back(*f);
          return true;
        });
   pick(records_, bounds_.records, [&](std::uint64_t who) {
@@ -176,7 +181,7 @@
   Packet packet{.kind = Kind::fill, .peer = peer, .number = number};
   std::size_t bytes = 0;
   const auto flush = [&] {
-    if (packet.facts.empty() && packet.records.empty() && packet.items.empty()) return;
+    if (packet.observations.empty() && packet.records.empty() && packet.items.empty()) return;
     bytes = 0;
     waiting_.push_back(std::exchange(packet, {.kind = Kind::fill, .peer = peer, .number = number}));
   };
@@ -192,17 +197,18 @@
       *more = true;
       break;
     }
-    if (range < Facts::kRanges) {
-      for (const auto& f : watch_.facts().of_range(static_cast<int>(range))) {
-        packet.facts.push_back(f);
-        if (packet.facts.size() >= bounds_.facts) flush();
+    if (range < EndpointObservations::kDigestRanges) {
+      for (const auto& f : watch_.observations().of_range(static_cast<int>(range))) {
+        packet.observations.push_back(f);
+        if (packet.observations.size() >= bounds_.observations) flush();
       }
-    } else if (range >= Facts::kRanges + kMemberRanges) {
-      const auto place = range - Facts::kRanges - kMemberRanges;
-      const auto number = static_cast<std::uint8_t>(place / replica::Kind::kRanges);
+    } else if (range >= EndpointObservations::kDigestRanges + kMemberRanges) {
+      const auto place = range - EndpointObservations::kDigestRanges - kMemberRanges;
+      const auto number = static_cast<std::uint8_t>(place / replica::ReplicatedState::kDigestRanges);
       auto* kind = kind_of(number);
       if (kind == nullptr) continue;
-      for (const auto id : kind->of_range(static_cast<int>(place % replica::Kind::kRanges))) {
+      for (const auto id :
+           kind->ids_of_range(static_cast<int>(place % replica::ReplicatedState::kDigestRanges))) {
         auto item = kind->bytes(id);
         if (bytes > 0 && bytes + item.size() > bounds_.items) flush();
         bytes += item.size();
@@ -286,7 +292,7 @@
 
 std::optional<Gossip::Packet> Gossip::take_next(Seconds now) {
   constexpr Seconds kForgotten = 5;  // an answer that has not come by then does not come
-  watch_.speak(now);
+  watch_.publish_due(now);
   const auto probe = members_.next(now);
   if (members_.take_slept()) start_catching_up(now);
   if (probe) {
@@ -304,7 +310,7 @@
   collect();
   for (auto* kind : kinds_)
     while (budget() > bounds_.fills) {
-      auto letter = kind->next_letter(now);
+      auto letter = kind->next_message(now);
       if (!letter) break;
       waiting_.push_back({.kind = Kind::letter,
                           .peer = letter->peer,
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -17,8 +17,8 @@
 
 #include "fleet/keepers.h"
 #include "fleet/members.h"
-#include "replica/kind.h"
-#include "replica/watch.h"
+#include "replica/observation_tracker.h"
+#include "replica/replicated_state.h"
 
 namespace walkpaddle::fleet {
 
@@ -30,11 +30,12 @@
     Seconds compare = 2;     // with one member, in calm: what pushes missed is found in seconds
     Seconds catch_up = 0.1;  // while this router catches up
     int synced = 2;          // members that have sent all: one may lag itself
-    std::size_t facts = 16, records = 8;  // of a datagram: with 56 and 32 bytes each within an Ethernet frame
-    std::size_t fills = 64;               // datagrams for one digest: some 70 kB, then the next round
-    std::size_t waiting = 512;            // datagrams that wait to go out; past it digests are not answered
-    std::size_t rumours = 4096;           // past it only digests carry
-    std::size_t items = 1040;             // bytes of other kinds' items in a datagram, at least one
+    std::size_t observations = 16,
+                records = 8;     // of a datagram: with 56 and 32 bytes each within an Ethernet frame
+    std::size_t fills = 64;      // datagrams for one digest: some 70 kB, then the next round
+    std::size_t waiting = 512;   // datagrams that wait to go out; past it digests are not answered
+    std::size_t rumours = 4096;  // past it only digests carry
+    std::size_t items = 1040;    // bytes of other kinds' items in a datagram, at least one
   };
   enum class Kind : std::uint8_t { ping, ack, nack, ask, news, digest, answer, fill, belief, recall, letter };
   struct Item {
@@ -50,7 +51,7 @@
     std::uint32_t fills = 0;
     bool more = false;
     std::vector<Members::Record> records{};
-    std::vector<replica::Fact> facts{};
+    std::vector<replica::EndpointObservation> observations{};
     std::vector<std::uint64_t> digests{};
     std::shared_ptr<const Belief> belief{};
     std::vector<Item> items{};  // of a letter: the one that it is
@@ -59,20 +60,20 @@
   struct Caught {
     Seconds took = 0;
     int members = 0;  // that sent all; 0: there was none to ask
-    std::uint64_t facts = 0;
+    std::uint64_t observations = 0;
   };
 
-  Gossip(Members& members, replica::Watch& watch, Keepers& keepers, const Bounds& bounds, std::uint32_t seed,
-         Seconds now);
+  Gossip(Members& members, replica::ObservationTracker& watch, Keepers& keepers, const Bounds& bounds,
+         std::uint32_t seed, Seconds now);
   // Beside members and facts; each kind once, before anything is heard.
-  void carry(replica::Kind& kind) { kinds_.push_back(&kind); }
+  void carry(replica::ReplicatedState& kind) { kinds_.push_back(&kind); }
 
   // Inputs, in the order of a datagram's parts: its head, its records, facts and items, its kind.
   void head(int from, std::uint64_t incarnation, std::uint64_t reads, Seconds at, Seconds now);
   void item(std::uint8_t kind, std::string_view bytes, Seconds now);
   void letter(int from, const Item& item, Seconds now);
   void record(const Members::Record& record, Seconds now) { members_.take(record, now); }
-  void fact(const replica::Fact& fact, Seconds now);
+  void fact(const replica::EndpointObservation& fact, Seconds now);
   void probe(int from, Members::Probe::Kind kind, std::uint64_t number, std::uint64_t about, Seconds now);
   void belief(int from, Belief belief, Seconds now);
   void recall(int from) { keepers_.asked(from); }
@@ -106,7 +107,7 @@
   std::uint32_t send_differing(int peer, std::uint64_t number, std::span<const std::uint64_t> theirs,
                                bool* more);
   void add_news(Packet& packet, bool spend);
-  replica::Kind* kind_of(std::uint8_t number) const;
+  replica::ReplicatedState* kind_of(std::uint8_t number) const;
   bool reads_items(int peer) const;
   void compare(Seconds now);
   void start_catching_up(Seconds now);
@@ -115,14 +116,14 @@
   std::size_t budget() const { return bounds_.waiting - std::min(bounds_.waiting, waiting_.size()); }
 
   Members& members_;
-  replica::Watch& watch_;
+  replica::ObservationTracker& watch_;
   Keepers& keepers_;
   const Bounds bounds_;
   std::mt19937 chance_;
-  std::map<replica::Watch::Key, int> facts_;                     // rumours: how many rounds are left
+  std::map<replica::ObservationKey, int> facts_;                 // rumours: how many rounds are left
   std::map<std::uint64_t, int> records_;                         // the same of members, by name
   std::map<std::pair<std::uint8_t, std::uint64_t>, int> items_;  // the same of other kinds' items
-  std::vector<replica::Kind*> kinds_;
+  std::vector<replica::ReplicatedState*> kinds_;
   struct Clock {
     Seconds ahead = 0, heard = -1e9;  // of this router's
   };
--- a/src/fleet/members.h
+++ b/src/fleet/members.h
@@ -70,8 +70,8 @@
   Seconds next_due() const;
 
   // What stands.
-  std::vector<Record> take_news() { return std::exchange(news_, {}); }  // to be spread, once
-  bool take_slept() { return std::exchange(slept_, false); }            // this process stood still; once
+  std::vector<Record> take_updates() { return std::exchange(news_, {}); }  // to be spread, once
+  bool take_slept() { return std::exchange(slept_, false); }               // this process stood still; once
   const std::vector<Peer>& peers() const { return peers_; }
   std::optional<Record> record(int peer) const;  // none while it is unheard
   Record self() const { return {self_, incarnation_, State::alive, 0, reads_}; }
--- a/src/fleet/share.cpp
+++ b/src/fleet/share.cpp
@@ -22,7 +22,7 @@
   return addresses;
 }
 
-std::string key_of(const replica::Watch::Key& k) { return numbers_text("f", {k.server, k.observer}); }
+std::string key_of(const replica::ObservationKey& k) { return numbers_text("f", {k.endpoint, k.observer}); }
 
 constexpr std::string_view kLearnt = "l";
 
@@ -65,7 +65,7 @@
   auto fleet = names_of(setup.peers);
   for (std::size_t p = 0; p < fleet.size(); ++p) names_[fleet[p]] = setup.peers[p].name;
   fleet.push_back(stable_hash(setup.name));
-  watch_.members_of_fleet(std::move(fleet));
+  watch_.set_fleet(std::move(fleet));
   if (setup_.store != nullptr) restore();
 }
 
@@ -84,9 +84,9 @@
       if (key == kLearnt) keepers_.stored(stored_belief(value));
       if (!key.starts_with('f')) return;
       const auto fact = stored_fact(value);
-      const bool taken = watch_.heard(fact, started_) == replica::Facts::Took::news;
+      const bool taken = watch_.receive(fact, started_) == replica::EndpointObservations::JoinResult::changed;
       ++(taken ? held : refused);
-      stored_[{fact.server, fact.observer}] = taken ? fact.seen : replica::Stamp{};
+      stored_[{fact.endpoint, fact.observer}] = taken ? fact.observed_at : replica::HybridTimestamp{};
     });
   } catch (const InputError& e) {
     throw StoreError(std::string("store: ") + e.what());
@@ -104,12 +104,12 @@
     return;
   }
   said_failed_ = false;
-  std::map<replica::Watch::Key, replica::Stamp> now;
-  for (const auto& f : watch_.facts().all()) {
-    const replica::Watch::Key key{f.server, f.observer};
+  std::map<replica::ObservationKey, replica::HybridTimestamp> now;
+  for (const auto& f : watch_.observations().all()) {
+    const replica::ObservationKey key{f.endpoint, f.observer};
     const auto it = stored_.find(key);
-    const bool there = it != stored_.end() && it->second == f.seen;
-    if (there || store.put(key_of(key), stored_text(f), 0)) now[key] = f.seen;
+    const bool there = it != stored_.end() && it->second == f.observed_at;
+    if (there || store.put(key_of(key), stored_text(f), 0)) now[key] = f.observed_at;
   }
   for (const auto& [key, seen] : stored_)
     if (!now.contains(key) && !store.erase(key_of(key)))
@@ -140,7 +140,7 @@
     log_("member", "{}: {}", setup_.peers[p].name, Members::kNames[static_cast<int>(state)]);
   }
   if (const auto caught = gossip_.take_caught())
-    log_("caught", "caught up in {:.3f} s, {} facts from {} routers", caught->took, caught->facts,
+    log_("caught", "caught up in {:.3f} s, {} facts from {} routers", caught->took, caught->observations,
          caught->members);
 }
 
--- a/src/fleet/share.h
+++ b/src/fleet/share.h
@@ -33,8 +33,8 @@
   Share(Scheduler& scheduler, Log& log, const Setup& setup);
   void pull();  // at a turn's end
 
-  replica::Watch& watch() { return watch_; }
-  const replica::Watch& watch() const { return watch_; }
+  replica::ObservationTracker& watch() { return watch_; }
+  const replica::ObservationTracker& watch() const { return watch_; }
   const Members& members() const { return members_; }
   const Gossip& gossip() const { return gossip_; }
   Changes* changes() { return changes_.get(); }  // null: none are made
@@ -54,14 +54,14 @@
   const Setup setup_;
   const Seconds started_;
   std::map<std::uint64_t, std::string> names_;
-  replica::Watch watch_;
+  replica::ObservationTracker watch_;
   Members members_;
   Keepers keepers_;
   Gossip gossip_;
   std::uint64_t looked_at_ = 0;  // facts heard when the module was last told
   std::unique_ptr<Changes> changes_;
   Datagrams datagrams_;
-  std::map<replica::Watch::Key, replica::Stamp> stored_;
+  std::map<replica::ObservationKey, replica::HybridTimestamp> stored_;
   std::vector<Members::State> said_;
   Seconds look_at_ = 0, keep_at_ = 0;
   bool said_failed_ = false;
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -4,16 +4,16 @@
 
 #include "base/text.h"
 #include "fleet/fleet.capnp.h"
-#include "replica/flat.h"
+#include "replica/capnp_message.h"
 
 namespace walkpaddle::fleet {
 
 namespace {
 
-using replica::flat, replica::text_of, replica::time_of;
+using replica::checked_time, replica::message_bytes, replica::text_view;
 
 std::string framed(capnp::MallocMessageBuilder& message) {
-  const auto text = flat(message);
+  const auto text = message_bytes(message);
   std::string out;
   for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(text.size() >> shift & 255);
   return out + text;
@@ -25,7 +25,7 @@
 }
 
 std::string_view what_of(const schema::Entry::Reader& e) {
-  const auto what = text_of(e.getWhat());
+  const auto what = text_view(e.getWhat());
   if (what.size() > purge::kLongest) throw_bad_value("purge of length", std::to_string(what.size()));
   if (e.getNumber() == 0) throw_bad_value("number", "0");
   return what;
@@ -33,19 +33,19 @@
 
 template <class T, class F>
 auto reading(std::string_view bytes, F&& read) {
-  return replica::reading<T>(bytes, kLargestMessage, std::forward<F>(read));
+  return replica::read_root<T>(bytes, kLargestMessage, std::forward<F>(read));
 }
 
 void hand_on(const schema::Message::Reader& m, Messages& into) {
   switch (m.which()) {
     case schema::Message::HELLO:
-      return into.hello(m.getHello().getVersion(), text_of(m.getHello().getName()));
+      return into.hello(m.getHello().getVersion(), text_view(m.getHello().getName()));
     case schema::Message::BEAT: {
       const auto beat = m.getBeat();
-      const Seconds theirs = time_of(beat.getTime()), echo = time_of(beat.getEcho());
+      const Seconds theirs = checked_time(beat.getTime()), echo = checked_time(beat.getEcho());
       const auto heads = beat.getHeads();
       for (const auto h : heads) {
-        time_of(h.getGivenUpAgo());
+        checked_time(h.getGivenUpAgo());
         if (h.getBase() > h.getNumber()) throw_bad_value("head", std::to_string(h.getNumber()));
       }
       into.beat(theirs, echo, beat.getWhole());
@@ -55,7 +55,7 @@
     case schema::Message::ENTRY: {
       const auto e = m.getEntry();
       const auto what = what_of(e);
-      return into.entry({time_of(e.getAt()), e.getIssuer(), e.getNumber()}, kind_of(e.getKind()), what);
+      return into.entry({checked_time(e.getAt()), e.getIssuer(), e.getNumber()}, kind_of(e.getKind()), what);
     }
     case schema::Message::WANT:
       return into.want(m.getWant().getIssuer(), m.getWant().getFrom());
@@ -66,27 +66,27 @@
   // A newer router's: passed over.
 }
 
-replica::Fact fact_of(const schema::Fact::Reader& f) {
-  if (f.getHealth() >= replica::kHealths) throw_bad_value("health", std::to_string(f.getHealth()));
+replica::EndpointObservation fact_of(const schema::Fact::Reader& f) {
+  if (f.getHealth() >= replica::kHealthCount) throw_bad_value("health", std::to_string(f.getHealth()));
   if (!std::isfinite(f.getLimit()) || f.getLimit() < 0)
     throw_bad_value("limit", std::to_string(f.getLimit()));
   if (f.getMicros() < 0) throw_bad_value("stamp", std::to_string(f.getMicros()));
-  return {.server = f.getServer(),
-          .started = time_of(f.getStarted()),
+  return {.endpoint = f.getServer(),
+          .started = checked_time(f.getStarted()),
           .observer = f.getObserver(),
-          .seen = {.micros = f.getMicros(), .count = f.getCount()},
+          .observed_at = {.micros = f.getMicros(), .count = f.getCount()},
           .health = static_cast<replica::Health>(f.getHealth()),
-          .limit = f.getLimit()};
+          .concurrency_limit = f.getLimit()};
 }
 
-void put(schema::Fact::Builder b, const replica::Fact& f) {
-  b.setServer(f.server);
+void put(schema::Fact::Builder b, const replica::EndpointObservation& f) {
+  b.setServer(f.endpoint);
   b.setStarted(f.started);
   b.setObserver(f.observer);
-  b.setMicros(f.seen.micros);
-  b.setCount(f.seen.count);
+  b.setMicros(f.observed_at.micros);
+  b.setCount(f.observed_at.count);
   b.setHealth(static_cast<std::uint8_t>(f.health));
-  b.setLimit(f.limit);
+  b.setLimit(f.concurrency_limit);
 }
 
 double bounded(float value) {
@@ -97,7 +97,7 @@
 
 Belief belief_of(const schema::Belief::Reader& b) {
   Belief belief{.router = b.getRouter(),
-                .at = time_of(b.getAt()),
+                .at = checked_time(b.getAt()),
                 .part = b.getPart(),
                 .parts = b.getParts(),
                 .link = bounded(b.getLink()),
@@ -219,8 +219,8 @@
     records[n].setState(static_cast<std::uint8_t>(r.state));
     records[n].setReads(r.reads);
   }
-  auto facts = packet.initFacts(static_cast<unsigned>(p.facts.size()));
-  for (unsigned n = 0; n < p.facts.size(); ++n) put(facts[n], p.facts[n]);
+  auto facts = packet.initFacts(static_cast<unsigned>(p.observations.size()));
+  for (unsigned n = 0; n < p.observations.size(); ++n) put(facts[n], p.observations[n]);
   auto digests = packet.initDigests(static_cast<unsigned>(p.digests.size()));
   for (unsigned n = 0; n < p.digests.size(); ++n) digests.set(n, p.digests[n]);
   if (p.belief) put(packet.initBelief(), *p.belief);
@@ -234,7 +234,7 @@
   }
   packet.setAt(p.at);
   packet.setReads(self.reads);
-  return flat(message);
+  return message_bytes(message);
 }
 
 bool read_packet(std::string_view bytes, const std::function<int(std::uint64_t)>& peer_of, Gossip& into,
@@ -244,7 +244,7 @@
     if (p.getVersion() < 1) throw_bad_value("version", std::to_string(p.getVersion()));
     const int from = peer_of(p.getFrom());
     if (from < 0) return false;
-    std::vector<replica::Fact> facts;
+    std::vector<replica::EndpointObservation> facts;
     for (const auto f : p.getFacts()) facts.push_back(fact_of(f));
     std::vector<Members::Record> records;
     for (const auto r : p.getRecords()) {
@@ -262,7 +262,7 @@
       const auto bytes = i.getBytes();
       items.push_back({i.getKind(), {reinterpret_cast<const char*>(bytes.begin()), bytes.size()}});
     }
-    into.head(from, p.getIncarnation(), p.getReads(), time_of(p.getAt()), now);
+    into.head(from, p.getIncarnation(), p.getReads(), checked_time(p.getAt()), now);
     for (const auto& r : records) into.record(r, now);
     for (const auto& f : facts) into.fact(f, now);
     using Kind = Gossip::Kind;
@@ -284,23 +284,23 @@
   });
 }
 
-std::string stored_text(const replica::Fact& f) {
+std::string stored_text(const replica::EndpointObservation& f) {
   capnp::MallocMessageBuilder message;
   put(message.initRoot<schema::Fact>(), f);
-  return flat(message);
+  return message_bytes(message);
 }
 
 std::string stored_text(const Belief& belief) {
   capnp::MallocMessageBuilder message;
   put(message.initRoot<schema::Belief>(), belief);
-  return flat(message);
+  return message_bytes(message);
 }
 
 Belief stored_belief(std::string_view bytes) {
   return reading<schema::Belief>(bytes, [](const schema::Belief::Reader& b) { return belief_of(b); });
 }
 
-replica::Fact stored_fact(std::string_view bytes) {
+replica::EndpointObservation stored_fact(std::string_view bytes) {
   return reading<schema::Fact>(bytes, [](const schema::Fact::Reader& f) { return fact_of(f); });
 }
 
@@ -316,16 +316,16 @@
   put(entry, e);
   entry.setFrom(e.from);
   entry.setPlace(e.place);
-  return flat(message);
+  return message_bytes(message);
 }
 
 Entry stored_entry(std::string_view bytes) {
   return reading<schema::Entry>(bytes, [](const schema::Entry::Reader& e) {
     const auto what = what_of(e);
-    return Entry{{time_of(e.getAt()), e.getIssuer(), e.getNumber()},
+    return Entry{{checked_time(e.getAt()), e.getIssuer(), e.getNumber()},
                  kind_of(e.getKind()),
                  std::string(what),
-                 time_of(e.getFrom()),
+                 checked_time(e.getFrom()),
                  e.getPlace()};
   });
 }
--- a/src/fleet/wire.h
+++ b/src/fleet/wire.h
@@ -54,10 +54,10 @@
                  Seconds now);
 
 // A fact, and what was learnt, as they stand in the store.
-std::string stored_text(const replica::Fact& fact);
+std::string stored_text(const replica::EndpointObservation& fact);
 std::string stored_text(const Belief& belief);
-Belief stored_belief(std::string_view bytes);       // InputError if it cannot be read
-replica::Fact stored_fact(std::string_view bytes);  // InputError if it cannot be read
+Belief stored_belief(std::string_view bytes);                      // InputError if it cannot be read
+replica::EndpointObservation stored_fact(std::string_view bytes);  // InputError if it cannot be read
 
 // Keys of the store: a letter or nothing, then the numbers, big end first.
 std::string numbers_text(std::string text, std::initializer_list<std::uint64_t> numbers);
--- a/src/freeze/calendar.cpp
+++ b/src/freeze/calendar.cpp
@@ -6,14 +6,14 @@
 
 #include "base/text.h"
 #include "freeze/freeze.capnp.h"
-#include "replica/flat.h"
+#include "replica/capnp_message.h"
 
 namespace walkpaddle::freeze {
 
 namespace {
 
 using May = Answer::May;
-using replica::flat;
+using replica::message_bytes;
 
 constexpr std::size_t kLongestText = 200;
 constexpr Seconds kLongestException = 7 * 86400.0;  // a week: more is no exception, the window is wrong
@@ -42,7 +42,7 @@
   b.setBlocks(w.blocks);
   b.setLeadS(w.lead);
   b.setBy(w.by.c_str());
-  return flat(message);
+  return message_bytes(message);
 }
 
 std::string item_of(const Withdrawal& w) {
@@ -51,7 +51,7 @@
   b.setWindow(w.window.c_str());
   b.setVersion(w.version);
   b.setHolder(w.holder);
-  return flat(message);
+  return message_bytes(message);
 }
 
 std::string item_of(const Exception& e) {
@@ -64,7 +64,7 @@
   b.setSecond(e.approvers[1].c_str());
   b.setVersion(e.version);
   b.setUntilS(e.until);
-  return flat(message);
+  return message_bytes(message);
 }
 
 // "Ana" and "ana " are one person.
@@ -107,28 +107,28 @@
   auto& named = named_[w.name];
   if (w.version < named.version) return false;
   if (w.version > named.version) {
-    for (const auto& old : std::exchange(named.copies, {})) drop_item(id_of(item_of(old)));
+    for (const auto& old : std::exchange(named.copies, {})) remove_item(id_of(item_of(old)));
     named.version = w.version;
     // What is withdrawn of earlier versions says nothing of this one.
     std::erase_if(named.holders, [&](const auto& of) {
       if (of.first >= w.version) return false;
-      for (const auto holder : of.second) drop_item(id_of(item_of(Withdrawal{w.name, of.first, holder})));
+      for (const auto holder : of.second) remove_item(id_of(item_of(Withdrawal{w.name, of.first, holder})));
       return true;
     });
   }
   const auto at = std::ranges::lower_bound(named.copies, w);
   if (at != named.copies.end() && *at == w) return false;
   named.copies.insert(at, w);
-  hold_item(item_of(w));
+  add_item(item_of(w));
   if (named.copies.size() <= bounds_.copies) return true;
   // The first of them in order, which is the same at all: more than that is no disagreement but a fault.
-  drop_item(id_of(item_of(named.copies.back())));
+  remove_item(id_of(item_of(named.copies.back())));
   named.copies.pop_back();
   return ++refused_, true;
 }
 
 bool Calendar::declare(const Window& w) {
-  if (!refusal(w).empty() || item_of(w).size() > kLargestItem) return ++refused_, false;
+  if (!refusal(w).empty() || item_of(w).size() > kMaxItemBytes) return ++refused_, false;
   return declare_as(w);
 }
 
@@ -141,7 +141,7 @@
   if (w.version < named.version) return false;
   if (named.holders.size() >= bounds_.copies && !named.holders.contains(w.version)) return false;
   if (!named.holders[w.version].insert(w.holder).second) return false;
-  hold_item(item_of(w));
+  add_item(item_of(w));
   return true;
 }
 
@@ -163,10 +163,10 @@
   if (it != exceptions_.end() && !stands_over(e, it->second)) return false;
   if (it == exceptions_.end() && exceptions_.size() >= bounds_.exceptions) return false;
   const auto item = item_of(e);
-  if (item.size() > kLargestItem) return false;
-  if (it != exceptions_.end()) drop_item(id_of(item_of(it->second)));
+  if (item.size() > kMaxItemBytes) return false;
+  if (it != exceptions_.end()) remove_item(id_of(item_of(it->second)));
   exceptions_[key] = e;
-  hold_item(item);
+  add_item(item);
   return true;
 }
 
@@ -263,9 +263,9 @@
 }
 
 // What others say is checked as if people had written it here; a withdrawal that is heard is held here too.
-bool Calendar::take(std::string_view bytes, Seconds now) {
-  if (bytes.size() > kLargestItem) throw_bad_value("item of length", std::to_string(bytes.size()));
-  return replica::reading<schema::Item>(bytes, kLargestItem, [&](const schema::Item::Reader& item) {
+bool Calendar::join(std::string_view bytes, Seconds now) {
+  if (bytes.size() > kMaxItemBytes) throw_bad_value("item of length", std::to_string(bytes.size()));
+  return replica::read_root<schema::Item>(bytes, kMaxItemBytes, [&](const schema::Item::Reader& item) {
     switch (item.which()) {
       case schema::Item::WINDOW: {
         const auto b = item.getWindow();
--- a/src/freeze/calendar.h
+++ b/src/freeze/calendar.h
@@ -2,10 +2,10 @@
 // change the fleet. Without I/O. Nothing here loosens: what blocks is heeded by whoever hears it, and is
 // given up only by a later version, by a withdrawal that a majority of the fleet holds, or past its end.
 //
-// The join, window by window (a state-based CRDT, as src/replica/facts.h): a later version drops the earlier
-// ones; copies of one version that differ are all heeded, which is the strictest of them. Withdrawals are
-// sets of the routers that hold them. Of two exceptions for one change and window the later version stands,
-// at equal versions the one that ends earlier.
+// The join, window by window (a state-based CRDT, as src/replica/endpoint_observations.h): a later version
+// drops the earlier ones; copies of one version that differ are all heeded, which is the strictest of them.
+// Withdrawals are sets of the routers that hold them. Of two exceptions for one change and window the later
+// version stands, at equal versions the one that ends earlier.
 //
 // A router whose calendar may lack something goes on with nothing: one that has just started or was cut off,
 // that is not in contact with a majority, or whose clock is apart from the others'. Stopping and going back
@@ -21,7 +21,7 @@
 #include <vector>
 
 #include "freeze/window.h"
-#include "replica/kind.h"
+#include "replica/replicated_state.h"
 
 namespace walkpaddle::freeze {
 
@@ -58,7 +58,7 @@
 // would itself be a change within them.
 enum class Overtaken : std::uint8_t { no, holds, goes_back };
 
-class Calendar : public replica::Kind {
+class Calendar : public replica::ReplicatedState {
  public:
   struct Bounds {
     std::size_t windows = 256, copies = 4, exceptions = 64;
@@ -108,7 +108,7 @@
 
   // As a kind of replicated state.
   std::uint8_t number() const override { return 0; }
-  bool take(std::string_view bytes, Seconds now) override;
+  bool join(std::string_view bytes, Seconds now) override;
 
  private:
   struct Named {
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -26,7 +26,8 @@
   dispatcher_.input().update_endpoint(m, stable_hash(id), location, kind, cell, state, weight,
                                       clock_.started_at(m, started, scheduler_.now()));
   if (watch_ != nullptr)
-    watch_->listed(m, {stable_hash(id), location, kind, cell, state, weight, started}, scheduler_.now());
+    watch_->update_listing(m, {stable_hash(id), location, kind, cell, state, weight, started},
+                           scheduler_.now());
 }
 
 // Who is not in a whole list is gone, for hops that wait as for the module.
@@ -42,7 +43,7 @@
 
 void DiscoveryClient::tell_facts() {
   if (watch_ == nullptr) return;
-  const auto tells = watch_->to_tell(scheduler_.now());
+  const auto tells = watch_->take_changes(scheduler_.now());
   if (tells.empty()) return;
   auto& brain = dispatcher_.input();
   brain.begin_endpoint_list(false);
@@ -148,7 +149,7 @@
       if (used == 0) return true;
       stream.consume(used);
       clock_.heard(now);
-      if (watch_ != nullptr) watch_->list_heard(now);
+      if (watch_ != nullptr) watch_->discovery_heard(now);
       if (seen > held + 1) {
         const bool again = std::exchange(gap_after_, held) == held;
         log_("bus", "events {} to {} never came{}", held + 1, seen - 1,
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -10,7 +10,7 @@
 #include "net/discovery_codec.h"
 #include "net/request_dispatcher.h"
 #include "net/upstream_pool.h"
-#include "replica/watch.h"
+#include "replica/observation_tracker.h"
 
 namespace walkpaddle::net {
 
@@ -26,8 +26,8 @@
         pause_over_(scheduler) {}
 
   void held(std::uint64_t last) { last_ = last, read_ = true; }
-  bool read() const { return read_; }                    // the list that was known at the start
-  void share(replica::Watch* watch) { watch_ = watch; }  // what the fleet knows of the servers
+  bool read() const { return read_; }                                 // the list that was known at the start
+  void share(replica::ObservationTracker* watch) { watch_ = watch; }  // what the fleet knows of the servers
   void tell_facts();                // where the fleet's facts are worse than the list: the module is told
   void follow(const Address& bus);  // from the last event held; a second call moves to another address
 
@@ -57,7 +57,7 @@
   bool whole_ = false;               // the list that is being told
   std::unordered_set<int> in_list_;  // so far
   Stream* stream_ = nullptr;         // the connection in use, if there is one
-  replica::Watch* watch_ = nullptr;
+  replica::ObservationTracker* watch_ = nullptr;
   Event pause_over_;
   // Held while there is no connection. Guards against clients and hops that take the descriptor of one that
   // broke, and would leave the router without its list.
--- a/tests/gossip_parts.cpp
+++ b/tests/gossip_parts.cpp
@@ -17,7 +17,8 @@
 using namespace walkpaddle;
 using namespace walkpaddle::fleet;
 using lab::kServer;
-using replica::Fact, replica::Facts, replica::Health, replica::Stamp, replica::Watch;
+using replica::EndpointObservation, replica::EndpointObservations, replica::Health, replica::HybridTimestamp,
+    replica::ObservationTracker;
 using World = lab::Memory;
 
 namespace {
@@ -111,7 +112,7 @@
     w.go(5);
     for (int n = 0; n < 100; ++n) w.bus(n, EndpointState::draining);  // all buses at once
     w.go(3);
-    const auto facts = w[50].watch.facts().size();
+    const auto facts = w[50].watch.observations().size();
     say("a drain on a hundred buses at once costs a part of a hundred facts", facts >= 1 && facts <= 50);
     for (int n = 0; n < 100; ++n) w.bus(n, EndpointState::ready);
     w.go(2);
@@ -191,11 +192,11 @@
     w.go(1);
     const bool cold = w.all_take_for(Health::cold);
     // An old copy of the earlier start's drain comes again.
-    w[5].watch.heard({.server = kServer,
-                      .observer = World::Router::name(0),
-                      .seen = {static_cast<std::int64_t>(w.now * 1e6), 0},
-                      .health = Health::draining},
-                     w.now);
+    w[5].watch.receive({.endpoint = kServer,
+                        .observer = World::Router::name(0),
+                        .observed_at = {static_cast<std::int64_t>(w.now * 1e6), 0},
+                        .health = Health::draining},
+                       w.now);
     w.go(2);
     say("a server that started anew is cold for all, whatever an old copy says",
         cold && w.all_take_for(Health::cold));
@@ -306,19 +307,19 @@
 // is taken.
 void wire_parts() {
   World w(2, 13);
-  const Fact f{.server = 7,
-               .started = 12.5,
-               .observer = 1001,
-               .seen = {.micros = 999'000'000, .count = 2},
-               .health = Health::draining,
-               .limit = 6};
+  const EndpointObservation f{.endpoint = 7,
+                              .started = 12.5,
+                              .observer = 1001,
+                              .observed_at = {.micros = 999'000'000, .count = 2},
+                              .health = Health::draining,
+                              .concurrency_limit = 6};
   const Gossip::Packet packet{.kind = Gossip::Kind::news,
                               .peer = 0,
                               .records = {{World::Router::name(1), 2'000'000, State::suspect, 5}},
-                              .facts = {f}};
+                              .observations = {f}};
   const auto bytes = packet_bytes(packet, w[1].members.self());
   w.take(w[0], bytes);
-  const auto* read = w[0].watch.facts().find(7, 1001);
+  const auto* read = w[0].watch.observations().find(7, 1001);
   say("a datagram reads back as it was written", read != nullptr && *read == f &&
                                                      w[0].members.peers()[0].state == State::suspect &&
                                                      w[0].members.peers()[0].incarnation == 2'000'000);
@@ -333,12 +334,12 @@
       other.take(other[0], spoilt.substr(0, bit / 8));
     } catch (const InputError&) {
     }
-    bounded = bounded && other[0].watch.facts().size() <= 1;
+    bounded = bounded && other[0].watch.observations().size() <= 1;
   }
   World other(2, 15);
   stranger = !read_packet(
                  bytes, [](std::uint64_t) { return -1; }, other[0].gossip, other.now) &&
-             other[0].watch.facts().size() == 0;
+             other[0].watch.observations().size() == 0;
   say("spoilt or cut off it is refused or bounded; of a stranger nothing is taken", bounded && stranger);
 }
 
--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -707,16 +707,16 @@
       if (r.ready_at > 0 && now >= r.ready_at)
         r.ready_at = 0, r.counters = {.epoch = r.counters.epoch + 1}, r.rollout->moved(now);
       for (auto& line : r.rollout->take_said()) r.said.push_back(std::move(line));
-      for (const auto id : r.rollout->take_news())
+      for (const auto id : r.rollout->take_updates())
         for (const int p : r.peers)
-          routers[static_cast<std::size_t>(p)].rollout->take(r.rollout->bytes(id), now);
-      while (const auto letter = r.rollout->next_letter(now)) {
+          routers[static_cast<std::size_t>(p)].rollout->join(r.rollout->bytes(id), now);
+      while (const auto letter = r.rollout->next_message(now)) {
         const int to = r.peers[static_cast<std::size_t>(letter->peer)];
         auto& there = routers[static_cast<std::size_t>(to)];
         const auto from = static_cast<int>(std::ranges::find(there.peers, n) - there.peers.begin());
-        there.rollout->letter(from, letter->bytes, now);
+        there.rollout->receive(from, letter->bytes, now);
         auto& before = last[{n, to}];
-        if (!before.empty()) there.rollout->letter(from, before, now);
+        if (!before.empty()) there.rollout->receive(from, before, now);
         before = letter->bytes;
       }
     }
--- a/tests/stories/freeze.cpp
+++ b/tests/stories/freeze.cpp
@@ -501,8 +501,8 @@
     }
   }
   WHEN("what comes cannot be read") {
-    CHECK_THROWS_AS(c.take(std::string(24, '\xff'), now), InputError);
-    CHECK_THROWS_AS(c.take(std::string(2000, '\0'), now), InputError);
+    CHECK_THROWS_AS(c.join(std::string(24, '\xff'), now), InputError);
+    CHECK_THROWS_AS(c.join(std::string(2000, '\0'), now), InputError);
   }
 }
 
@@ -543,15 +543,15 @@
       for (auto* from : all)
         for (auto* to : all) {
           std::vector<std::string> items;
-          for (int range = 0; range < replica::Kind::kRanges; ++range)
-            for (const auto id : from->of_range(range)) items.push_back(from->bytes(id));
+          for (int range = 0; range < replica::ReplicatedState::kDigestRanges; ++range)
+            for (const auto id : from->ids_of_range(range)) items.push_back(from->bytes(id));
           std::ranges::shuffle(items, chance);
           for (const auto& item : items) {
-            to->take(item, utc(2026, 12, 2));
-            if (chance() % 3 == 0) to->take(item, utc(2026, 12, 2));
+            to->join(item, utc(2026, 12, 2));
+            if (chance() % 3 == 0) to->join(item, utc(2026, 12, 2));
           }
         }
-    for (int range = 0; range < replica::Kind::kRanges; ++range) {
+    for (int range = 0; range < replica::ReplicatedState::kDigestRanges; ++range) {
       REQUIRE(a.digest(range) == b.digest(range));
       REQUIRE(a.digest(range) == third.digest(range));
     }
