--- a/lab/changes.cpp
+++ b/lab/changes.cpp
@@ -66,7 +66,7 @@
       .alive =
           [&members = r.members](int p) {
             const auto state = members.peers()[static_cast<std::size_t>(p)].state;
-            return state == fleet::Members::State::alive || state == fleet::Members::State::suspect;
+            return state == membership::MemberState::alive || state == membership::MemberState::suspect;
           },
       .refuses = setup_.refuses ? setup_.refuses : [](const Document&) { return std::string(); }};
   for (int p = 0; p < setup_.routers; ++p)
@@ -115,7 +115,7 @@
   auto& m = machines_[static_cast<std::size_t>(r.number)];
   auto& calendar = static_cast<freeze::Calendar&>(*r.kinds[0]);
   auto& rollout = static_cast<Rollout&>(*r.kinds[1]);
-  if (!r.gossip.catching_up() && r.members.alive() + 1 >= calendar.majority()) calendar.in_contact(now);
+  if (!r.gossip.catching_up() && r.members.alive_count() + 1 >= calendar.majority()) calendar.in_contact(now);
   calendar.clock_apart(r.gossip.clock_apart(now));
   traffic(m, rollout.running(), r.number, now);
   rollout.counted(m.tally.counters());
--- a/lab/memory.h
+++ b/lab/memory.h
@@ -38,7 +38,7 @@
     const int number;
     Seconds skew;  // of its clock
     replica::ObservationTracker watch;
-    fleet::Members members;
+    membership::Membership members;
     fleet::Keepers keepers;
     fleet::Gossip gossip;
     std::vector<std::unique_ptr<replica::ReplicatedState>> kinds;
--- a/src/control/operators.cpp
+++ b/src/control/operators.cpp
@@ -98,10 +98,11 @@
   json members = json::array(), facts = json::array();
   const auto& peers = share.members().peers();
   for (std::size_t p = 0; p < peers.size(); ++p)
-    members.push_back({{"name", names_.peers[p]},
-                       {"state", fleet::Members::kNames[static_cast<int>(peers[p].state)]},
-                       {"for_s", now - peers[p].since},
-                       {"heard_s_ago", peers[p].heard > 0 ? json(now - peers[p].heard) : json(nullptr)}});
+    members.push_back(
+        {{"name", names_.peers[p]},
+         {"state", to_string(peers[p].state)},
+         {"for_s", now - peers[p].since},
+         {"heard_s_ago", peers[p].last_heard > 0 ? json(now - peers[p].last_heard) : json(nullptr)}});
   std::map<std::uint64_t, std::string> servers;
   for (int b = 0; b < names_.boxes(); ++b) servers[stable_hash(names_.box(b))] = names_.box(b);
   const auto all = share.watch().observations().all();
@@ -149,10 +150,10 @@
   return json{
       {"ok", true},
       {"name", names_.self},
-      {"alive", share.members().alive()},
+      {"alive", share.members().alive_count()},
       {"others", peers.size()},
       {"catching_up", share.gossip().catching_up()},
-      {"local_trouble", share.members().ill()},
+      {"local_trouble", share.members().local_health_score()},
       {"suspected_here", share.members().suspicions()},
       {"refuted", share.members().refuted()},
       {"members", members},
--- a/src/fleet/changes.cpp
+++ b/src/fleet/changes.cpp
@@ -26,8 +26,8 @@
 
 }  // namespace
 
-Changes::Changes(Log& log, const Setup& setup, const Members& members, Gossip& gossip, store::Store* store,
-                 Seconds now)
+Changes::Changes(Log& log, const Setup& setup, const membership::Membership& members, Gossip& gossip,
+                 store::Store* store, Seconds now)
     : log_(log),
       setup_(setup),
       members_(members),
@@ -36,18 +36,19 @@
       calendar_(stable_hash(setup.name), names_of(setup), {}),
       rollout_(
           [&] {
-            change::Rollout::Setup s{
-                .self = {stable_hash(setup.name), setup.site},
-                .peers = {},
-                .generation = setup.generation,
-                .seed = setup.seed,
-                .lasting = store != nullptr,
-                .alive =
-                    [this](int p) {
-                      const auto state = members_.peers()[static_cast<std::size_t>(p)].state;
-                      return state == Members::State::alive || state == Members::State::suspect;
-                    },
-                .refuses = [this](const change::Document& d) { return refuses(d); }};
+            change::Rollout::Setup s{.self = {stable_hash(setup.name), setup.site},
+                                     .peers = {},
+                                     .generation = setup.generation,
+                                     .seed = setup.seed,
+                                     .lasting = store != nullptr,
+                                     .alive =
+                                         [this](int p) {
+                                           const auto state =
+                                               members_.peers()[static_cast<std::size_t>(p)].state;
+                                           return state == membership::MemberState::alive ||
+                                                  state == membership::MemberState::suspect;
+                                         },
+                                     .refuses = [this](const change::Document& d) { return refuses(d); }};
             for (const auto& p : setup.peers) s.peers.push_back({stable_hash(p.name), p.site});
             return s;
           }(),
@@ -61,8 +62,8 @@
 std::string Changes::refuses(const change::Document& d) const {
   for (std::size_t p = 0; p < setup_.peers.size(); ++p) {
     const auto& peer = members_.peers()[p];
-    if ((peer.state == Members::State::alive || peer.state == Members::State::suspect) &&
-        compat::says_nothing_of(peer.reads, compat::ChannelOf::changes))
+    if ((peer.state == membership::MemberState::alive || peer.state == membership::MemberState::suspect) &&
+        compat::says_nothing_of(peer.channel_versions, compat::ChannelOf::changes))
       return setup_.peers[p].name +
              " takes no part in changes: its file has no changes section, or its program is older";
   }
@@ -75,13 +76,14 @@
     std::vector<compat::Router> fleet;
     for (std::size_t p = 0; p < setup_.peers.size(); ++p) {
       const auto& peer = members_.peers()[p];
-      if (peer.state == Members::State::unheard) continue;
-      const bool away = peer.state == Members::State::dead;
+      if (peer.state == membership::MemberState::unheard) continue;
+      const bool away = peer.state == membership::MemberState::dead;
       std::size_t found = 0;
       for (const auto& release : kept) {
         const auto reads = [&](const char* channel, compat::ChannelOf of) {
           const auto it = release.channels.find(channel);
-          return it == release.channels.end() || it->second.version == compat::version_of(peer.reads, of);
+          return it == release.channels.end() ||
+                 it->second.version == compat::version_of(peer.channel_versions, of);
         };
         if (!reads("links", compat::ChannelOf::links) || !reads("gossip", compat::ChannelOf::gossip) ||
             !reads("calendar", compat::ChannelOf::calendar) || !reads("changes", compat::ChannelOf::changes))
@@ -129,7 +131,7 @@
 void Changes::pull(Seconds now) {
   constexpr Seconds kLook = 0.5;
   const bool look = now >= look_at_;
-  if (!gossip_.catching_up() && members_.alive() + 1 >= calendar_.majority()) calendar_.in_contact(now);
+  if (!gossip_.catching_up() && members_.alive_count() + 1 >= calendar_.majority()) calendar_.in_contact(now);
   if (look) calendar_.clock_apart(gossip_.clock_apart(now));
   rollout_.counted(setup_.counted());
   const auto move = rollout_.next_move(now);
--- a/src/fleet/changes.h
+++ b/src/fleet/changes.h
@@ -34,8 +34,8 @@
     std::function<void(const change::Rollout::Move&)> carry_out;
     std::function<change::Counters()> counted;
   };
-  Changes(Log& log, const Setup& setup, const Members& members, Gossip& gossip, store::Store* store,
-          Seconds now);
+  Changes(Log& log, const Setup& setup, const membership::Membership& members, Gossip& gossip,
+          store::Store* store, Seconds now);
 
   void pull(Seconds now);  // at a turn's end
   Seconds next_due() const;
@@ -54,7 +54,7 @@
 
   Log& log_;
   const Setup setup_;
-  const Members& members_;
+  const membership::Membership& members_;
   Gossip& gossip_;
   store::Store* const store_;
   freeze::Calendar calendar_;
--- a/src/fleet/datagrams.cpp
+++ b/src/fleet/datagrams.cpp
@@ -10,8 +10,8 @@
 
 namespace walkpaddle::fleet {
 
-Datagrams::Datagrams(Scheduler& scheduler, Log& log, Members& members, Gossip& gossip, const Address& listen,
-                     std::vector<Address> peers, std::function<void()> after_input)
+Datagrams::Datagrams(Scheduler& scheduler, Log& log, membership::Membership& members, Gossip& gossip,
+                     const Address& listen, std::vector<Address> peers, std::function<void()> after_input)
     : scheduler_(scheduler),
       log_(log),
       members_(members),
--- a/src/fleet/datagrams.h
+++ b/src/fleet/datagrams.h
@@ -20,8 +20,8 @@
     std::uint64_t strangers = 0, unreadable = 0, unsent = 0;  // dropped
   };
   // Peers in the order of Members' numbers. Throws SystemError if the address cannot be had.
-  Datagrams(Scheduler& scheduler, Log& log, Members& members, Gossip& gossip, const Address& listen,
-            std::vector<Address> peers, std::function<void()> after_input);
+  Datagrams(Scheduler& scheduler, Log& log, membership::Membership& members, Gossip& gossip,
+            const Address& listen, std::vector<Address> peers, std::function<void()> after_input);
   void pull();  // at a turn's end
   const Counts& counts() const { return counts_; }
 
@@ -32,7 +32,7 @@
 
   Scheduler& scheduler_;
   Log& log_;
-  Members& members_;
+  membership::Membership& members_;
   Gossip& gossip_;
   const std::vector<Address> peers_;
   const std::function<void()> after_input_;
--- a/src/fleet/gossip.cpp
+++ b/src/fleet/gossip.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-std::uint64_t hash_of(const Members::Record& r) {
-  const std::uint64_t words[] = {r.who, r.incarnation, static_cast<std::uint64_t>(r.state)};
+std::uint64_t hash_of(const membership::MemberRecord& r) {
+  const std::uint64_t words[] = {r.member, r.incarnation, static_cast<std::uint64_t>(r.state)};
   return XXH3_64bits(words, sizeof words) | 1;
 }
 
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-Gossip::Gossip(Members& members, replica::ObservationTracker& watch, Keepers& keepers, const Bounds& bounds,
-               std::uint32_t seed, Seconds now)
+Gossip::Gossip(membership::Membership& members, replica::ObservationTracker& watch, Keepers& keepers,
+               const Bounds& bounds, std::uint32_t seed, Seconds now)
     : members_(members),
       watch_(watch),
       keepers_(keepers),
@@ -44,13 +44,15 @@
       caught_from_(now) {}
 
 // A fleet of n is reached whole, but for one in thousands, by this many rounds of four: ln n and some more.
-int Gossip::rounds() const { return 2 + static_cast<int>(std::ceil(std::log10(members_.alive() + 2.0))); }
+int Gossip::rounds() const {
+  return 2 + static_cast<int>(std::ceil(std::log10(members_.alive_count() + 2.0)));
+}
 
 std::vector<std::uint64_t> Gossip::digests() const {
   std::vector<std::uint64_t> sums(EndpointObservations::kDigestRanges + kMemberRanges);
   for (int r = 0; r < EndpointObservations::kDigestRanges; ++r)
     sums[static_cast<std::size_t>(r)] = watch_.observations().digest(r);
-  const auto add = [&](const Members::Record& r) { sums[member_range(r.who)] += hash_of(r); };
+  const auto add = [&](const membership::MemberRecord& r) { sums[member_range(r.member)] += hash_of(r); };
   add(members_.self());
   for (std::size_t p = 0; p < members_.peers().size(); ++p)
     if (const auto r = members_.record(static_cast<int>(p))) add(*r);
@@ -65,7 +67,7 @@
 
 bool Gossip::reads_items(int peer) const {
   constexpr int kItems = 2;  // the gossip's version from which on datagrams have items
-  const auto reads = members_.peers()[static_cast<std::size_t>(peer)].reads;
+  const auto reads = members_.peers()[static_cast<std::size_t>(peer)].channel_versions;
   return compat::version_to_write(kItems, {compat::version_of(reads, compat::ChannelOf::gossip)}) >= kItems;
 }
 
@@ -75,7 +77,7 @@
 }
 
 void Gossip::head(int from, std::uint64_t incarnation, std::uint64_t reads, Seconds at, Seconds now) {
-  members_.heard(from, incarnation, reads, now);
+  members_.heard_from(from, incarnation, reads, now);
   if (at > 0 && !kinds_.empty()) clocks_[from] = {at - now, now};
 }
 
@@ -107,13 +109,13 @@
   if (watch_.receive(f, now) == EndpointObservations::JoinResult::changed) ++facts_heard_;
 }
 
-void Gossip::probe(int from, Members::Probe::Kind kind, std::uint64_t number, std::uint64_t about,
+void Gossip::probe(int from, membership::Probe::Kind kind, std::uint64_t number, std::uint64_t about,
                    Seconds now) {
-  using Probe = Members::Probe::Kind;
-  if (kind == Probe::ping) members_.pinged(from, number);
-  if (kind == Probe::ack) members_.acked(number);
-  if (kind == Probe::nack) members_.nacked(number);
-  if (kind == Probe::ask) members_.asked(from, number, about, now);
+  using Probe = membership::Probe::Kind;
+  if (kind == Probe::ping) members_.handle_ping(from, number);
+  if (kind == Probe::ack) members_.handle_ack(number);
+  if (kind == Probe::nack) members_.handle_nack(number);
+  if (kind == Probe::ping_request) members_.handle_ping_request(from, number, about, now);
 }
 
 void Gossip::belief(int from, Belief belief, Seconds now) {
@@ -126,7 +128,7 @@
   for (const auto& key : watch_.take_updates())
     if (facts_.size() < bounds_.rumours || facts_.contains(key)) facts_[key] = rounds;
   for (const auto& r : members_.take_updates())
-    if (records_.size() < bounds_.rumours || records_.contains(r.who)) records_[r.who] = rounds;
+    if (records_.size() < bounds_.rumours || records_.contains(r.member)) records_[r.member] = rounds;
   for (auto* kind : kinds_)
     for (const auto id : kind->take_updates())
       if (items_.size() < bounds_.rumours) items_[{kind->number(), id}] = rounds;
@@ -162,7 +164,7 @@
          return true;
        });
   pick(records_, bounds_.records, [&](std::uint64_t who) {
-    if (who == members_.self().who) packet.records.push_back(members_.self());
+    if (who == members_.self().member) packet.records.push_back(members_.self());
     if (const int p = members_.peer_named(who); p >= 0)
       if (const auto r = members_.record(p)) packet.records.push_back(*r);
     return true;
@@ -185,8 +187,8 @@
     bytes = 0;
     waiting_.push_back(std::exchange(packet, {.kind = Kind::fill, .peer = peer, .number = number}));
   };
-  const auto put = [&](const Members::Record& r, std::size_t range) {
-    if (member_range(r.who) != range) return;
+  const auto put = [&](const membership::MemberRecord& r, std::size_t range) {
+    if (member_range(r.member) != range) return;
     packet.records.push_back(r);
     if (packet.records.size() >= bounds_.records) flush();
   };
@@ -253,7 +255,7 @@
   send_differing(from, 0, theirs, &rest);
   if (!whole || !catching_up_) return;
   synced_.insert(from);
-  if (static_cast<int>(synced_.size()) < std::min(bounds_.synced, members_.alive())) return;
+  if (static_cast<int>(synced_.size()) < std::min(bounds_.synced, members_.alive_count())) return;
   catching_up_ = false;
   caught_ = {now - caught_from_, static_cast<int>(synced_.size()), facts_heard_ - facts_before_};
   compare_at_ = now + bounds_.compare;
@@ -270,9 +272,9 @@
   const Seconds every = catching_up_ ? bounds_.catch_up : bounds_.compare;
   // Half to one and a half of it: routers that started together drift apart.
   compare_at_ = now + every * std::uniform_real_distribution<>(0.5, 1.5)(chance_);
-  int p = members_.some_alive();
+  int p = members_.random_alive_peer();
   // Catching up asks one that has not sent all yet.
-  for (int tries = 0; tries < 8 && p >= 0 && synced_.contains(p); ++tries) p = members_.some_alive();
+  for (int tries = 0; tries < 8 && p >= 0 && synced_.contains(p); ++tries) p = members_.random_alive_peer();
   if (p < 0) return;
   comparisons_[p] = {++number_, now, 0};
   waiting_.push_back({.kind = Kind::digest, .peer = p, .number = number_, .digests = digests()});
@@ -293,8 +295,8 @@
 std::optional<Gossip::Packet> Gossip::take_next(Seconds now) {
   constexpr Seconds kForgotten = 5;  // an answer that has not come by then does not come
   watch_.publish_due(now);
-  const auto probe = members_.next(now);
-  if (members_.take_slept()) start_catching_up(now);
+  const auto probe = members_.next_probe(now);
+  if (members_.take_standstill()) start_catching_up(now);
   if (probe) {
     Packet packet{.kind = static_cast<Kind>(probe->kind),
                   .peer = probe->peer,
@@ -303,7 +305,7 @@
     collect();
     add_news(packet, false);
     // What is believed of the other, if that is bad: it refutes it at once.
-    if (const auto r = members_.record(probe->peer); r && r->state != Members::State::alive)
+    if (const auto r = members_.record(probe->peer); r && r->state != membership::MemberState::alive)
       packet.records.push_back(*r);
     return packet;
   }
@@ -320,13 +322,13 @@
     std::erase_if(comparisons_, [&](const auto& c) { return now > c.second.at + kForgotten; });
     compare(now);
   }
-  if (rumours() && now >= round_at_ && members_.alive() > 0) {
+  if (rumours() && now >= round_at_ && members_.alive_count() > 0) {
     round_at_ = now + bounds_.round;
     Packet packet{.kind = Kind::news};
     add_news(packet, true);
     std::set<int> to;
     for (int tries = 0; tries < 4 * bounds_.fanout && static_cast<int>(to.size()) < bounds_.fanout; ++tries)
-      to.insert(members_.some_alive());
+      to.insert(members_.random_alive_peer());
     for (const int p : to) {
       packet.peer = p;
       waiting_.push_back(packet);
@@ -345,7 +347,7 @@
   if (!waiting_.empty()) return now;
   Seconds due = std::min({members_.next_due(), watch_.next_due(), keepers_.next_due(), compare_at_});
   for (const auto* kind : kinds_) due = std::min(due, kind->next_due());
-  if (rumours() && members_.alive() > 0) due = std::min(due, round_at_);
+  if (rumours() && members_.alive_count() > 0) due = std::min(due, round_at_);
   return due;
 }
 
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "fleet/keepers.h"
-#include "fleet/members.h"
+#include "membership/membership.h"
 #include "replica/observation_tracker.h"
 #include "replica/replicated_state.h"
 
@@ -50,7 +50,7 @@
     std::uint64_t number = 0, about = 0;
     std::uint32_t fills = 0;
     bool more = false;
-    std::vector<Members::Record> records{};
+    std::vector<membership::MemberRecord> records{};
     std::vector<replica::EndpointObservation> observations{};
     std::vector<std::uint64_t> digests{};
     std::shared_ptr<const Belief> belief{};
@@ -63,8 +63,8 @@
     std::uint64_t observations = 0;
   };
 
-  Gossip(Members& members, replica::ObservationTracker& watch, Keepers& keepers, const Bounds& bounds,
-         std::uint32_t seed, Seconds now);
+  Gossip(membership::Membership& members, replica::ObservationTracker& watch, Keepers& keepers,
+         const Bounds& bounds, std::uint32_t seed, Seconds now);
   // Beside members and facts; each kind once, before anything is heard.
   void carry(replica::ReplicatedState& kind) { kinds_.push_back(&kind); }
 
@@ -72,9 +72,9 @@
   void head(int from, std::uint64_t incarnation, std::uint64_t reads, Seconds at, Seconds now);
   void item(std::uint8_t kind, std::string_view bytes, Seconds now);
   void letter(int from, const Item& item, Seconds now);
-  void record(const Members::Record& record, Seconds now) { members_.take(record, now); }
+  void record(const membership::MemberRecord& record, Seconds now) { members_.join(record, now); }
   void fact(const replica::EndpointObservation& fact, Seconds now);
-  void probe(int from, Members::Probe::Kind kind, std::uint64_t number, std::uint64_t about, Seconds now);
+  void probe(int from, membership::Probe::Kind kind, std::uint64_t number, std::uint64_t about, Seconds now);
   void belief(int from, Belief belief, Seconds now);
   void recall(int from) { keepers_.asked(from); }
   void fill(int from, std::uint64_t number);
@@ -115,7 +115,7 @@
   bool rumours() const { return !facts_.empty() || !records_.empty() || !items_.empty(); }
   std::size_t budget() const { return bounds_.waiting - std::min(bounds_.waiting, waiting_.size()); }
 
-  Members& members_;
+  membership::Membership& members_;
   replica::ObservationTracker& watch_;
   Keepers& keepers_;
   const Bounds bounds_;
--- a/src/fleet/keepers.cpp
+++ b/src/fleet/keepers.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Keepers::Keepers(const Members& members, const Bounds& bounds, Seconds now)
+Keepers::Keepers(const membership::Membership& members, const Bounds& bounds, Seconds now)
     : members_(members), bounds_(bounds), started_(now), tell_at_(now + bounds.every), ask_at_(now) {}
 
 // The hash order of both names: the same at the start as before it, while the same are alive.
@@ -21,7 +21,7 @@
   std::vector<std::pair<std::uint64_t, int>> order;
   const auto& peers = members_.peers();
   for (std::size_t p = 0; p < peers.size(); ++p) {
-    if (peers[p].state != Members::State::alive) continue;
+    if (peers[p].state != membership::MemberState::alive) continue;
     const std::uint64_t both[] = {router, peers[p].name};
     order.emplace_back(XXH3_64bits(both, sizeof both), static_cast<int>(p));
   }
@@ -41,7 +41,7 @@
     };
     return past(of.second.whole) && past(of.second.coming);
   });
-  const auto self = members_.self().who;
+  const auto self = members_.self().member;
   auto rooms = std::exchange(belief.rooms, {});
   auto objects = std::exchange(belief.objects, {});
   rooms.resize(std::min(rooms.size(), bounds_.all));
@@ -76,7 +76,7 @@
   if (belief.parts < 1 || belief.parts > most || belief.part < 0 || belief.part >= belief.parts ||
       belief.rooms.size() > bounds_.rooms || belief.objects.size() > bounds_.rooms || belief.at > now + 1)
     return;
-  const auto self = members_.self().who;
+  const auto self = members_.self().member;
   if (belief.router != self && belief.router != from) return;  // nobody speaks for a third
   auto& parts = belief.router == self ? own_ : kept_[from].coming;
   if (!parts.empty() && belief.at < parts.front().at) return;
@@ -117,7 +117,7 @@
   if (!returned_ && now >= started_ + bounds_.ask_for) returned_ = true;
   if (!returned_ && now >= ask_at_) {
     ask_at_ = now + bounds_.ask_again;
-    for (const int p : keepers_of(members_.self().who)) to_send_.push_back({p, nullptr});
+    for (const int p : keepers_of(members_.self().member)) to_send_.push_back({p, nullptr});
   }
   if (to_send_.empty()) return std::nullopt;
   auto send = std::move(to_send_.front());
--- a/src/fleet/keepers.h
+++ b/src/fleet/keepers.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/members.h"
+#include "membership/membership.h"
 
 namespace walkpaddle::fleet {
 
@@ -57,7 +57,7 @@
     int peer = -1;
     std::shared_ptr<const Belief> belief;  // null: asks for what is kept of this router
   };
-  Keepers(const Members& members, const Bounds& bounds, Seconds now);
+  Keepers(const membership::Membership& members, const Bounds& bounds, Seconds now);
 
   // What the module has learnt: kept by the others. Due when wanted() says so.
   bool wanted(Seconds now) const {
@@ -80,7 +80,7 @@
   bool whole(const std::vector<Belief>& parts) const;
   void take_back(Belief belief);
 
-  const Members& members_;
+  const membership::Membership& members_;
   const Bounds bounds_;
   const Seconds started_;
   struct Kept {
--- a/src/fleet/share.cpp
+++ b/src/fleet/share.cpp
@@ -54,7 +54,7 @@
                    if (std::exchange(looked_at_, gossip_.facts_heard()) != gossip_.facts_heard())
                      setup_.look_again();
                  }),
-      said_(setup.peers.size(), Members::State::unheard) {
+      said_(setup.peers.size(), membership::MemberState::unheard) {
   // Calendar and changes are read only where they are switched on.
   auto reads = compat::announced(kReads);
   if (!changes_)
@@ -137,7 +137,7 @@
   for (std::size_t p = 0; p < said_.size(); ++p) {
     const auto state = members_.peers()[p].state;
     if (std::exchange(said_[p], state) == state) continue;
-    log_("member", "{}: {}", setup_.peers[p].name, Members::kNames[static_cast<int>(state)]);
+    log_("member", "{}: {}", setup_.peers[p].name, to_string(state));
   }
   if (const auto caught = gossip_.take_caught())
     log_("caught", "caught up in {:.3f} s, {} facts from {} routers", caught->took, caught->observations,
--- a/src/fleet/share.h
+++ b/src/fleet/share.h
@@ -35,7 +35,7 @@
 
   replica::ObservationTracker& watch() { return watch_; }
   const replica::ObservationTracker& watch() const { return watch_; }
-  const Members& members() const { return members_; }
+  const membership::Membership& members() const { return members_; }
   const Gossip& gossip() const { return gossip_; }
   Changes* changes() { return changes_.get(); }  // null: none are made
   const Changes* changes() const { return changes_.get(); }
@@ -55,14 +55,14 @@
   const Seconds started_;
   std::map<std::uint64_t, std::string> names_;
   replica::ObservationTracker watch_;
-  Members members_;
+  membership::Membership members_;
   Keepers keepers_;
   Gossip gossip_;
   std::uint64_t looked_at_ = 0;  // facts heard when the module was last told
   std::unique_ptr<Changes> changes_;
   Datagrams datagrams_;
   std::map<replica::ObservationKey, replica::HybridTimestamp> stored_;
-  std::vector<Members::State> said_;
+  std::vector<membership::MemberState> said_;
   Seconds look_at_ = 0, keep_at_ = 0;
   bool said_failed_ = false;
 };
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -199,25 +199,25 @@
   return framed(message);
 }
 
-std::string packet_bytes(const Gossip::Packet& p, const Members::Record& self) {
+std::string packet_bytes(const Gossip::Packet& p, const membership::MemberRecord& self) {
   capnp::MallocMessageBuilder message;
   auto packet = message.initRoot<schema::Packet>();
   packet.setVersion(kVersion);
   packet.setKind(static_cast<std::uint8_t>(p.kind));
   packet.setMore(p.more);
   packet.setFills(p.fills);
-  packet.setFrom(self.who);
+  packet.setFrom(self.member);
   packet.setIncarnation(self.incarnation);
   packet.setNumber(p.number);
   packet.setAbout(p.about);
   auto records = packet.initRecords(static_cast<unsigned>(p.records.size()));
   for (unsigned n = 0; n < p.records.size(); ++n) {
     const auto& r = p.records[n];
-    records[n].setWho(r.who);
+    records[n].setWho(r.member);
     records[n].setIncarnation(r.incarnation);
-    records[n].setBy(r.by);
+    records[n].setBy(r.suspected_by);
     records[n].setState(static_cast<std::uint8_t>(r.state));
-    records[n].setReads(r.reads);
+    records[n].setReads(r.channel_versions);
   }
   auto facts = packet.initFacts(static_cast<unsigned>(p.observations.size()));
   for (unsigned n = 0; n < p.observations.size(); ++n) put(facts[n], p.observations[n]);
@@ -233,7 +233,7 @@
     }
   }
   packet.setAt(p.at);
-  packet.setReads(self.reads);
+  packet.setReads(self.channel_versions);
   return message_bytes(message);
 }
 
@@ -246,12 +246,12 @@
     if (from < 0) return false;
     std::vector<replica::EndpointObservation> facts;
     for (const auto f : p.getFacts()) facts.push_back(fact_of(f));
-    std::vector<Members::Record> records;
+    std::vector<membership::MemberRecord> records;
     for (const auto r : p.getRecords()) {
-      if (r.getState() > static_cast<int>(Members::State::dead))
+      if (r.getState() > static_cast<int>(membership::MemberState::dead))
         throw_bad_value("state", std::to_string(r.getState()));
-      records.push_back({r.getWho(), r.getIncarnation(), static_cast<Members::State>(r.getState()), r.getBy(),
-                         r.getReads()});
+      records.push_back({r.getWho(), r.getIncarnation(), static_cast<membership::MemberState>(r.getState()),
+                         r.getBy(), r.getReads()});
     }
     std::vector<std::uint64_t> digests;
     for (const auto d : p.getDigests()) digests.push_back(d);
@@ -274,7 +274,7 @@
         into.item(i.kind, i.bytes, now);
     }
     if (kind <= Kind::ask)
-      into.probe(from, static_cast<Members::Probe::Kind>(kind), p.getNumber(), p.getAbout(), now);
+      into.probe(from, static_cast<membership::Probe::Kind>(kind), p.getNumber(), p.getAbout(), now);
     if (kind == Kind::fill) into.fill(from, p.getNumber());
     if (kind == Kind::digest) into.digest(from, p.getNumber(), digests, now);
     if (kind == Kind::answer) into.answer(from, p.getNumber(), digests, p.getFills(), p.getMore(), now);
--- a/src/fleet/wire.h
+++ b/src/fleet/wire.h
@@ -49,7 +49,7 @@
 // A datagram of the gossip: read whole before anything of it is handed on. `peer_of` gives the index of the
 // sender, -1 for a stranger, of whom nothing is taken.
 constexpr std::size_t kLargestPacket = 4096;
-std::string packet_bytes(const Gossip::Packet& packet, const Members::Record& self);
+std::string packet_bytes(const Gossip::Packet& packet, const membership::MemberRecord& self);
 bool read_packet(std::string_view bytes, const std::function<int(std::uint64_t name)>& peer_of, Gossip& into,
                  Seconds now);
 
--- a/tests/gossip_parts.cpp
+++ b/tests/gossip_parts.cpp
@@ -31,10 +31,10 @@
   all_good = all_good && good;
 }
 
-using State = Members::State;
+using State = membership::MemberState;
 
 int count_of(World& w, int n, State state) {
-  return static_cast<int>(std::ranges::count(w[n].members.peers(), state, &Members::Peer::state));
+  return static_cast<int>(std::ranges::count(w[n].members.peers(), state, &membership::Peer::state));
 }
 
 void member_parts() {
@@ -42,7 +42,7 @@
     World w(20, 1);
     w.go(3);
     say("routers that start together come to see all others alive",
-        w.all([](World::Router& r) { return r.members.alive() == 19; }));
+        w.all([](World::Router& r) { return r.members.alive_count() == 19; }));
     w.crash(7);
     w.go(20);
     const bool dead = w.all([&](World::Router& r) {
@@ -50,11 +50,11 @@
       return p < 0 || r.members.peers()[static_cast<std::size_t>(p)].state == State::dead;
     });
     say("one that crashed is dead to all within twenty seconds, the others are not",
-        dead && w.all([](World::Router& r) { return r.members.alive() == 18; }));
+        dead && w.all([](World::Router& r) { return r.members.alive_count() == 18; }));
     w.start(7);
     w.go(4);
     say("started again it is alive to all, and sees all",
-        w.all([](World::Router& r) { return r.members.alive() == 19; }));
+        w.all([](World::Router& r) { return r.members.alive_count() == 19; }));
   }
   {
     World w(12, 2, {.lost = 0.2, .twice = 0.1, .delay = 0.05});
@@ -71,7 +71,7 @@
     w.go(3);
     w[4].stalled = true;
     w.go(2.5);  // shorter than a suspicion lasts
-    const bool suspected = w.all([&](World::Router& r) { return r.members.alive() == 11; });
+    const bool suspected = w.all([&](World::Router& r) { return r.members.alive_count() == 11; });
     w[4].stalled = false;
     w.go(2);
     bool accused = false;
@@ -87,7 +87,7 @@
       if (n != 0 && n != 1) w.cut(0, n, false), w.cut(n, 0, false);  // 0 is heard by 1 alone
     w.go(30);
     say("one that is reached through another alone is not taken for dead",
-        w.all([](World::Router& r) { return r.members.alive() == 7; }));
+        w.all([](World::Router& r) { return r.members.alive_count() == 7; }));
   }
 }
 
@@ -150,7 +150,7 @@
     w.go(12);
     say("two sides of a cut go on apart, and are one again after it",
         apart && dead && w.all_take_for(Health::draining) && w.equal() &&
-            w.all([](World::Router& r) { return r.members.alive() == 15; }));
+            w.all([](World::Router& r) { return r.members.alive_count() == 15; }));
   }
   for (const Seconds away : {10.0, 600.0}) {
     World w(10, 9, {.lost = 0.05});
@@ -212,7 +212,7 @@
     w.go(4);
     say("the whole fleet starts at once, sees itself and knows the drain",
         w.all_take_for(Health::draining) &&
-            w.all([](World::Router& r) { return r.members.alive() == 23 && !r.gossip.catching_up(); }));
+            w.all([](World::Router& r) { return r.members.alive_count() == 23 && !r.gossip.catching_up(); }));
   }
   say("after any seeded hour's faults in a minute, what lives agrees", rc::check([] {
         const auto seed = *rc::gen::arbitrary<unsigned>();
@@ -255,7 +255,7 @@
         w.go(25);
         const bool agree = w.equal() || (w.go(2), w.equal()) || (w.go(2), w.equal());
         RC_ASSERT(agree);
-        RC_ASSERT(w.all([](World::Router& r) { return r.members.alive() == 7; }));
+        RC_ASSERT(w.all([](World::Router& r) { return r.members.alive_count() == 7; }));
       }));
 }
 
--- a/tests/stories/freeze.cpp
+++ b/tests/stories/freeze.cpp
@@ -50,7 +50,8 @@
                 .step =
                     [](lab::Memory::Router& r, Seconds own) {
                       auto& c = static_cast<Calendar&>(*r.kinds[0]);
-                      if (!r.gossip.catching_up() && r.members.alive() + 1 >= c.majority()) c.in_contact(own);
+                      if (!r.gossip.catching_up() && r.members.alive_count() + 1 >= c.majority())
+                        c.in_contact(own);
                       c.clock_apart(r.gossip.clock_apart(own));
                     }},
                now) {
