--- a/lab/changes.cpp
+++ b/lab/changes.cpp
@@ -116,7 +116,7 @@
   auto& calendar = static_cast<freeze::Calendar&>(*r.kinds[0]);
   auto& rollout = static_cast<Rollout&>(*r.kinds[1]);
   if (!r.gossip.catching_up() && r.members.alive_count() + 1 >= calendar.majority()) calendar.in_contact(now);
-  calendar.clock_apart(r.gossip.clock_apart(now));
+  calendar.clock_apart(r.gossip.clock_offset(now));
   traffic(m, rollout.running(), r.number, now);
   rollout.counted(m.tally.counters());
   for (auto& line : rollout.take_said()) m.said.push_back(std::move(line));
--- a/lab/memory.cpp
+++ b/lab/memory.cpp
@@ -2,23 +2,24 @@
 
 #include <algorithm>
 
-#include "fleet/wire.h"
+#include "gossip/codec.h"
+#include "gossip/protocol_version.h"
 
 namespace walkpaddle::lab {
 
-using namespace fleet;
 using replica::Health;
 
 Memory::Router::Router(int n, int routers, Seconds now, unsigned seed, Seconds skew)
     : number(n),
       skew(skew),
-      watch(name(n), routers, {}, {}, 1.0, seed),
+      tracker(name(n), routers, {}, {}, 1.0, seed),
       members(name(n), others(n, routers), static_cast<std::uint64_t>(now * 1e3), {}, seed + 1, now),
-      keepers(members, {}, now),
-      gossip(members, watch, keepers, {}, seed + 2, now) {
-  members.announce(compat::announced(fleet::kReads));
-  watch.discovery_heard(now);
-  for (int s = 0; s < 4; ++s) watch.update_listing(s, {.hash = kServer + static_cast<std::uint64_t>(s)}, now);
+      snapshot_replicas(members, {}, now),
+      gossip(members, tracker, snapshot_replicas, {}, seed + 2, now) {
+  members.announce(compat::announced(gossip::kChannelVersions));
+  tracker.discovery_heard(now);
+  for (int s = 0; s < 4; ++s)
+    tracker.update_listing(s, {.hash = kServer + static_cast<std::uint64_t>(s)}, now);
 }
 
 std::vector<std::uint64_t> Memory::Router::others(int n, int routers) {
@@ -35,7 +36,7 @@
 
 Health Memory::Router::takes_for(Seconds now, std::uint64_t server) const {
   const auto view =
-      replica::view_endpoint(watch.observations(), server, {static_cast<std::int64_t>(now * 1e6), 0});
+      replica::view_endpoint(tracker.observations(), server, {static_cast<std::int64_t>(now * 1e6), 0});
   return view ? view->health : Health::ready;
 }
 
@@ -68,14 +69,14 @@
 void Memory::skew(int n, Seconds by) { skews_[n] = by; }
 
 void Memory::bus(int n, EndpointState state, Seconds started) {
-  (*this)[n].watch.update_listing(0, {.hash = kServer, .state = state, .started = started},
-                                  now + (*this)[n].skew);
+  (*this)[n].tracker.update_listing(0, {.hash = kServer, .state = state, .started = started},
+                                    now + (*this)[n].skew);
 }
 
-Belief Memory::learnt_by(int n) {
-  Belief b{.link = 10.0 + n, .misses = 0.25, .rules = {{0.5, 30}}};
+gossip::ReplicatedSnapshot Memory::learnt_by(int n) {
+  gossip::ReplicatedSnapshot b{.link_limit = 10.0 + n, .miss_ratio = 0.25, .service_times = {{0.5, 30}}};
   for (int server = 0; server < 200; ++server)
-    b.rooms.push_back({kServer + static_cast<std::uint64_t>(server), 20.0 + n, 5.0 + server});
+    b.limits.push_back({kServer + static_cast<std::uint64_t>(server), 20.0 + n, 5.0 + server});
   for (int o = 0; o < 1000; ++o) b.objects.push_back({static_cast<std::uint64_t>(o), 2.0 + o});
   return b;
 }
@@ -97,23 +98,23 @@
       auto& r = (*this)[n];
       const Seconds own = now + r.skew;
       for (const auto& [from, bytes] : std::exchange(r.held, {})) take(r, bytes);
-      if (r.bus) r.watch.discovery_heard(own);
+      if (r.bus) r.tracker.discovery_heard(own);
       while (const auto packet = r.gossip.next(own))
-        send(n, packet_bytes(*packet, r.members.self()), *packet);
-      r.gossip.take_caught();
-      if (r.keepers.wanted(own)) r.keepers.learnt(learnt_by(n), own);
-      if (auto back = r.keepers.take_returned()) r.back = std::move(back);
+        send(n, gossip::encode_packet(*packet, r.members.self()), *packet);
+      r.gossip.take_catch_up_report();
+      if (r.snapshot_replicas.due(own)) r.snapshot_replicas.replicate(learnt_by(n), own);
+      if (auto back = r.snapshot_replicas.take_recovered()) r.recovered = std::move(back);
       if (hooks_.step) hooks_.step(r, own);
     }
   }
 }
 
 void Memory::take(Router& r, const std::string& bytes) {
-  read_packet(
+  gossip::deliver_packet(
       bytes, [&](std::uint64_t who) { return r.members.peer_named(who); }, r.gossip, now + r.skew);
 }
 
-void Memory::send(int from, const std::string& bytes, const Gossip::Packet& packet) {
+void Memory::send(int from, const std::string& bytes, const gossip::Packet& packet) {
   const int to =
       static_cast<int>((*this)[from].members.peers()[static_cast<std::size_t>(packet.peer)].name - 1000);
   sent += bytes.size(), largest = std::max(largest, bytes.size());
@@ -129,7 +130,7 @@
   for (int n = 0; n < count; ++n)
     if (up(n) && first == nullptr) first = &(*this)[n];
   return all([&](Router& r) {
-    return r.watch.observations().all() == first->watch.observations().all() &&
+    return r.tracker.observations().all() == first->tracker.observations().all() &&
            r.gossip.digests() == first->gossip.digests();
   });
 }
--- a/lab/memory.h
+++ b/lab/memory.h
@@ -1,7 +1,7 @@
-// The laboratory's fleet in memory: routers in virtual time, each with its members, its watch, its keepers,
-// its gossip and the kinds of state that a test gives it, over a network that loses, doubles, delays and
-// cuts, with crashes, starts, stalls, late buses and clocks that are off; every datagram goes through its
-// bytes. No socket, no process; chance is seeded.
+// The laboratory's fleet in memory: routers in virtual time, each with its membership, its observation
+// tracker, its replicas of snapshots, its gossip and the kinds of state that a test gives it, over a network
+// that loses, doubles, delays and cuts, with crashes, starts, stalls, late buses and clocks that are off;
+// every datagram goes through its bytes. No socket, no process; chance is seeded.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/gossip.h"
+#include "gossip/gossip.h"
 
 namespace walkpaddle::lab {
 
@@ -37,12 +37,12 @@
     replica::Health takes_for(Seconds now, std::uint64_t server = kServer) const;
     const int number;
     Seconds skew;  // of its clock
-    replica::ObservationTracker watch;
+    replica::ObservationTracker tracker;
     membership::Membership members;
-    fleet::Keepers keepers;
-    fleet::Gossip gossip;
+    gossip::SnapshotReplicas snapshot_replicas;
+    gossip::Gossip gossip;
     std::vector<std::unique_ptr<replica::ReplicatedState>> kinds;
-    std::optional<fleet::Belief> back;  // what it had learnt before its start
+    std::optional<gossip::ReplicatedSnapshot> recovered;  // what it had learnt before its start
     bool stalled = false, bus = true;
     std::vector<std::pair<int, std::string>> held;  // came while it was stalled
   };
@@ -65,7 +65,7 @@
   void skew(int n, Seconds by);       // of its clock, from its next start on
   // What one router's bus says of the first server.
   void bus(int n, EndpointState state, Seconds started = 0);
-  static fleet::Belief learnt_by(int n);
+  static gossip::ReplicatedSnapshot learnt_by(int n);
   void go(Seconds seconds);
   template <class F>
   bool all(F&& holds) {
@@ -90,7 +90,7 @@
   void take(Router& r, const std::string& bytes);  // a datagram
 
  private:
-  void send(int from, const std::string& bytes, const fleet::Gossip::Packet& packet);
+  void send(int from, const std::string& bytes, const gossip::Packet& packet);
   const Hooks hooks_;
   std::map<int, Seconds> skews_;
   std::vector<std::unique_ptr<Router>> routers_;
--- a/src/control/operators.cpp
+++ b/src/control/operators.cpp
@@ -165,7 +165,7 @@
       {"changes", changes},
       {"windows", windows},
       {"facts_held", all.size()},
-      {"facts_heard", share.gossip().facts_heard()},
+      {"facts_heard", share.gossip().observations_received()},
       {"facts", facts},
       {"counters", counters},
       {"facts_refused", share.watch().refused()},
--- a/src/fleet/changes.cpp
+++ b/src/fleet/changes.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-Changes::Changes(Log& log, const Setup& setup, const membership::Membership& members, Gossip& gossip,
+Changes::Changes(Log& log, const Setup& setup, const membership::Membership& members, gossip::Gossip& gossip,
                  store::Store* store, Seconds now)
     : log_(log),
       setup_(setup),
@@ -132,7 +132,7 @@
   constexpr Seconds kLook = 0.5;
   const bool look = now >= look_at_;
   if (!gossip_.catching_up() && members_.alive_count() + 1 >= calendar_.majority()) calendar_.in_contact(now);
-  if (look) calendar_.clock_apart(gossip_.clock_apart(now));
+  if (look) calendar_.clock_apart(gossip_.clock_offset(now));
   rollout_.counted(setup_.counted());
   const auto move = rollout_.next_move(now);
   for (const auto& line : rollout_.take_said()) log_("change", "{}", line);
--- a/src/fleet/changes.h
+++ b/src/fleet/changes.h
@@ -11,7 +11,7 @@
 
 #include "change/rollout.h"
 #include "compat/verdict.h"
-#include "fleet/gossip.h"
+#include "gossip/gossip.h"
 #include "io/log.h"
 #include "store/store.h"
 
@@ -34,7 +34,7 @@
     std::function<void(const change::Rollout::Move&)> carry_out;
     std::function<change::Counters()> counted;
   };
-  Changes(Log& log, const Setup& setup, const membership::Membership& members, Gossip& gossip,
+  Changes(Log& log, const Setup& setup, const membership::Membership& members, gossip::Gossip& gossip,
           store::Store* store, Seconds now);
 
   void pull(Seconds now);  // at a turn's end
@@ -55,7 +55,7 @@
   Log& log_;
   const Setup setup_;
   const membership::Membership& members_;
-  Gossip& gossip_;
+  gossip::Gossip& gossip_;
   store::Store* const store_;
   freeze::Calendar calendar_;
   change::Rollout rollout_;
--- a/src/fleet/datagrams.cpp
+++ b/src/fleet/datagrams.cpp
@@ -6,11 +6,11 @@
 #include <cerrno>
 
 #include "base/text.h"
-#include "fleet/wire.h"
+#include "gossip/codec.h"
 
 namespace walkpaddle::fleet {
 
-Datagrams::Datagrams(Scheduler& scheduler, Log& log, membership::Membership& members, Gossip& gossip,
+Datagrams::Datagrams(Scheduler& scheduler, Log& log, membership::Membership& members, gossip::Gossip& gossip,
                      const Address& listen, std::vector<Address> peers, std::function<void()> after_input)
     : scheduler_(scheduler),
       log_(log),
@@ -26,7 +26,7 @@
 
 Task Datagrams::take_all() {
   constexpr int kATurn = 64;  // then others get theirs
-  char room[kLargestPacket + 1];
+  char room[gossip::kMaxPacketBytes + 1];
   Event next(scheduler_);
   for (;;) {
     bool waits = false;
@@ -46,7 +46,7 @@
 void Datagrams::take(std::string_view bytes) {
   ++counts_.in, counts_.bytes_in += bytes.size();
   try {
-    const bool known = read_packet(
+    const bool known = gossip::deliver_packet(
         bytes, [&](std::uint64_t name) { return members_.peer_named(name); }, gossip_, scheduler_.now());
     if (known) return;
     if (++counts_.strangers == 1) log_("fleet", "datagrams of a router that is not a peer here are dropped");
@@ -58,7 +58,7 @@
 void Datagrams::pull() {
   const Seconds now = scheduler_.now();
   while (const auto packet = gossip_.next(now)) {
-    const auto bytes = packet_bytes(*packet, members_.self());
+    const auto bytes = gossip::encode_packet(*packet, members_.self());
     sockaddr_in to{};
     to.sin_family = AF_INET;
     const auto& address = peers_[static_cast<std::size_t>(packet->peer)];
--- a/src/fleet/datagrams.h
+++ b/src/fleet/datagrams.h
@@ -6,7 +6,7 @@
 #include <functional>
 #include <vector>
 
-#include "fleet/gossip.h"
+#include "gossip/gossip.h"
 #include "io/listener.h"
 #include "io/log.h"
 #include "io/stream.h"
@@ -20,7 +20,7 @@
     std::uint64_t strangers = 0, unreadable = 0, unsent = 0;  // dropped
   };
   // Peers in the order of Members' numbers. Throws SystemError if the address cannot be had.
-  Datagrams(Scheduler& scheduler, Log& log, membership::Membership& members, Gossip& gossip,
+  Datagrams(Scheduler& scheduler, Log& log, membership::Membership& members, gossip::Gossip& gossip,
             const Address& listen, std::vector<Address> peers, std::function<void()> after_input);
   void pull();  // at a turn's end
   const Counts& counts() const { return counts_; }
@@ -33,7 +33,7 @@
   Scheduler& scheduler_;
   Log& log_;
   membership::Membership& members_;
-  Gossip& gossip_;
+  gossip::Gossip& gossip_;
   const std::vector<Address> peers_;
   const std::function<void()> after_input_;
   Listener socket_;
--- a/src/fleet/share.cpp
+++ b/src/fleet/share.cpp
@@ -5,6 +5,8 @@
 #include "base/text.h"
 #include "config/settings.h"
 #include "fleet/wire.h"
+#include "gossip/codec.h"
+#include "gossip/protocol_version.h"
 
 namespace walkpaddle::fleet {
 
@@ -49,14 +51,15 @@
       changes_(setup.changes
                    ? std::make_unique<Changes>(log, *setup.changes, members_, gossip_, setup.store, started_)
                    : nullptr),
-      datagrams_(scheduler, log, members_, gossip_, setup.listen, addresses_of(setup.peers),
-                 [this] {
-                   if (std::exchange(looked_at_, gossip_.facts_heard()) != gossip_.facts_heard())
-                     setup_.look_again();
-                 }),
+      datagrams_(
+          scheduler, log, members_, gossip_, setup.listen, addresses_of(setup.peers),
+          [this] {
+            if (std::exchange(looked_at_, gossip_.observations_received()) != gossip_.observations_received())
+              setup_.look_again();
+          }),
       said_(setup.peers.size(), membership::MemberState::unheard) {
   // Calendar and changes are read only where they are switched on.
-  auto reads = compat::announced(kReads);
+  auto reads = compat::announced(gossip::kChannelVersions);
   if (!changes_)
     for (const auto channel : {compat::ChannelOf::calendar, compat::ChannelOf::changes})
       reads &= ~(std::uint64_t{255} << (8 * static_cast<int>(channel)));
@@ -81,9 +84,9 @@
   try {
     setup_.store->each([&](std::string_view key, std::string_view value) {
       if (changes_ && Changes::owns(key)) changes_->restore(key, value, started_);
-      if (key == kLearnt) keepers_.stored(stored_belief(value));
+      if (key == kLearnt) keepers_.restore(gossip::decode_snapshot(value));
       if (!key.starts_with('f')) return;
-      const auto fact = stored_fact(value);
+      const auto fact = gossip::decode_observation(value);
       const bool taken = watch_.receive(fact, started_) == replica::EndpointObservations::JoinResult::changed;
       ++(taken ? held : refused);
       stored_[{fact.endpoint, fact.observer}] = taken ? fact.observed_at : replica::HybridTimestamp{};
@@ -109,7 +112,7 @@
     const replica::ObservationKey key{f.endpoint, f.observer};
     const auto it = stored_.find(key);
     const bool there = it != stored_.end() && it->second == f.observed_at;
-    if (there || store.put(key_of(key), stored_text(f), 0)) now[key] = f.observed_at;
+    if (there || store.put(key_of(key), gossip::encode_observation(f), 0)) now[key] = f.observed_at;
   }
   for (const auto& [key, seen] : stored_)
     if (!now.contains(key) && !store.erase(key_of(key)))
@@ -120,17 +123,17 @@
 // What the module has learnt goes to its keepers and to disk; what comes back goes to the module.
 void Share::believe() {
   const Seconds now = scheduler_.now();
-  if (const auto back = keepers_.take_returned()) {
+  if (const auto back = keepers_.take_recovered()) {
     log_("learnt", "{:.1f} s old, from before this start: limits of {} servers, counts of {} objects",
-         now - back->at, back->rooms.size(), back->objects.size());
+         now - back->taken_at, back->limits.size(), back->objects.size());
     setup_.take_learnt(*back);
   }
-  if (!keepers_.wanted(now)) return;
+  if (!keepers_.due(now)) return;
   auto belief = setup_.learnt();
-  belief.at = now;
+  belief.taken_at = now;
   if (setup_.store != nullptr && !setup_.store->failed())
-    setup_.store->put(std::string(kLearnt), stored_text(belief), 0);
-  keepers_.learnt(std::move(belief), now);
+    setup_.store->put(std::string(kLearnt), gossip::encode_snapshot(belief), 0);
+  keepers_.replicate(std::move(belief), now);
 }
 
 void Share::say_changes() {
@@ -139,8 +142,8 @@
     if (std::exchange(said_[p], state) == state) continue;
     log_("member", "{}: {}", setup_.peers[p].name, to_string(state));
   }
-  if (const auto caught = gossip_.take_caught())
-    log_("caught", "caught up in {:.3f} s, {} facts from {} routers", caught->took, caught->observations,
+  if (const auto caught = gossip_.take_catch_up_report())
+    log_("caught", "caught up in {:.3f} s, {} facts from {} routers", caught->duration, caught->observations,
          caught->members);
 }
 
--- a/src/fleet/share.h
+++ b/src/fleet/share.h
@@ -25,8 +25,8 @@
     store::Store* store = nullptr;     // null: nothing lasts
     std::function<void()> look_again;  // what the fleet says of the servers may have changed
     // What the module has learnt, and what it had learnt before this start.
-    std::function<Belief()> learnt;
-    std::function<void(const Belief&)> take_learnt;
+    std::function<gossip::ReplicatedSnapshot()> learnt;
+    std::function<void(const gossip::ReplicatedSnapshot&)> take_learnt;
     std::optional<Changes::Setup> changes{};  // nullopt: none are made
   };
   // Throws SystemError if the address cannot be had; StoreError if what is stored cannot be read.
@@ -36,7 +36,7 @@
   replica::ObservationTracker& watch() { return watch_; }
   const replica::ObservationTracker& watch() const { return watch_; }
   const membership::Membership& members() const { return members_; }
-  const Gossip& gossip() const { return gossip_; }
+  const gossip::Gossip& gossip() const { return gossip_; }
   Changes* changes() { return changes_.get(); }  // null: none are made
   const Changes* changes() const { return changes_.get(); }
   const Datagrams::Counts& counts() const { return datagrams_.counts(); }
@@ -56,8 +56,8 @@
   std::map<std::uint64_t, std::string> names_;
   replica::ObservationTracker watch_;
   membership::Membership members_;
-  Keepers keepers_;
-  Gossip gossip_;
+  gossip::SnapshotReplicas keepers_;
+  gossip::Gossip gossip_;
   std::uint64_t looked_at_ = 0;  // facts heard when the module was last told
   std::unique_ptr<Changes> changes_;
   Datagrams datagrams_;
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -4,6 +4,7 @@
 
 #include "base/text.h"
 #include "fleet/fleet.capnp.h"
+#include "gossip/protocol_version.h"
 #include "replica/capnp_message.h"
 
 namespace walkpaddle::fleet {
@@ -66,76 +67,6 @@
   // A newer router's: passed over.
 }
 
-replica::EndpointObservation fact_of(const schema::Fact::Reader& f) {
-  if (f.getHealth() >= replica::kHealthCount) throw_bad_value("health", std::to_string(f.getHealth()));
-  if (!std::isfinite(f.getLimit()) || f.getLimit() < 0)
-    throw_bad_value("limit", std::to_string(f.getLimit()));
-  if (f.getMicros() < 0) throw_bad_value("stamp", std::to_string(f.getMicros()));
-  return {.endpoint = f.getServer(),
-          .started = checked_time(f.getStarted()),
-          .observer = f.getObserver(),
-          .observed_at = {.micros = f.getMicros(), .count = f.getCount()},
-          .health = static_cast<replica::Health>(f.getHealth()),
-          .concurrency_limit = f.getLimit()};
-}
-
-void put(schema::Fact::Builder b, const replica::EndpointObservation& f) {
-  b.setServer(f.endpoint);
-  b.setStarted(f.started);
-  b.setObserver(f.observer);
-  b.setMicros(f.observed_at.micros);
-  b.setCount(f.observed_at.count);
-  b.setHealth(static_cast<std::uint8_t>(f.health));
-  b.setLimit(f.concurrency_limit);
-}
-
-double bounded(float value) {
-  constexpr float kMost = 1e6;  // limits and seconds: far past any
-  if (!(value >= 0 && value <= kMost)) throw_bad_value("figure", std::to_string(value));
-  return value;
-}
-
-Belief belief_of(const schema::Belief::Reader& b) {
-  Belief belief{.router = b.getRouter(),
-                .at = checked_time(b.getAt()),
-                .part = b.getPart(),
-                .parts = b.getParts(),
-                .link = bounded(b.getLink()),
-                .misses = b.getMisses() < 0 ? -1 : std::min(1.0, bounded(b.getMisses()))};
-  for (const auto r : b.getRooms())
-    belief.rooms.push_back({r.getServer(), bounded(r.getHops()), bounded(r.getFills())});
-  for (const auto o : b.getObjects()) belief.objects.push_back({o.getObject(), bounded(o.getCount())});
-  for (const auto r : b.getRules())
-    belief.rules.push_back(
-        {bounded(r.getSending()), static_cast<int>(std::min<std::uint32_t>(r.getAnswers(), 1000000))});
-  return belief;
-}
-
-void put(schema::Belief::Builder b, const Belief& belief) {
-  b.setRouter(belief.router);
-  b.setAt(belief.at);
-  b.setPart(static_cast<std::uint16_t>(belief.part));
-  b.setParts(static_cast<std::uint16_t>(belief.parts));
-  b.setLink(static_cast<float>(belief.link));
-  b.setMisses(static_cast<float>(belief.misses));
-  auto rooms = b.initRooms(static_cast<unsigned>(belief.rooms.size()));
-  for (unsigned n = 0; n < belief.rooms.size(); ++n) {
-    rooms[n].setServer(belief.rooms[n].server);
-    rooms[n].setHops(static_cast<float>(belief.rooms[n].hops));
-    rooms[n].setFills(static_cast<float>(belief.rooms[n].fills));
-  }
-  auto objects = b.initObjects(static_cast<unsigned>(belief.objects.size()));
-  for (unsigned n = 0; n < belief.objects.size(); ++n) {
-    objects[n].setObject(belief.objects[n].object);
-    objects[n].setCount(static_cast<float>(belief.objects[n].count));
-  }
-  auto rules = b.initRules(static_cast<unsigned>(belief.rules.size()));
-  for (unsigned n = 0; n < belief.rules.size(); ++n) {
-    rules[n].setSending(static_cast<float>(belief.rules[n].sending));
-    rules[n].setAnswers(static_cast<std::uint32_t>(belief.rules[n].answers));
-  }
-}
-
 void put(schema::Entry::Builder b, const Entry& e) {
   b.setAt(e.stamp.at);
   b.setIssuer(e.stamp.issuer);
@@ -162,7 +93,7 @@
 std::string hello_message(std::string_view name) {
   capnp::MallocMessageBuilder message;
   auto hello = message.initRoot<schema::Message>().initHello();
-  hello.setVersion(kVersion);
+  hello.setVersion(gossip::kProtocolVersion);
   hello.setName(std::string(name).c_str());
   return framed(message);
 }
@@ -199,111 +130,6 @@
   return framed(message);
 }
 
-std::string packet_bytes(const Gossip::Packet& p, const membership::MemberRecord& self) {
-  capnp::MallocMessageBuilder message;
-  auto packet = message.initRoot<schema::Packet>();
-  packet.setVersion(kVersion);
-  packet.setKind(static_cast<std::uint8_t>(p.kind));
-  packet.setMore(p.more);
-  packet.setFills(p.fills);
-  packet.setFrom(self.member);
-  packet.setIncarnation(self.incarnation);
-  packet.setNumber(p.number);
-  packet.setAbout(p.about);
-  auto records = packet.initRecords(static_cast<unsigned>(p.records.size()));
-  for (unsigned n = 0; n < p.records.size(); ++n) {
-    const auto& r = p.records[n];
-    records[n].setWho(r.member);
-    records[n].setIncarnation(r.incarnation);
-    records[n].setBy(r.suspected_by);
-    records[n].setState(static_cast<std::uint8_t>(r.state));
-    records[n].setReads(r.channel_versions);
-  }
-  auto facts = packet.initFacts(static_cast<unsigned>(p.observations.size()));
-  for (unsigned n = 0; n < p.observations.size(); ++n) put(facts[n], p.observations[n]);
-  auto digests = packet.initDigests(static_cast<unsigned>(p.digests.size()));
-  for (unsigned n = 0; n < p.digests.size(); ++n) digests.set(n, p.digests[n]);
-  if (p.belief) put(packet.initBelief(), *p.belief);
-  if (!p.items.empty()) {
-    auto items = packet.initItems(static_cast<unsigned>(p.items.size()));
-    for (unsigned n = 0; n < p.items.size(); ++n) {
-      items[n].setKind(p.items[n].kind);
-      items[n].setBytes(
-          {reinterpret_cast<const kj::byte*>(p.items[n].bytes.data()), p.items[n].bytes.size()});
-    }
-  }
-  packet.setAt(p.at);
-  packet.setReads(self.channel_versions);
-  return message_bytes(message);
-}
-
-bool read_packet(std::string_view bytes, const std::function<int(std::uint64_t)>& peer_of, Gossip& into,
-                 Seconds now) {
-  if (bytes.size() > kLargestPacket) throw_bad_value("datagram of length", std::to_string(bytes.size()));
-  return reading<schema::Packet>(bytes, [&](const schema::Packet::Reader& p) {
-    if (p.getVersion() < 1) throw_bad_value("version", std::to_string(p.getVersion()));
-    const int from = peer_of(p.getFrom());
-    if (from < 0) return false;
-    std::vector<replica::EndpointObservation> facts;
-    for (const auto f : p.getFacts()) facts.push_back(fact_of(f));
-    std::vector<membership::MemberRecord> records;
-    for (const auto r : p.getRecords()) {
-      if (r.getState() > static_cast<int>(membership::MemberState::dead))
-        throw_bad_value("state", std::to_string(r.getState()));
-      records.push_back({r.getWho(), r.getIncarnation(), static_cast<membership::MemberState>(r.getState()),
-                         r.getBy(), r.getReads()});
-    }
-    std::vector<std::uint64_t> digests;
-    for (const auto d : p.getDigests()) digests.push_back(d);
-    std::optional<Belief> belief;
-    if (p.hasBelief()) belief = belief_of(p.getBelief());
-    std::vector<Gossip::Item> items;
-    for (const auto i : p.getItems()) {
-      const auto bytes = i.getBytes();
-      items.push_back({i.getKind(), {reinterpret_cast<const char*>(bytes.begin()), bytes.size()}});
-    }
-    into.head(from, p.getIncarnation(), p.getReads(), checked_time(p.getAt()), now);
-    for (const auto& r : records) into.record(r, now);
-    for (const auto& f : facts) into.fact(f, now);
-    using Kind = Gossip::Kind;
-    const auto kind = static_cast<Kind>(p.getKind());
-    for (const auto& i : items) {
-      if (kind == Kind::letter)
-        into.letter(from, i, now);
-      else
-        into.item(i.kind, i.bytes, now);
-    }
-    if (kind <= Kind::ask)
-      into.probe(from, static_cast<membership::Probe::Kind>(kind), p.getNumber(), p.getAbout(), now);
-    if (kind == Kind::fill) into.fill(from, p.getNumber());
-    if (kind == Kind::digest) into.digest(from, p.getNumber(), digests, now);
-    if (kind == Kind::answer) into.answer(from, p.getNumber(), digests, p.getFills(), p.getMore(), now);
-    if (kind == Kind::belief && belief) into.belief(from, std::move(*belief), now);
-    if (kind == Kind::recall) into.recall(from);
-    return true;  // a newer router's kind: passed over
-  });
-}
-
-std::string stored_text(const replica::EndpointObservation& f) {
-  capnp::MallocMessageBuilder message;
-  put(message.initRoot<schema::Fact>(), f);
-  return message_bytes(message);
-}
-
-std::string stored_text(const Belief& belief) {
-  capnp::MallocMessageBuilder message;
-  put(message.initRoot<schema::Belief>(), belief);
-  return message_bytes(message);
-}
-
-Belief stored_belief(std::string_view bytes) {
-  return reading<schema::Belief>(bytes, [](const schema::Belief::Reader& b) { return belief_of(b); });
-}
-
-replica::EndpointObservation stored_fact(std::string_view bytes) {
-  return reading<schema::Fact>(bytes, [](const schema::Fact::Reader& f) { return fact_of(f); });
-}
-
 std::string numbers_text(std::string text, std::initializer_list<std::uint64_t> numbers) {
   for (const auto n : numbers)
     for (int shift = 56; shift >= 0; shift -= 8) text += static_cast<char>(n >> shift & 255);
--- a/src/fleet/wire.h
+++ b/src/fleet/wire.h
@@ -4,24 +4,17 @@
 
 #include <cstddef>
 #include <cstdint>
-#include <functional>
 #include <initializer_list>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "compat/verdict.h"
-#include "fleet/gossip.h"
 #include "fleet/sync.h"
 
 namespace walkpaddle::fleet {
 
 using purge::Kind, purge::Stamp;
 
-constexpr int kVersion = 1;
-// What this program reads of each channel; schemas/rules.json says the same, and compat_kept holds them
-// together.
-constexpr int kReads[compat::kChannels] = {1, 2, 1, 1, 1};
 constexpr std::size_t kLargestMessage = 64 * 1024;  // a beat with the heads of a thousand issuers
 
 // Where the decoded fields go.
@@ -46,19 +39,6 @@
 std::string entry_message(const Entry& entry);
 std::string want_message(std::uint64_t issuer, std::uint64_t from);
 
-// A datagram of the gossip: read whole before anything of it is handed on. `peer_of` gives the index of the
-// sender, -1 for a stranger, of whom nothing is taken.
-constexpr std::size_t kLargestPacket = 4096;
-std::string packet_bytes(const Gossip::Packet& packet, const membership::MemberRecord& self);
-bool read_packet(std::string_view bytes, const std::function<int(std::uint64_t name)>& peer_of, Gossip& into,
-                 Seconds now);
-
-// A fact, and what was learnt, as they stand in the store.
-std::string stored_text(const replica::EndpointObservation& fact);
-std::string stored_text(const Belief& belief);
-Belief stored_belief(std::string_view bytes);                      // InputError if it cannot be read
-replica::EndpointObservation stored_fact(std::string_view bytes);  // InputError if it cannot be read
-
 // Keys of the store: a letter or nothing, then the numbers, big end first.
 std::string numbers_text(std::string text, std::initializer_list<std::uint64_t> numbers);
 
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -157,7 +157,7 @@
                               .store = store_.get(),
                               .look_again = [this] { list_.tell_facts(); },
                               .learnt = [this] { return belief(); },
-                              .take_learnt = [this](const fleet::Belief& b) { take_back(b); },
+                              .take_learnt = [this](const gossip::ReplicatedSnapshot& b) { take_back(b); },
                               .changes = changes_setup()};
     for (const auto& p : f.peers) share.peers.push_back({p.name, parse_address(p.address)});
     shared_ = std::make_unique<fleet::Share>(scheduler_, log_, share);
@@ -178,26 +178,27 @@
   scheduler_.start(live());
 }
 
-fleet::Belief Router::belief() const {
+gossip::ReplicatedSnapshot Router::belief() const {
   const auto learnt = dispatcher_.module().snapshot();
-  fleet::Belief b{.link = learnt.link_limit, .misses = learnt.miss_ratio};
+  gossip::ReplicatedSnapshot b{.link_limit = learnt.link_limit, .miss_ratio = learnt.miss_ratio};
   for (const auto& r : learnt.limits)
-    b.rooms.push_back({stable_hash(upstream_.id(r.endpoint)), r.attempts, r.fills});
+    b.limits.push_back({stable_hash(upstream_.id(r.endpoint)), r.attempts, r.fills});
   for (const auto& o : learnt.objects) b.objects.push_back({o.object, o.count});
-  for (const auto& r : learnt.service_times) b.rules.push_back({r.mean, r.answers});
+  for (const auto& r : learnt.service_times) b.service_times.push_back({r.mean, r.answers});
   return b;
 }
 
-void Router::take_back(const fleet::Belief& b) {
-  WarmStartSnapshot learnt{
-      .link_limit = b.link, .miss_ratio = b.misses, .age = std::max(0.0, scheduler_.now() - b.at)};
+void Router::take_back(const gossip::ReplicatedSnapshot& b) {
+  WarmStartSnapshot learnt{.link_limit = b.link_limit,
+                           .miss_ratio = b.miss_ratio,
+                           .age = std::max(0.0, scheduler_.now() - b.taken_at)};
   for (const auto& o : b.objects) learnt.objects.push_back({o.object, o.count});
-  for (const auto& r : b.rules) learnt.service_times.push_back({r.sending, r.answers});
+  for (const auto& r : b.service_times) learnt.service_times.push_back({r.mean, r.answers});
   std::map<std::uint64_t, int> members;
   for (int m = 0; m < upstream_.members(); ++m) members[stable_hash(upstream_.id(m))] = m;
-  for (const auto& r : b.rooms)
-    if (const auto it = members.find(r.server); it != members.end())
-      learnt.limits.push_back({it->second, r.hops, r.fills});
+  for (const auto& r : b.limits)
+    if (const auto it = members.find(r.endpoint); it != members.end())
+      learnt.limits.push_back({it->second, r.attempts, r.fills});
   dispatcher_.input().restore_snapshot(learnt);
 }
 
--- a/src/net/router.h
+++ b/src/net/router.h
@@ -84,8 +84,8 @@
   void take_over();     // what the last start learnt, where a file is named
   void leave_learnt();  // for the next
   Task live();
-  fleet::Belief belief() const;  // what the module has learnt, for others to keep
-  void take_back(const fleet::Belief& belief);
+  gossip::ReplicatedSnapshot belief() const;  // what the module has learnt, for others to keep
+  void take_back(const gossip::ReplicatedSnapshot& belief);
   fleet::Purges::Setup purges_setup();
   void pull_fleet();
   std::optional<fleet::Changes::Setup> changes_setup();
--- a/tests/compat_kept.cpp
+++ b/tests/compat_kept.cpp
@@ -9,7 +9,7 @@
 #include <iterator>
 
 #include "compat/verdict.h"
-#include "fleet/wire.h"
+#include "gossip/protocol_version.h"
 
 using namespace walkpaddle::compat;
 
@@ -36,7 +36,7 @@
   const char* names[] = {"links", "gossip", "calendar", "changes", "store.purges"};
   bool good = true;
   for (int n = 0; n < kChannels; ++n) {
-    const int says = walkpaddle::fleet::kReads[n], is = now.channels.at(names[n]).version;
+    const int says = walkpaddle::gossip::kChannelVersions[n], is = now.channels.at(names[n]).version;
     std::printf("%s: announced %d, by its rules %d\n", names[n], says, is);
     good = good && says == is;
   }
--- a/tests/gossip_parts.cpp
+++ b/tests/gossip_parts.cpp
@@ -11,11 +11,11 @@
 #include <vector>
 
 #include "base/text.h"
-#include "fleet/wire.h"
+#include "gossip/codec.h"
 #include "lab/memory.h"
 
 using namespace walkpaddle;
-using namespace walkpaddle::fleet;
+using namespace walkpaddle::gossip;
 using lab::kServer;
 using replica::EndpointObservation, replica::EndpointObservations, replica::Health, replica::HybridTimestamp,
     replica::ObservationTracker;
@@ -112,7 +112,7 @@
     w.go(5);
     for (int n = 0; n < 100; ++n) w.bus(n, EndpointState::draining);  // all buses at once
     w.go(3);
-    const auto facts = w[50].watch.observations().size();
+    const auto facts = w[50].tracker.observations().size();
     say("a drain on a hundred buses at once costs a part of a hundred facts", facts >= 1 && facts <= 50);
     for (int n = 0; n < 100; ++n) w.bus(n, EndpointState::ready);
     w.go(2);
@@ -192,11 +192,11 @@
     w.go(1);
     const bool cold = w.all_take_for(Health::cold);
     // An old copy of the earlier start's drain comes again.
-    w[5].watch.receive({.endpoint = kServer,
-                        .observer = World::Router::name(0),
-                        .observed_at = {static_cast<std::int64_t>(w.now * 1e6), 0},
-                        .health = Health::draining},
-                       w.now);
+    w[5].tracker.receive({.endpoint = kServer,
+                          .observer = World::Router::name(0),
+                          .observed_at = {static_cast<std::int64_t>(w.now * 1e6), 0},
+                          .health = Health::draining},
+                         w.now);
     w.go(2);
     say("a server that started anew is cold for all, whatever an old copy says",
         cold && w.all_take_for(Health::cold));
@@ -264,7 +264,8 @@
   w.go(25);
   const auto kept = [&] {
     int all = 0;
-    for (int n = 0; n < 30; ++n) all += w.up(n) ? static_cast<int>(w[n].keepers.kept()) : 0;
+    for (int n = 0; n < 30; ++n)
+      all += w.up(n) ? static_cast<int>(w[n].snapshot_replicas.replica_count()) : 0;
     return all;
   };
   say("what each router has learnt is kept by a few others", kept() >= 30 * 3 && kept() <= 30 * 6);
@@ -272,35 +273,35 @@
   w.go(5);
   w.start(4);
   w.go(2);
-  const auto& back = w[4].back;
+  const auto& back = w[4].recovered;
   const auto wanted = World::learnt_by(4);
-  bool own = back && back->router == World::Router::name(4) && back->link == wanted.link &&
-             back->misses == wanted.misses && back->rules == wanted.rules && back->rooms.size() == 200 &&
-             w.now - back->at < 20;
+  bool own = back && back->router == World::Router::name(4) && back->link_limit == wanted.link_limit &&
+             back->miss_ratio == wanted.miss_ratio && back->service_times == wanted.service_times &&
+             back->limits.size() == 200 && w.now - back->taken_at < 20;
   own = own && back->objects.size() == 256 &&
-        std::ranges::find(back->objects, Belief::Heat{999, 1001.0}) != back->objects.end();
-  for (const auto& room : wanted.rooms)
-    own = own && std::ranges::find(back->rooms, room) != back->rooms.end();
+        std::ranges::find(back->objects, ReplicatedSnapshot::ObjectCount{999, 1001.0}) != back->objects.end();
+  for (const auto& limit : wanted.limits)
+    own = own && std::ranges::find(back->limits, limit) != back->limits.end();
   say("one that returns has its own back, and its age, in two seconds with losses", own);
   bool others = true;
-  for (int n = 0; n < 30; ++n) others = others && (n == 4 || !w[n].back);
+  for (int n = 0; n < 30; ++n) others = others && (n == 4 || !w[n].recovered);
   say("nobody else is given any", others);
   // Nobody speaks for a third, parts that do not fit are dropped.
-  Keepers k(w[0].members, {}, w.now);
-  Belief third{.router = 1, .at = w.now};
-  k.told(2, third, w.now);
+  SnapshotReplicas k(w[0].members, {}, w.now);
+  ReplicatedSnapshot third{.router = 1, .taken_at = w.now};
+  k.receive(2, third, w.now);
   third.router = 2, third.part = 3, third.parts = 2;
-  k.told(2, third, w.now);
-  third.part = 0, third.parts = 1, third.at = w.now + 100;
-  k.told(2, third, w.now);
-  say("what speaks for a third, does not fit or is of the future is dropped", k.kept() == 0);
-  k.stored(World::learnt_by(0));
-  say("what is of no time is none", !k.take_returned());
-  Belief old{.router = 2, .at = w.now};
-  k.told(2, old, w.now);
-  const bool held = k.kept() == 1;
-  k.learnt({}, w.now + 301);
-  say("what a router left is dropped after five minutes", held && k.kept() == 0);
+  k.receive(2, third, w.now);
+  third.part = 0, third.parts = 1, third.taken_at = w.now + 100;
+  k.receive(2, third, w.now);
+  say("what speaks for a third, does not fit or is of the future is dropped", k.replica_count() == 0);
+  k.restore(World::learnt_by(0));
+  say("what is of no time is none", !k.take_recovered());
+  ReplicatedSnapshot old{.router = 2, .taken_at = w.now};
+  k.receive(2, old, w.now);
+  const bool held = k.replica_count() == 1;
+  k.replicate({}, w.now + 301);
+  say("what a router left is dropped after five minutes", held && k.replica_count() == 0);
 }
 
 // Each datagram reads back as it was, cut off or spoilt it is refused or bounded, and nothing of a stranger
@@ -313,17 +314,17 @@
                               .observed_at = {.micros = 999'000'000, .count = 2},
                               .health = Health::draining,
                               .concurrency_limit = 6};
-  const Gossip::Packet packet{.kind = Gossip::Kind::news,
-                              .peer = 0,
-                              .records = {{World::Router::name(1), 2'000'000, State::suspect, 5}},
-                              .observations = {f}};
-  const auto bytes = packet_bytes(packet, w[1].members.self());
+  const Packet packet{.kind = PacketKind::rumours,
+                      .peer = 0,
+                      .records = {{World::Router::name(1), 2'000'000, State::suspect, 5}},
+                      .observations = {f}};
+  const auto bytes = encode_packet(packet, w[1].members.self());
   w.take(w[0], bytes);
-  const auto* read = w[0].watch.observations().find(7, 1001);
+  const auto* read = w[0].tracker.observations().find(7, 1001);
   say("a datagram reads back as it was written", read != nullptr && *read == f &&
                                                      w[0].members.peers()[0].state == State::suspect &&
                                                      w[0].members.peers()[0].incarnation == 2'000'000);
-  say("a fact reads back from the store as it was written", stored_fact(stored_text(f)) == f);
+  say("a fact reads back from the store as it was written", decode_observation(encode_observation(f)) == f);
   bool bounded = true, stranger = true;
   for (std::size_t bit = 0; bit < 8 * bytes.size(); ++bit) {
     auto spoilt = bytes;
@@ -334,12 +335,12 @@
       other.take(other[0], spoilt.substr(0, bit / 8));
     } catch (const InputError&) {
     }
-    bounded = bounded && other[0].watch.observations().size() <= 1;
+    bounded = bounded && other[0].tracker.observations().size() <= 1;
   }
   World other(2, 15);
-  stranger = !read_packet(
+  stranger = !deliver_packet(
                  bytes, [](std::uint64_t) { return -1; }, other[0].gossip, other.now) &&
-             other[0].watch.observations().size() == 0;
+             other[0].tracker.observations().size() == 0;
   say("spoilt or cut off it is refused or bounded; of a stranger nothing is taken", bounded && stranger);
 }
 
--- a/tests/stories/freeze.cpp
+++ b/tests/stories/freeze.cpp
@@ -52,7 +52,7 @@
                       auto& c = static_cast<Calendar&>(*r.kinds[0]);
                       if (!r.gossip.catching_up() && r.members.alive_count() + 1 >= c.majority())
                         c.in_contact(own);
-                      c.clock_apart(r.gossip.clock_apart(own));
+                      c.clock_apart(r.gossip.clock_offset(own));
                     }},
                now) {
     memory.pace = 0.02;
