--- a/bench/purges.cpp
+++ b/bench/purges.cpp
@@ -11,8 +11,8 @@
 
 #include "config/settings.h"
 #include "fleet/keeper.h"
-#include "fleet/wire.h"
 #include "io/log.h"
+#include "replication/link_codec.h"
 
 namespace {
 
@@ -71,7 +71,7 @@
       std::string key = "e";
       for (const auto part : {e.stamp.issuer, e.stamp.number})
         for (int shift = 56; shift >= 0; shift -= 8) key += static_cast<char>(part >> shift & 255);
-      while (!store.put(key, fleet::stored_text(e), n))
+      while (!store.put(key, replication::encode_stored_purge(e), n))
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
   }
--- a/src/control/operators.cpp
+++ b/src/control/operators.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 Operators::Operators(Scheduler& scheduler, Outbox& outbox, Log& log, fleet::Purges& purges, std::string path,
-                     Names names, const fleet::Share* share)
+                     Names names, const replication::ReplicationService* share)
     : scheduler_(scheduler),
       outbox_(outbox),
       log_(log),
@@ -105,7 +105,7 @@
          {"heard_s_ago", peers[p].last_heard > 0 ? json(now - peers[p].last_heard) : json(nullptr)}});
   std::map<std::uint64_t, std::string> servers;
   for (int b = 0; b < names_.boxes(); ++b) servers[stable_hash(names_.box(b))] = names_.box(b);
-  const auto all = share.watch().observations().all();
+  const auto all = share.tracker().observations().all();
   for (const auto& f : all) {
     if (facts.size() >= kMostFacts) break;
     const auto known = servers.find(f.endpoint);
@@ -168,12 +168,12 @@
       {"facts_heard", share.gossip().observations_received()},
       {"facts", facts},
       {"counters", counters},
-      {"facts_refused", share.watch().refused()},
+      {"facts_refused", share.tracker().refused()},
       {"strangers", counts.strangers},
       {"unreadable", counts.unreadable},
       {"unsent", counts.unsent},
-      {"bytes_in_a_s", static_cast<double>(counts.bytes_in) / up},
-      {"bytes_out_a_s", static_cast<double>(counts.bytes_out) / up}}
+      {"bytes_in_a_s", static_cast<double>(counts.bytes_received) / up},
+      {"bytes_out_a_s", static_cast<double>(counts.bytes_sent) / up}}
       .dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/src/control/operators.h
+++ b/src/control/operators.h
@@ -8,10 +8,10 @@
 #include <vector>
 
 #include "fleet/purges.h"
-#include "fleet/share.h"
 #include "io/listener.h"
 #include "io/log.h"
 #include "io/stream.h"
+#include "replication/replication_service.h"
 
 namespace walkpaddle::control {
 
@@ -27,7 +27,7 @@
   // Throws SystemError if the socket cannot be made. One that a dead router left is replaced; one that
   // answers is another router's and is not.
   Operators(Scheduler& scheduler, Outbox& outbox, Log& log, fleet::Purges& purges, std::string path,
-            Names names, const fleet::Share* share);
+            Names names, const replication::ReplicationService* share);
   ~Operators();
 
  private:
@@ -44,7 +44,7 @@
   fleet::Purges& purges_;
   const std::string path_;
   const Names names_;
-  const fleet::Share* const share_;  // null: nothing is shared
+  const replication::ReplicationService* const share_;  // null: nothing is shared
   std::size_t sessions_ = 0;
   Listener listener_;
 };
--- a/src/fleet/changes.cpp
+++ b/src/fleet/changes.cpp
@@ -2,7 +2,7 @@
 
 #include "base/text.h"
 #include "config/settings.h"
-#include "fleet/wire.h"
+#include "store/key.h"
 
 namespace walkpaddle::fleet {
 
@@ -21,7 +21,7 @@
 
 // Items in the order in which a start takes them: what is said of a change that is not known is passed over.
 std::string key_of(const replica::ReplicatedState& kind, std::uint64_t id) {
-  return numbers_text(numbered('k', kind), {kind.join_order(id), id});
+  return store::encode_key(numbered('k', kind), {kind.join_order(id), id});
 }
 
 }  // namespace
--- a/src/fleet/keeper.cpp
+++ b/src/fleet/keeper.cpp
@@ -6,7 +6,8 @@
 #include <vector>
 
 #include "base/text.h"
-#include "fleet/wire.h"
+#include "replication/link_codec.h"
+#include "store/key.h"
 
 namespace walkpaddle::fleet {
 
@@ -22,7 +23,7 @@
   return value;
 }
 
-std::string key_of(const Stamp& s) { return numbers_text("e", {s.issuer, s.number}); }
+std::string key_of(const Stamp& s) { return store::encode_key("e", {s.issuer, s.number}); }
 
 // Times in the store in whole microseconds.
 constexpr Seconds kMicro = 1e-6;
@@ -46,7 +47,7 @@
   try {
     store_.each([&](std::string_view key, std::string_view value) {
       if (key.starts_with('e')) {
-        entries.push_back(stored_entry(value));
+        entries.push_back(replication::decode_stored_purge(value));
       } else if (key.starts_with('b')) {
         const auto given_up =
             static_cast<Seconds>(number_of(value.substr(std::min<std::size_t>(8, value.size())))) * kMicro;
@@ -77,14 +78,14 @@
 void Keeper::pull() {
   if (store_.failed()) return;
   while (const auto* e = purges_.next_to_store()) {
-    if (!store_.put(key_of(e->stamp), stored_text(*e), e->place)) return;
+    if (!store_.put(key_of(e->stamp), replication::encode_stored_purge(*e), e->place)) return;
     purges_.handed_to_store(*e);
   }
   while (const auto* gone = purges_.next_to_erase()) {
     const auto run = purges_.book().run(gone->issuer);
     const auto given_up = static_cast<std::uint64_t>(run.given_up / kMicro) + (run.given_up > 0 ? 1 : 0);
     // The base first: cut off between the two, an entry is held that needs not be.
-    if (!store_.put(numbers_text("b", {gone->issuer}), numbers_text("", {run.base, given_up}), 0) ||
+    if (!store_.put(store::encode_key("b", {gone->issuer}), store::encode_key("", {run.base, given_up}), 0) ||
         !store_.erase(key_of(*gone)))
       return;
     purges_.erased();
--- a/src/fleet/links.cpp
+++ b/src/fleet/links.cpp
@@ -5,12 +5,12 @@
 #include <cstring>
 
 #include "base/text.h"
-#include "fleet/wire.h"
+#include "replication/link_codec.h"
 
 namespace walkpaddle::fleet {
 
 // One connection's messages, from its first word on. The peer is known from its hello, or was dialled.
-struct Links::Reader final : Messages {
+struct Links::Reader final : replication::LinkMessageHandler {
   Reader(Links& l, Stream& s, int p) : links(l), stream(s), peer(p) {}
   ~Reader() {
     if (peer < 0 || links.links_[peer].stream != &stream) return;
@@ -32,7 +32,7 @@
     if (link.stream != nullptr) link.stream->close(), links.purges_.sync()->down(who);
     peer = who, greeted = true;
     link.stream = &stream;
-    if (!link.dials) stream.write(hello_message(links.setup_.name));
+    if (!link.dials) stream.write(replication::encode_hello(links.setup_.name));
     links.purges_.sync()->up(peer);
     links.log_("fleet", "{}: connected", name);
   }
@@ -62,7 +62,7 @@
   // False once the other side speaks what cannot be read.
   bool take_all() {
     try {
-      while (const auto used = read_message(stream.in(), *this)) {
+      while (const auto used = replication::read_link_message(stream.in(), *this)) {
         stream.consume(used);
         heard = links.scheduler_.now();
       }
@@ -133,7 +133,7 @@
     if (!in_time || stream.error() != 0) co_return;
   }
   Reader reader(*this, stream, dialled);
-  if (dialled >= 0) stream.write(hello_message(setup_.name));
+  if (dialled >= 0) stream.write(replication::encode_hello(setup_.name));
   for (reader.heard = scheduler_.now();;) {
     const auto came = stream.read();
     if (came == Stream::Came::end) break;
@@ -171,9 +171,9 @@
       stream->close();
       continue;
     }
-    stream->write(s->kind == Kind::beat    ? beat_message(purges_.book(), sync, now, s->echo)
-                  : s->kind == Kind::entry ? entry_message(*s->entry)
-                                           : want_message(s->issuer, s->from));
+    stream->write(s->kind == Kind::beat    ? replication::encode_heartbeat(purges_.book(), sync, now, s->echo)
+                  : s->kind == Kind::entry ? replication::encode_purge(*s->entry)
+                                           : replication::encode_request(s->issuer, s->from));
   }
   const Seconds due = sync.next_due();
   if (due < due_at_) due_at_ = due, due_.set();
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -150,18 +150,19 @@
     links_ = std::make_unique<fleet::Links>(scheduler_, outbox_, log_, purges_, links);
   }
   if (f.share) {
-    fleet::Share::Setup share{.name = f.name,
-                              .listen = parse_address(f.listen),
-                              .peers = {},
-                              .seed = fold_seed(config_.seed),
-                              .store = store_.get(),
-                              .look_again = [this] { list_.tell_facts(); },
-                              .learnt = [this] { return belief(); },
-                              .take_learnt = [this](const gossip::ReplicatedSnapshot& b) { take_back(b); },
-                              .changes = changes_setup()};
+    replication::ReplicationService::Setup share{
+        .name = f.name,
+        .listen = parse_address(f.listen),
+        .peers = {},
+        .seed = fold_seed(config_.seed),
+        .store = store_.get(),
+        .on_observations = [this] { list_.tell_facts(); },
+        .take_snapshot = [this] { return belief(); },
+        .restore_snapshot = [this](const gossip::ReplicatedSnapshot& b) { take_back(b); },
+        .changes = changes_setup()};
     for (const auto& p : f.peers) share.peers.push_back({p.name, parse_address(p.address)});
-    shared_ = std::make_unique<fleet::Share>(scheduler_, log_, share);
-    list_.share(&shared_->watch());
+    shared_ = std::make_unique<replication::ReplicationService>(scheduler_, log_, share);
+    list_.share(&shared_->tracker());
   }
   if (file_.tell_boxes)
     purge_notifier_ = std::make_unique<PurgeNotifier>(scheduler_, log_, purges_, upstream_, run_);
--- a/src/net/router.h
+++ b/src/net/router.h
@@ -14,13 +14,13 @@
 #include "control/operators.h"
 #include "fleet/keeper.h"
 #include "fleet/links.h"
-#include "fleet/share.h"
 #include "io/log.h"
 #include "net/client_listener.h"
 #include "net/discovery_client.h"
 #include "net/purge_notifier.h"
 #include "net/request_dispatcher.h"
 #include "net/upstream_pool.h"
+#include "replication/replication_service.h"
 
 namespace walkpaddle::net {
 
@@ -119,7 +119,7 @@
   ClientListener client_listener_;
   std::unique_ptr<fleet::Keeper> keeper_;
   std::unique_ptr<fleet::Links> links_;
-  std::unique_ptr<fleet::Share> shared_;
+  std::unique_ptr<replication::ReplicationService> shared_;
   std::unique_ptr<PurgeNotifier> purge_notifier_;
   std::unique_ptr<control::Operators> operators_;
   std::vector<std::shared_ptr<void>> fronts_;
--- a/tests/purge_parts.cpp
+++ b/tests/purge_parts.cpp
@@ -15,8 +15,8 @@
 #include "base/text.h"
 #include "config/settings.h"
 #include "fleet/purges.h"
-#include "fleet/wire.h"
 #include "purge/cover.h"
+#include "replication/link_codec.h"
 #include "store/store.h"
 
 using namespace walkpaddle;
@@ -164,7 +164,7 @@
       none && bounded && filled && purges.age_limit(1005) == 0 && purges.since(object, 0, {}, 1005) == 1005);
 }
 
-struct Heard final : fleet::Messages {
+struct Heard final : replication::LinkMessageHandler {
   std::string text;
   void hello(int version, std::string_view name) override {
     text += fmt::format("hello {} {};", version, name);
@@ -187,17 +187,19 @@
   fleet::Sync sync(book, 2, false, {}, 1000);
   book.issue(5, Kind::tag, "contract7", 1000);
   const auto& e = book.issue(5, Kind::pattern, "0*1.", 1001);
-  const std::string texts[] = {fleet::hello_message("r1"), fleet::beat_message(book, sync, 1002, 999),
-                               fleet::entry_message(e), fleet::want_message(5, 2)};
+  const std::string texts[] = {replication::encode_hello("r1"),
+                               replication::encode_heartbeat(book, sync, 1002, 999),
+                               replication::encode_purge(e), replication::encode_request(5, 2)};
   const std::string wanted[] = {"hello 1 r1;", "beat 1002 999 false;head 5 2 0 0;end;",
                                 "entry 1001 5 2 3 0*1.;", "want 5 2;"};
   bool whole = true, cut = true, spoilt = true;
   for (int n = 0; n < 4; ++n) {
     Heard heard;
-    whole = whole && fleet::read_message(texts[n], heard) == texts[n].size() && heard.text == wanted[n];
+    whole = whole && replication::read_link_message(texts[n], heard) == texts[n].size() &&
+            heard.text == wanted[n];
     for (std::size_t size = 0; size < texts[n].size(); ++size) {
       Heard part;
-      cut = cut && fleet::read_message(std::string_view(texts[n]).substr(0, size), part) == 0 &&
+      cut = cut && replication::read_link_message(std::string_view(texts[n]).substr(0, size), part) == 0 &&
             part.text.empty();
     }
     // Each bit turned: read as something bounded, or InputError; never more than there is.
@@ -206,7 +208,7 @@
       text[bit / 8] = static_cast<char>(text[bit / 8] ^ 1 << bit % 8);
       Heard other;
       try {
-        spoilt = spoilt && fleet::read_message(text, other) <= text.size();
+        spoilt = spoilt && replication::read_link_message(text, other) <= text.size();
       } catch (const InputError&) {
       }
     }
