--- a/models/catchup.pml
+++ b/models/catchup.pml
@@ -1,4 +1,4 @@
-/* Facts of servers between three routers, as src/fleet/gossip.cpp carries them: a router compares its digests with
+/* Facts of servers between three routers, as src/gossip/exchange.cpp carries them: a router compares its digests with
  * another's; that one sends what it holds where they differ, with its digests; the first takes it and sends back
  * what the other lacked by them. Router r sees fact r on its own list, at any time, and again after a crash, since
  * its list says it still. Fact 0 is past its time at some moment, a different one at each router, whose clocks
--- a/src/gossip/digest.h
+++ b/src/gossip/digest.h
@@ -15,10 +15,11 @@
 
 /// What a range, by its place among the digests, is of.
 struct RangeContent {
+  /// The sort of its entries.
   enum class Kind : std::uint8_t { observations, records, items };
-  Kind kind = Kind::observations;
-  int range = 0;           ///< within its kind
-  std::uint8_t state = 0;  ///< of items: replica::ReplicatedState::number()
+  Kind kind = Kind::observations;  ///< of this range
+  int range = 0;                   ///< within its kind
+  std::uint8_t state = 0;          ///< of items: replica::ReplicatedState::number()
 };
 
 /// What the range at `place` is of.
--- a/src/gossip/exchange.h
+++ b/src/gossip/exchange.h
@@ -25,7 +25,7 @@
 
 /// How a catch-up went.
 struct CatchUpReport {
-  Seconds duration = 0;
+  Seconds duration = 0;            ///< from the start or the standstill
   int members = 0;                 ///< that sent all; 0: there was none to ask
   std::uint64_t observations = 0;  ///< that were new here meanwhile
 };
--- a/src/gossip/packet.h
+++ b/src/gossip/packet.h
@@ -44,18 +44,18 @@
 
 /// One datagram, to or from a peer.
 struct Packet {
-  PacketKind kind = PacketKind::rumours;  ///< of a newer router: any number
-  int peer = -1;                          ///< the other side, by its number among the members
-  std::uint64_t number = 0;               ///< of a probe or a comparison
-  std::uint64_t about = 0;                ///< of a ping request: whom to ping, by name
-  std::uint32_t deltas = 0;               ///< of a digest reply: how many deltas went before it
-  bool truncated = false;                 ///< of a digest reply: not all that differs had room
-  std::vector<membership::MemberRecord> records{};
-  std::vector<replica::EndpointObservation> observations{};
-  std::vector<std::uint64_t> digests{};  ///< of all ranges, see digest.h
-  std::shared_ptr<const ReplicatedSnapshot> snapshot{};
-  std::vector<Item> items{};  ///< of a message: the one that it is
-  Seconds sent_at = 0;        ///< on the sender's clock; 0: it does not say
+  PacketKind kind = PacketKind::rumours;            ///< of a newer router: any number
+  int peer = -1;                                    ///< the other side, by its number among the members
+  std::uint64_t number = 0;                         ///< of a probe or a comparison
+  std::uint64_t about = 0;                          ///< of a ping request: whom to ping, by name
+  std::uint32_t deltas = 0;                         ///< of a digest reply: how many deltas went before it
+  bool truncated = false;                           ///< of a digest reply: not all that differs had room
+  std::vector<membership::MemberRecord> records{};  ///< to be joined
+  std::vector<replica::EndpointObservation> observations{};  ///< to be joined
+  std::vector<std::uint64_t> digests{};                      ///< of all ranges, see digest.h
+  std::shared_ptr<const ReplicatedSnapshot> snapshot{};      ///< of the kind `snapshot`; else null
+  std::vector<Item> items{};                                 ///< of a message: the one that it is
+  Seconds sent_at = 0;                                       ///< on the sender's clock; 0: it does not say
 };
 
 /// A datagram with what it says of its sender.
--- a/src/gossip/rumours.cpp
+++ b/src/gossip/rumours.cpp
@@ -35,13 +35,13 @@
 
 void Rumours::collect() {
   const int rounds = this->rounds();
-  const auto has_room = [&](const auto& rumours, const auto& key) {
+  const auto accepts = [&](const auto& rumours, const auto& key) {
     return rumours.size() < bounds_.max_rumours || rumours.contains(key);
   };
   for (const auto& key : shared_.tracker.take_updates())
-    if (has_room(observations_, key)) observations_[key] = rounds;
+    if (accepts(observations_, key)) observations_[key] = rounds;
   for (const auto& record : shared_.members.take_updates())
-    if (has_room(records_, record.member)) records_[record.member] = rounds;
+    if (accepts(records_, record.member)) records_[record.member] = rounds;
   for (auto* state : shared_.states)
     for (const auto id : state->take_updates())
       if (items_.size() < bounds_.max_rumours) items_[{state->number(), id}] = rounds;
--- a/src/gossip/shared_state.h
+++ b/src/gossip/shared_state.h
@@ -14,8 +14,8 @@
 
 /// What rumours spread and comparisons compare. The parts must outlive it.
 struct SharedState {
-  membership::Membership& members;
-  replica::ObservationTracker& tracker;
+  membership::Membership& members;                  ///< the member records
+  replica::ObservationTracker& tracker;             ///< the endpoint observations
   std::vector<replica::ReplicatedState*> states{};  ///< the others, each once
   std::uint64_t observations_received = 0;          ///< that were new here
 
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -47,10 +47,10 @@
 
 /// Another router of the fleet.
 struct Peer {
-  std::uint64_t name = 0;              ///< stable hash of its name
-  std::uint64_t incarnation = 0;       ///< the latest known
-  std::uint64_t channel_versions = 0;  ///< as in MemberRecord
-  MemberState state = MemberState::unheard;
+  std::uint64_t name = 0;                     ///< stable hash of its name
+  std::uint64_t incarnation = 0;              ///< the latest known
+  std::uint64_t channel_versions = 0;         ///< as in MemberRecord
+  MemberState state = MemberState::unheard;   ///< as this router knows it
   Seconds since = 0;                          ///< of the state; a standstill of this process moves it
   Seconds last_heard = 0;                     ///< from the peer itself; 0: never
   std::vector<std::uint64_t> suspected_by{};  ///< those that confirm a suspicion, a bounded number
--- a/src/membership/prober.h
+++ b/src/membership/prober.h
@@ -24,7 +24,7 @@
     nack,         ///< a helper had no answer either
     ping_request  ///< asks a helper to ping another
   };
-  Kind kind = Kind::ping;
+  Kind kind = Kind::ping;    ///< what it is for
   int peer = -1;             ///< its receiver, by number
   std::uint64_t number = 0;  ///< an answer has that of the question
   std::uint64_t about = 0;   ///< of a ping request: whom the helper is to ping
@@ -35,7 +35,7 @@
  public:
   /// A probe of this member's own that stayed unanswered.
   struct Failure {
-    int peer = -1;
+    int peer = -1;           ///< that did not answer
     int silent_helpers = 0;  ///< asked, but said nothing either
   };
 
--- a/src/replica/endpoint_observation.h
+++ b/src/replica/endpoint_observation.h
@@ -35,12 +35,12 @@
 
 /// What one router, the observer, saw of one endpoint in one of its starts.
 struct EndpointObservation {
-  std::uint64_t endpoint = 0;   ///< stable hash of its id
-  Seconds started = 0;          ///< the endpoint's start as discovery tells it, on its clock; 0: long ago
-  std::uint64_t observer = 0;   ///< stable hash of the observing router's name
-  HybridTimestamp observed_at;  ///< when it was seen; passing it on does not change it
-  Health health = Health::ready;
-  double concurrency_limit = 0;  ///< attempts in flight that it was seen to bear; 0: not known
+  std::uint64_t endpoint = 0;     ///< stable hash of its id
+  Seconds started = 0;            ///< the endpoint's start as discovery tells it, on its clock; 0: long ago
+  std::uint64_t observer = 0;     ///< stable hash of the observing router's name
+  HybridTimestamp observed_at;    ///< when it was seen; passing it on does not change it
+  Health health = Health::ready;  ///< as it was seen
+  double concurrency_limit = 0;   ///< attempts in flight that it was seen to bear; 0: not known
   /// Equal in every field.
   bool operator==(const EndpointObservation&) const = default;
 };
--- a/src/replication/observation_persister.h
+++ b/src/replication/observation_persister.h
@@ -14,6 +14,7 @@
 /// Writes what changed since the last call, and reads it at a start. All parts must outlive it.
 class ObservationPersister {
  public:
+  /// Reads and writes nothing yet.
   ObservationPersister(Log& log, store::Store& store, replica::ObservationTracker& tracker)
       : log_(log), store_(store), tracker_(tracker) {}
 
