--- a/src/admin/admin_replies.cpp
+++ b/src/admin/admin_replies.cpp
@@ -96,7 +96,7 @@
 }  // namespace
 
 AdminReplies::AdminReplies(const Scheduler& scheduler, Log& log, purge::PurgeRegistry& purges, Names names,
-                           const RouterView& router, const fleet::Share* replication)
+                           const RouterView& router, const replication::ReplicationService* replication)
     : scheduler_(scheduler),
       log_(log),
       purges_(purges),
@@ -227,27 +227,27 @@
   const Seconds now = scheduler_.now();
   const auto& fleet = *replication_;
   const auto& datagrams = fleet.counts();
-  const auto observations = fleet.watch().facts().all();
+  const auto observations = fleet.tracker().observations().all();
   const Seconds uptime = std::max(kShortestUptime, now - fleet.started());
   json reply = {{"ok", true},
                 {"name", names_.self},
-                {"alive", fleet.members().alive()},
+                {"alive", fleet.members().alive_count()},
                 {"others", fleet.members().peers().size()},
                 {"catching_up", fleet.gossip().catching_up()},
-                {"local_trouble", fleet.members().ill()},
+                {"local_trouble", fleet.members().local_health_score()},
                 {"suspected_here", fleet.members().suspicions()},
                 {"refuted", fleet.members().refuted()},
                 {"members", members()},
                 {"facts_held", observations.size()},
-                {"facts_heard", fleet.gossip().facts_heard()},
+                {"facts_heard", fleet.gossip().observations_received()},
                 {"facts", describe(observations)},
                 {"counters", counters()},
-                {"facts_refused", fleet.watch().refused()},
+                {"facts_refused", fleet.tracker().refused()},
                 {"strangers", datagrams.strangers},
                 {"unreadable", datagrams.unreadable},
                 {"unsent", datagrams.unsent},
-                {"bytes_in_a_s", static_cast<double>(datagrams.bytes_in) / uptime},
-                {"bytes_out_a_s", static_cast<double>(datagrams.bytes_out) / uptime}};
+                {"bytes_in_a_s", static_cast<double>(datagrams.bytes_received) / uptime},
+                {"bytes_out_a_s", static_cast<double>(datagrams.bytes_sent) / uptime}};
   add_rollouts(reply, fleet.changes(), now);
   return dump_replacing(reply);
 }
@@ -258,14 +258,13 @@
   const auto& peers = replication_->members().peers();
   for (std::size_t n = 0; n < peers.size(); ++n)
     all.push_back({{"name", names_.peers[n]},
-                   {"state", fleet::Members::kNames[static_cast<int>(peers[n].state)]},
+                   {"state", membership::to_string(peers[n].state)},
                    {"for_s", now - peers[n].since},
-                   {"heard_s_ago", age_or_null(now, peers[n].heard)}});
+                   {"heard_s_ago", age_or_null(now, peers[n].last_heard)}});
   return all;
 }
 
-json AdminReplies::describe(const std::vector<replica::Fact>& observations) const {
-  constexpr std::string_view kHealthNames[] = {"ready", "slow", "cold", "draining", "gone"};
+json AdminReplies::describe(const std::vector<replica::EndpointObservation>& observations) const {
   const Seconds now = scheduler_.now();
   std::map<std::uint64_t, std::string> endpoints;
   for (int n = 0; n < router_.endpoints(); ++n) {
@@ -276,12 +275,12 @@
   json all = json::array();
   for (const auto& observation : observations) {
     if (all.size() >= kMostObservations) break;
-    const auto known = endpoints.find(observation.server);
+    const auto known = endpoints.find(observation.endpoint);
     all.push_back(
-        {{"server", known == endpoints.end() ? fmt::format("{:016x}", observation.server) : known->second},
-         {"state", kHealthNames[static_cast<int>(observation.health)]},
+        {{"server", known == endpoints.end() ? fmt::format("{:016x}", observation.endpoint) : known->second},
+         {"state", replica::to_string(observation.health)},
          {"by", replication_->name_of(observation.observer)},
-         {"ago_s", now - observation.seen.seconds()}});
+         {"ago_s", now - observation.observed_at.seconds()}});
   }
   return all;
 }
--- a/src/admin/admin_replies.h
+++ b/src/admin/admin_replies.h
@@ -8,12 +8,12 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/share.h"
 #include "io/log.h"
 #include "io/scheduler.h"
 #include "purge/entry.h"
 #include "purge/purge_registry.h"
-#include "replica/facts.h"
+#include "replica/endpoint_observations.h"
+#include "replication/replication_service.h"
 
 namespace walkpaddle::admin {
 
@@ -41,7 +41,7 @@
   };
   /// `replication`: null where nothing is shared.
   AdminReplies(const Scheduler& scheduler, Log& log, purge::PurgeRegistry& purges, Names names,
-               const RouterView& router, const fleet::Share* replication);
+               const RouterView& router, const replication::ReplicationService* replication);
 
   /// The reply to one line, without the line's end. A request that cannot be read or is refused is answered
   /// with `ok` false and `why`.
@@ -57,7 +57,7 @@
   nlohmann::json purge_peers() const;
   std::string fleet_status() const;
   nlohmann::json members() const;
-  nlohmann::json describe(const std::vector<replica::Fact>& observations) const;
+  nlohmann::json describe(const std::vector<replica::EndpointObservation>& observations) const;
   nlohmann::json counters() const;
   std::string number_text(const purge::PurgeStamp& stamp) const;
   const purge::PurgeEntry* find_purge(const std::string& number) const;
@@ -67,7 +67,7 @@
   purge::PurgeRegistry& purges_;
   const Names names_;
   const RouterView& router_;
-  const fleet::Share* const replication_;
+  const replication::ReplicationService* const replication_;
 };
 
 }  // namespace walkpaddle::admin
--- a/src/fleet/changes.cpp
+++ b/src/fleet/changes.cpp
@@ -2,7 +2,7 @@
 
 #include "base/text.h"
 #include "config/settings.h"
-#include "fleet/wire.h"
+#include "store/key.h"
 
 namespace walkpaddle::fleet {
 
@@ -14,20 +14,20 @@
   return names;
 }
 
-std::string numbered(char letter, const replica::Kind& kind) {
+std::string numbered(char letter, const replica::ReplicatedState& kind) {
   std::string key(1, letter);
   return key += std::to_string(kind.number());
 }
 
 // Items in the order in which a start takes them: what is said of a change that is not known is passed over.
-std::string key_of(const replica::Kind& kind, std::uint64_t id) {
-  return numbers_text(numbered('k', kind), {kind.place_of(id), id});
+std::string key_of(const replica::ReplicatedState& kind, std::uint64_t id) {
+  return store::encode_key(numbered('k', kind), {kind.join_order(id), id});
 }
 
 }  // namespace
 
-Changes::Changes(Log& log, const Setup& setup, const Members& members, Gossip& gossip, store::Store* store,
-                 Seconds now)
+Changes::Changes(Log& log, const Setup& setup, const membership::Membership& members, gossip::Gossip& gossip,
+                 store::Store* store, Seconds now)
     : log_(log),
       setup_(setup),
       members_(members),
@@ -36,18 +36,19 @@
       calendar_(stable_hash(setup.name), names_of(setup), {}),
       rollout_(
           [&] {
-            change::Rollout::Setup s{
-                .self = {stable_hash(setup.name), setup.site},
-                .peers = {},
-                .generation = setup.generation,
-                .seed = setup.seed,
-                .lasting = store != nullptr,
-                .alive =
-                    [this](int p) {
-                      const auto state = members_.peers()[static_cast<std::size_t>(p)].state;
-                      return state == Members::State::alive || state == Members::State::suspect;
-                    },
-                .refuses = [this](const change::Document& d) { return refuses(d); }};
+            change::Rollout::Setup s{.self = {stable_hash(setup.name), setup.site},
+                                     .peers = {},
+                                     .generation = setup.generation,
+                                     .seed = setup.seed,
+                                     .lasting = store != nullptr,
+                                     .alive =
+                                         [this](int p) {
+                                           const auto state =
+                                               members_.peers()[static_cast<std::size_t>(p)].state;
+                                           return state == membership::MemberState::alive ||
+                                                  state == membership::MemberState::suspect;
+                                         },
+                                     .refuses = [this](const change::Document& d) { return refuses(d); }};
             for (const auto& p : setup.peers) s.peers.push_back({stable_hash(p.name), p.site});
             return s;
           }(),
@@ -61,8 +62,8 @@
 std::string Changes::refuses(const change::Document& d) const {
   for (std::size_t p = 0; p < setup_.peers.size(); ++p) {
     const auto& peer = members_.peers()[p];
-    if ((peer.state == Members::State::alive || peer.state == Members::State::suspect) &&
-        compat::says_nothing_of(peer.reads, compat::ChannelOf::changes))
+    if ((peer.state == membership::MemberState::alive || peer.state == membership::MemberState::suspect) &&
+        compat::says_nothing_of(peer.channel_versions, compat::ChannelOf::changes))
       return setup_.peers[p].name +
              " takes no part in changes: its file has no changes section, or its program is older";
   }
@@ -75,13 +76,14 @@
     std::vector<compat::Router> fleet;
     for (std::size_t p = 0; p < setup_.peers.size(); ++p) {
       const auto& peer = members_.peers()[p];
-      if (peer.state == Members::State::unheard) continue;
-      const bool away = peer.state == Members::State::dead;
+      if (peer.state == membership::MemberState::unheard) continue;
+      const bool away = peer.state == membership::MemberState::dead;
       std::size_t found = 0;
       for (const auto& release : kept) {
         const auto reads = [&](const char* channel, compat::ChannelOf of) {
           const auto it = release.channels.find(channel);
-          return it == release.channels.end() || it->second.version == compat::version_of(peer.reads, of);
+          return it == release.channels.end() ||
+                 it->second.version == compat::version_of(peer.channel_versions, of);
         };
         if (!reads("links", compat::ChannelOf::links) || !reads("gossip", compat::ChannelOf::gossip) ||
             !reads("calendar", compat::ChannelOf::calendar) || !reads("changes", compat::ChannelOf::changes))
@@ -100,11 +102,11 @@
 }
 
 void Changes::restore(std::string_view key, std::string_view value, Seconds now) {
-  replica::Kind* kinds[] = {&calendar_, &rollout_};
+  replica::ReplicatedState* kinds[] = {&calendar_, &rollout_};
   for (auto* kind : kinds) {
     const bool own = key == numbered('o', *kind), item = key.starts_with(numbered('k', *kind));
-    if (own) kind->own_back(value);
-    if (item) kind->take(value, now);
+    if (own) kind->restore_private_state(value);
+    if (item) kind->join(value, now);
     if (own || item) stored_[std::string(key)] = value;
   }
 }
@@ -113,11 +115,11 @@
 // look.
 void Changes::keep(bool all) {
   std::map<std::string, std::string> now;
-  const replica::Kind* kinds[] = {&calendar_, &rollout_};
+  const replica::ReplicatedState* kinds[] = {&calendar_, &rollout_};
   for (const auto* kind : kinds) {
-    if (auto own = kind->own(); !own.empty()) now[numbered('o', *kind)] = std::move(own);
-    for (int range = 0; all && range < replica::Kind::kRanges; ++range)
-      for (const auto id : kind->of_range(range)) now[key_of(*kind, id)] = kind->bytes(id);
+    if (auto own = kind->private_state(); !own.empty()) now[numbered('o', *kind)] = std::move(own);
+    for (int range = 0; all && range < replica::ReplicatedState::kDigestRanges; ++range)
+      for (const auto id : kind->ids_of_range(range)) now[key_of(*kind, id)] = kind->bytes(id);
   }
   for (const auto& [key, value] : now)
     if (const auto it = stored_.find(key); it == stored_.end() || it->second != value)
@@ -129,8 +131,8 @@
 void Changes::pull(Seconds now) {
   constexpr Seconds kLook = 0.5;
   const bool look = now >= look_at_;
-  if (!gossip_.catching_up() && members_.alive() + 1 >= calendar_.majority()) calendar_.in_contact(now);
-  if (look) calendar_.clock_apart(gossip_.clock_apart(now));
+  if (!gossip_.catching_up() && members_.alive_count() + 1 >= calendar_.majority()) calendar_.in_contact(now);
+  if (look) calendar_.clock_apart(gossip_.clock_offset(now));
   rollout_.counted(setup_.counted());
   const auto move = rollout_.next_move(now);
   for (const auto& line : rollout_.take_said()) log_("change", "{}", line);
--- a/src/fleet/changes.h
+++ b/src/fleet/changes.h
@@ -11,7 +11,7 @@
 
 #include "change/rollout.h"
 #include "compat/verdict.h"
-#include "fleet/gossip.h"
+#include "gossip/gossip.h"
 #include "io/log.h"
 #include "store/store.h"
 
@@ -34,8 +34,8 @@
     std::function<void(const change::Rollout::Move&)> carry_out;
     std::function<change::Counters()> counted;
   };
-  Changes(Log& log, const Setup& setup, const Members& members, Gossip& gossip, store::Store* store,
-          Seconds now);
+  Changes(Log& log, const Setup& setup, const membership::Membership& members, gossip::Gossip& gossip,
+          store::Store* store, Seconds now);
 
   void pull(Seconds now);  // at a turn's end
   Seconds next_due() const;
@@ -54,8 +54,8 @@
 
   Log& log_;
   const Setup setup_;
-  const Members& members_;
-  Gossip& gossip_;
+  const membership::Membership& members_;
+  gossip::Gossip& gossip_;
   store::Store* const store_;
   freeze::Calendar calendar_;
   change::Rollout rollout_;
--- a/src/replication/peer_links.cpp
+++ b/src/replication/peer_links.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "base/text.h"
-#include "fleet/wire.h"
+#include "replication/link_codec.h"
 
 namespace walkpaddle::replication {
 
@@ -22,7 +22,7 @@
 }  // namespace
 
 // One connection's messages, from the first on. The peer is known from its hello, or was dialled.
-struct PeerLinks::Session final : fleet::Messages {
+struct PeerLinks::Session final : LinkMessageHandler {
   Session(PeerLinks& its_links, Stream& its_stream, std::optional<int> dialled_peer)
       : links(its_links), stream(its_stream), peer(dialled_peer), heard_at(its_links.scheduler_.now()) {}
   Session(const Session&) = delete;
@@ -49,12 +49,12 @@
     peer = sender;
     greeted = true;
     link.stream = &stream;
-    if (!link.dials) stream.write(fleet::hello_message(links.setup_.name));
+    if (!link.dials) stream.write(encode_hello(links.setup_.name));
     replication().connected(*sender);
     links.log_("fleet", "{}: connected", name);
   }
 
-  void beat(Seconds remote_time, Seconds echo, bool complete) override {
+  void heartbeat(Seconds remote_time, Seconds echo, bool complete) override {
     replication().heartbeat_begin(greeted_peer(), remote_time, echo, complete);
   }
 
@@ -63,7 +63,7 @@
                                  links.scheduler_.now());
   }
 
-  void beat_end() override {
+  void heartbeat_end() override {
     const Seconds now = links.scheduler_.now();
     replication().heartbeat_end(greeted_peer(), now);
     links.purges_.after_input(now);
@@ -78,14 +78,14 @@
     links.purges_.after_input(now);
   }
 
-  void want(std::uint64_t issuer, std::uint64_t from_number) override {
+  void request(std::uint64_t issuer, std::uint64_t from_number) override {
     replication().request_received(greeted_peer(), issuer, from_number);
   }
 
   // Reads what came; false once the other side sends what cannot be read.
   bool read_messages() {
     try {
-      while (const auto used = fleet::read_message(stream.in(), *this)) {
+      while (const auto used = read_link_message(stream.in(), *this)) {
         stream.consume(used);
         heard_at = links.scheduler_.now();
       }
@@ -169,7 +169,7 @@
     if (!in_time || stream.error() != 0) co_return;
   }
   Session session(*this, stream, dialled_peer);
-  if (dialled_peer) stream.write(fleet::hello_message(setup_.name));
+  if (dialled_peer) stream.write(encode_hello(setup_.name));
   for (;;) {
     const auto came = stream.read();
     if (came == Stream::Came::end) break;
@@ -205,11 +205,11 @@
   switch (outgoing.kind) {
     case Kind::heartbeat:
       return stream->write(
-          fleet::beat_message(purges_.log(), *purges_.replication(), scheduler_.now(), outgoing.echo));
+          encode_heartbeat(purges_.log(), *purges_.replication(), scheduler_.now(), outgoing.echo));
     case Kind::entry:
-      return stream->write(fleet::entry_message(*outgoing.entry));
+      return stream->write(encode_purge(*outgoing.entry));
     case Kind::request:
-      return stream->write(fleet::want_message(outgoing.issuer, outgoing.from_number));
+      return stream->write(encode_request(outgoing.issuer, outgoing.from_number));
   }
 }
 
--- a/src/replication/peer_links.h
+++ b/src/replication/peer_links.h
@@ -13,6 +13,7 @@
 #include "io/log.h"
 #include "io/stream.h"
 #include "purge/purge_registry.h"
+#include "replication/peer.h"
 
 namespace walkpaddle::replication {
 
@@ -20,11 +21,6 @@
 /// scheduler's tasks are dropped (Scheduler::drop_tasks) before they go. Threads: the scheduler's.
 class PeerLinks {
  public:
-  /// Another router.
-  struct Peer {
-    std::string name;  ///< as it is set up there
-    Address address;   ///< where it listens
-  };
   /// What the links are set up with.
   struct Setup {
     std::string name;         ///< this router's
--- a/src/replication/purge_persister.cpp
+++ b/src/replication/purge_persister.cpp
@@ -7,7 +7,8 @@
 #include <vector>
 
 #include "base/text.h"
-#include "fleet/wire.h"
+#include "replication/link_codec.h"
+#include "store/key.h"
 
 namespace walkpaddle::replication {
 
@@ -30,7 +31,7 @@
 }
 
 std::string entry_key(const PurgeStamp& stamp) {
-  return fleet::numbers_text({kEntryPrefix}, {stamp.issuer, stamp.number});
+  return store::encode_key({kEntryPrefix}, {stamp.issuer, stamp.number});
 }
 
 // How far an issuer's entries were dropped, as it stands in the store.
@@ -75,7 +76,7 @@
   try {
     store_.for_each([&](std::string_view key, std::string_view value) {
       if (key.starts_with(kEntryPrefix)) {
-        entries.push_back(fleet::stored_entry(value));
+        entries.push_back(decode_stored_purge(value));
       } else if (key.starts_with(kDroppedPrefix)) {
         const auto record = parse_dropped(key, value);
         purges_.restore_dropped(record.issuer, record.dropped, record.evicted_valid_since, now);
@@ -109,7 +110,7 @@
 
 bool PurgePersister::store_new() {
   while (const auto* entry = purges_.next_to_store()) {
-    if (!store_.put(entry_key(entry->stamp), fleet::stored_text(*entry), entry->position)) return false;
+    if (!store_.put(entry_key(entry->stamp), encode_stored_purge(*entry), entry->position)) return false;
     purges_.mark_queued(*entry);
   }
   return true;
@@ -121,9 +122,9 @@
     // Rounded up: a time further on covers more.
     const auto evicted_micros = static_cast<std::uint64_t>(progress.evicted_valid_since / kMicrosecond) +
                                 (progress.evicted_valid_since > 0 ? 1 : 0);
-    const auto key = fleet::numbers_text({kDroppedPrefix}, {stamp->issuer});
+    const auto key = store::encode_key({kDroppedPrefix}, {stamp->issuer});
     // What was dropped first: cut off between the two, an entry stays that need not.
-    if (!store_.put(key, fleet::numbers_text("", {progress.dropped, evicted_micros}), 0)) return;
+    if (!store_.put(key, store::encode_key("", {progress.dropped, evicted_micros}), 0)) return;
     if (!store_.erase(entry_key(*stamp))) return;
     purges_.mark_erased();
   }
--- a/src/server/fleet_setup.cpp
+++ b/src/server/fleet_setup.cpp
@@ -40,8 +40,8 @@
   return setup;
 }
 
-std::vector<replication::PeerLinks::Peer> fleet_peers(const config::OperatorConfig& operators) {
-  std::vector<replication::PeerLinks::Peer> peers;
+std::vector<replication::Peer> fleet_peers(const config::OperatorConfig& operators) {
+  std::vector<replication::Peer> peers;
   for (const auto& peer : operators.fleet.peers) peers.push_back({peer.name, parse_address(peer.address)});
   return peers;
 }
--- a/src/server/fleet_setup.h
+++ b/src/server/fleet_setup.h
@@ -28,6 +28,6 @@
                                          purge::LogStorage storage);
 
 /// The other routers with their addresses, in the order of the file. InputError if one is no address.
-std::vector<replication::PeerLinks::Peer> fleet_peers(const config::OperatorConfig& operators);
+std::vector<replication::Peer> fleet_peers(const config::OperatorConfig& operators);
 
 }  // namespace walkpaddle::server
--- a/src/server/rollout_agent.h
+++ b/src/server/rollout_agent.h
@@ -12,11 +12,11 @@
 #include "config/operator_config.h"
 #include "config/platform_config.h"
 #include "fleet/changes.h"
-#include "fleet/share.h"
 #include "io/fd.h"
 #include "io/log.h"
 #include "io/scheduler.h"
 #include "net/request_dispatcher.h"
+#include "replication/replication_service.h"
 #include "server/lifecycle.h"
 #include "server/metrics.h"
 #include "server/signals.h"
@@ -60,7 +60,7 @@
   /// outlive whom it is given to. Called once, before connect().
   std::optional<fleet::Changes::Setup> changes_setup();
   /// The replication service that holds the rollouts; it must live until the scheduler's last turn.
-  void connect(fleet::Share& replication) { replication_ = &replication; }
+  void connect(replication::ReplicationService& replication) { replication_ = &replication; }
   /// At a turn's end: whether a started program is ready.
   void turn_ends();
   /// Who follows, once the scheduler has stopped; nullopt: nobody.
@@ -80,7 +80,7 @@
   void started_program_ready();
 
   const Parts parts_;
-  fleet::Share* replication_ = nullptr;  // null: nothing is shared
+  replication::ReplicationService* replication_ = nullptr;  // null: nothing is shared
   std::optional<Successor> successor_;
   std::map<std::string, std::string> generations_;  // settings beyond the platform's, as lines, by generation
   std::string settings_lines_;                      // of the present one
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -109,20 +109,21 @@
     links_ = std::make_unique<replication::PeerLinks>(scheduler_, outbox_, log_, purges_, setup);
   }
   if (!fleet.replicate) return;
-  replication_ = std::make_unique<fleet::Share>(scheduler_, log_, replication_setup());
-  discovery_.share(&replication_->watch());
+  replication_ = std::make_unique<replication::ReplicationService>(scheduler_, log_, replication_setup());
+  discovery_.share(&replication_->tracker());
   rollout_agent_.connect(*replication_);
 }
 
-fleet::Share::Setup Server::replication_setup() {
+replication::ReplicationService::Setup Server::replication_setup() {
   return {.name = operators_.fleet.name,
           .listen = parse_address(operators_.fleet.listen),
           .peers = fleet_peers(operators_),
           .seed = fold_seed(config_.seed),
           .store = store_.get(),
-          .look_again = [this] { discovery_.tell_facts(); },
-          .learnt = [this] { return warm_start_.replicated_snapshot(); },
-          .take_learnt = [this](const fleet::Belief& kept) { warm_start_.restore_replicated(kept); },
+          .on_observations = [this] { discovery_.tell_facts(); },
+          .take_snapshot = [this] { return warm_start_.replicated_snapshot(); },
+          .restore_snapshot =
+              [this](const gossip::ReplicatedSnapshot& kept) { warm_start_.restore_replicated(kept); },
           .changes = rollout_agent_.changes_setup()};
 }
 
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -13,7 +13,6 @@
 #include "admin/admin_server.h"
 #include "config/operator_config.h"
 #include "config/platform_config.h"
-#include "fleet/share.h"
 #include "io/log.h"
 #include "io/scheduler.h"
 #include "io/stream.h"
@@ -25,6 +24,7 @@
 #include "purge/purge_registry.h"
 #include "replication/peer_links.h"
 #include "replication/purge_persister.h"
+#include "replication/replication_service.h"
 #include "server/admin_view.h"
 #include "server/descriptor_budget.h"
 #include "server/lifecycle.h"
@@ -77,7 +77,7 @@
 
   void log_isolated_failures();
   void connect_fleet();
-  fleet::Share::Setup replication_setup();
+  replication::ReplicationService::Setup replication_setup();
   void open_admin_socket();
   void fleet_turn_ends();
 
@@ -109,11 +109,11 @@
   Lifecycle lifecycle_;
   RolloutAgent rollout_agent_;
   std::unique_ptr<replication::PurgePersister>
-      purge_persister_;                                 // null: no store, or no purges between routers
-  std::unique_ptr<replication::PeerLinks> links_;       // null: no purges between routers
-  std::unique_ptr<fleet::Share> replication_;           // null: nothing is shared
-  std::unique_ptr<net::PurgeNotifier> purge_notifier_;  // null: cache servers are not notified
-  std::unique_ptr<admin::AdminServer> admin_server_;    // null: no admin socket
+      purge_persister_;                            // null: no store, or no purges between routers
+  std::unique_ptr<replication::PeerLinks> links_;  // null: no purges between routers
+  std::unique_ptr<replication::ReplicationService> replication_;  // null: nothing is shared
+  std::unique_ptr<net::PurgeNotifier> purge_notifier_;            // null: cache servers are not notified
+  std::unique_ptr<admin::AdminServer> admin_server_;              // null: no admin socket
   std::vector<std::shared_ptr<void>> optional_listeners_;
 };
 
--- a/src/server/warm_start.cpp
+++ b/src/server/warm_start.cpp
@@ -103,28 +103,30 @@
        kept.service_times.size(), kept.unreachable.size());
 }
 
-fleet::Belief WarmStart::replicated_snapshot() const {
+gossip::ReplicatedSnapshot WarmStart::replicated_snapshot() const {
   const auto snapshot = dispatcher_.module().snapshot();
-  fleet::Belief replicated{.link = snapshot.link_limit, .misses = snapshot.miss_ratio};
+  gossip::ReplicatedSnapshot replicated{.link_limit = snapshot.link_limit, .miss_ratio = snapshot.miss_ratio};
   for (const auto& limit : snapshot.limits)
-    replicated.rooms.push_back({stable_hash(upstream_.id(limit.endpoint)), limit.attempts, limit.fills});
+    replicated.limits.push_back({stable_hash(upstream_.id(limit.endpoint)), limit.attempts, limit.fills});
   for (const auto& count : snapshot.objects) replicated.objects.push_back({count.object, count.count});
-  for (const auto& time : snapshot.service_times) replicated.rules.push_back({time.mean, time.answers});
+  for (const auto& time : snapshot.service_times)
+    replicated.service_times.push_back({time.mean, time.answers});
   return replicated;
 }
 
-void WarmStart::restore_replicated(const fleet::Belief& replicated) {
-  WarmStartSnapshot snapshot{.link_limit = replicated.link,
-                             .miss_ratio = replicated.misses,
-                             .age = std::max(0.0, scheduler_.now() - replicated.at)};
+void WarmStart::restore_replicated(const gossip::ReplicatedSnapshot& replicated) {
+  WarmStartSnapshot snapshot{.link_limit = replicated.link_limit,
+                             .miss_ratio = replicated.miss_ratio,
+                             .age = std::max(0.0, scheduler_.now() - replicated.taken_at)};
   for (const auto& count : replicated.objects) snapshot.objects.push_back({count.object, count.count});
-  for (const auto& time : replicated.rules) snapshot.service_times.push_back({time.sending, time.answers});
+  for (const auto& time : replicated.service_times)
+    snapshot.service_times.push_back({time.mean, time.answers});
   std::map<std::uint64_t, int> endpoints;
   for (int endpoint = 0; endpoint < upstream_.members(); ++endpoint)
     endpoints[stable_hash(upstream_.id(endpoint))] = endpoint;
-  for (const auto& limit : replicated.rooms) {
-    const auto it = endpoints.find(limit.server);
-    if (it != endpoints.end()) snapshot.limits.push_back({it->second, limit.hops, limit.fills});
+  for (const auto& limit : replicated.limits) {
+    const auto it = endpoints.find(limit.endpoint);
+    if (it != endpoints.end()) snapshot.limits.push_back({it->second, limit.attempts, limit.fills});
   }
   dispatcher_.input().restore_snapshot(snapshot);
 }
--- a/src/server/warm_start.h
+++ b/src/server/warm_start.h
@@ -5,7 +5,7 @@
 
 #include "config/operator_config.h"
 #include "config/settings.h"
-#include "fleet/keepers.h"
+#include "gossip/replicated_snapshot.h"
 #include "io/log.h"
 #include "io/scheduler.h"
 #include "net/request_dispatcher.h"
@@ -34,9 +34,9 @@
   void write_file();
 
   /// The policy's snapshot in the form that other routers keep.
-  fleet::Belief replicated_snapshot() const;
+  gossip::ReplicatedSnapshot replicated_snapshot() const;
   /// Restores what other routers kept of this one's earlier start.
-  void restore_replicated(const fleet::Belief& replicated);
+  void restore_replicated(const gossip::ReplicatedSnapshot& replicated);
 
  private:
   int restore_service_times(const warm_start::SnapshotFile& kept, WarmStartSnapshot& snapshot) const;
--- a/tests/purge_parts.cpp
+++ b/tests/purge_parts.cpp
@@ -14,9 +14,9 @@
 
 #include "base/text.h"
 #include "config/settings.h"
-#include "fleet/wire.h"
 #include "purge/purge_index.h"
 #include "purge/purge_registry.h"
+#include "replication/link_codec.h"
 #include "store/store.h"
 
 using namespace walkpaddle;
@@ -168,22 +168,22 @@
           purges.valid_since(object, 0, {}, 1005) == 1005);
 }
 
-struct Heard final : fleet::Messages {
+struct Heard final : replication::LinkMessageHandler {
   std::string text;
   void hello(int version, std::string_view name) override {
     text += fmt::format("hello {} {};", version, name);
   }
-  void beat(Seconds theirs, Seconds echo, bool whole) override {
+  void heartbeat(Seconds theirs, Seconds echo, bool whole) override {
     text += fmt::format("beat {} {} {};", theirs, echo, whole);
   }
   void head(std::uint64_t i, std::uint64_t n, std::uint64_t b, Seconds g) override {
     text += fmt::format("head {} {} {} {};", i, n, b, g);
   }
-  void beat_end() override { text += "end;"; }
+  void heartbeat_end() override { text += "end;"; }
   void entry(const PurgeStamp& s, PurgeKind k, std::string_view what) override {
     text += fmt::format("entry {} {} {} {} {};", s.issued_at, s.issuer, s.number, static_cast<int>(k), what);
   }
-  void want(std::uint64_t i, std::uint64_t from) override { text += fmt::format("want {} {};", i, from); }
+  void request(std::uint64_t i, std::uint64_t from) override { text += fmt::format("want {} {};", i, from); }
 };
 
 void messages() {
@@ -191,17 +191,18 @@
   PurgeReplication replication(log, 2, LogStorage::memory, {}, 1000);
   log.issue(5, PurgeKind::tag, "contract7", 1000);
   const auto& e = log.issue(5, PurgeKind::pattern, "0*1.", 1001);
-  const std::string texts[] = {fleet::hello_message("r1"), fleet::beat_message(log, replication, 1002, 999),
-                               fleet::entry_message(e), fleet::want_message(5, 2)};
+  const std::string texts[] = {replication::encode_hello("r1"), replication::encode_heartbeat(log, replication, 1002, 999),
+                               replication::encode_purge(e), replication::encode_request(5, 2)};
   const std::string wanted[] = {"hello 1 r1;", "beat 1002 999 false;head 5 2 0 0;end;",
                                 "entry 1001 5 2 3 0*1.;", "want 5 2;"};
   bool whole = true, cut = true, spoilt = true;
   for (int n = 0; n < 4; ++n) {
     Heard heard;
-    whole = whole && fleet::read_message(texts[n], heard) == texts[n].size() && heard.text == wanted[n];
+    whole = whole && replication::read_link_message(texts[n], heard) == texts[n].size() &&
+            heard.text == wanted[n];
     for (std::size_t size = 0; size < texts[n].size(); ++size) {
       Heard part;
-      cut = cut && fleet::read_message(std::string_view(texts[n]).substr(0, size), part) == 0 &&
+      cut = cut && replication::read_link_message(std::string_view(texts[n]).substr(0, size), part) == 0 &&
             part.text.empty();
     }
     // Each bit turned: read as something bounded, or InputError; never more than there is.
@@ -210,7 +211,7 @@
       text[bit / 8] = static_cast<char>(text[bit / 8] ^ 1 << bit % 8);
       Heard other;
       try {
-        spoilt = spoilt && fleet::read_message(text, other) <= text.size();
+        spoilt = spoilt && replication::read_link_message(text, other) <= text.size();
       } catch (const InputError&) {
       }
     }
