--- a/src/admin/change_documents.cpp
+++ b/src/admin/change_documents.cpp
@@ -1,5 +1,7 @@
 #include "admin/change_documents.h"
 
+#include <fmt/core.h>
+
 #include <algorithm>
 #include <filesystem>
 #include <string_view>
@@ -83,35 +85,38 @@
   return exception;
 }
 
+[[noreturn]] void refuse_change(const Section& section, const std::string& why, const std::string& key = {}) {
+  section.refuse(fmt::format("change {}: {}", section.title(), why), key);
+}
+
 // Lines "path=value" of settings that a router takes while it serves.
 std::string read_settings_lines(const Section& section, const std::vector<std::string>& lines) {
-  const auto change = "change " + section.title() + ": ";
   std::string joined;
   for (const auto& line : lines) {
     std::string_view value = line;
     const std::string key(take_field(value, '='));
     if (!config::is_live_setting(key))
-      section.refuse(
-          change + "'" + key + "' does not change while a router serves; it takes a release or a restart",
+      refuse_change(
+          section,
+          fmt::format("'{}' does not change while a router serves; it takes a release or a restart", key),
           key);
     if (value.empty() || value.find_first_of("\n ") != std::string_view::npos)
-      section.refuse(change + "'" + line + "', expected path=value", key);
-    joined += (joined.empty() ? "" : "\n") + line;
+      refuse_change(section, fmt::format("'{}', expected path=value", line), key);
+    joined.append(joined.empty() ? "" : "\n").append(line);
   }
   return joined;
 }
 
 std::string read_body(const Section& section, std::uint8_t work) {
-  const auto change = "change " + section.title() + ": ";
   const auto settings = section.texts("settings");
-  const auto program = section.text("program");
+  auto program = section.text("program");
   if (work == freeze::kRelease) {
     if (program.empty() || !settings.empty())
-      section.refuse(change + "a release names its program and no settings");
+      refuse_change(section, "a release names its program and no settings");
     return program;
   }
   if (settings.empty() || !program.empty())
-    section.refuse(change + "a change of settings names settings and no program");
+    refuse_change(section, "a change of settings names settings and no program");
   return read_settings_lines(section, settings);
 }
 
@@ -132,8 +137,7 @@
   document.at_once = section.number("at_once");
   document.harm = section.number("harm");
   document.ratio = section.number("ratio");
-  if (const auto why = refusal(document); !why.empty())
-    section.refuse("change " + document.name + ": " + why);
+  if (const auto why = refusal(document); !why.empty()) refuse_change(section, why);
   return document;
 }
 
@@ -168,7 +172,7 @@
 }
 
 cfg_opt_t* change_options() {
-  static const change::Document kDefaults;
+  const change::Document defaults;
   static cfg_opt_t options[] = {CFG_STR("work", "settings", CFGF_NONE),
                                 CFG_STR("before", nullptr, CFGF_NODEFAULT),
                                 CFG_STR("after", nullptr, CFGF_NODEFAULT),
@@ -176,14 +180,14 @@
                                 CFG_STR_LIST("settings", nullptr, CFGF_NONE),
                                 CFG_STR("program", nullptr, CFGF_NODEFAULT),
                                 CFG_FLOAT_LIST("stages", nullptr, CFGF_NONE),
-                                CFG_INT("txns", static_cast<long>(kDefaults.txns), CFGF_NONE),
-                                CFG_FLOAT("least", kDefaults.least, CFGF_NONE),
-                                CFG_FLOAT("longest", kDefaults.longest, CFGF_NONE),
-                                CFG_FLOAT("warm_up", kDefaults.warm_up, CFGF_NONE),
-                                CFG_FLOAT("ready_in", kDefaults.ready_in, CFGF_NONE),
-                                CFG_FLOAT("at_once", kDefaults.at_once, CFGF_NONE),
-                                CFG_FLOAT("harm", kDefaults.harm, CFGF_NONE),
-                                CFG_FLOAT("ratio", kDefaults.ratio, CFGF_NONE),
+                                CFG_INT("txns", static_cast<long>(defaults.txns), CFGF_NONE),
+                                CFG_FLOAT("least", defaults.least, CFGF_NONE),
+                                CFG_FLOAT("longest", defaults.longest, CFGF_NONE),
+                                CFG_FLOAT("warm_up", defaults.warm_up, CFGF_NONE),
+                                CFG_FLOAT("ready_in", defaults.ready_in, CFGF_NONE),
+                                CFG_FLOAT("at_once", defaults.at_once, CFGF_NONE),
+                                CFG_FLOAT("harm", defaults.harm, CFGF_NONE),
+                                CFG_FLOAT("ratio", defaults.ratio, CFGF_NONE),
                                 CFG_END()};
   return options;
 }
--- a/src/cli/successor.cpp
+++ b/src/cli/successor.cpp
@@ -45,6 +45,7 @@
 // As execve(2) takes them; they point into `texts`.
 std::vector<char*> pointers(std::vector<std::string>& texts) {
   std::vector<char*> all;
+  all.reserve(texts.size() + 1);
   for (auto& text : texts) all.push_back(text.data());
   all.push_back(nullptr);
   return all;
--- a/src/server/lifecycle.h
+++ b/src/server/lifecycle.h
@@ -33,7 +33,7 @@
   stopped        ///< answers nothing any more
 };
 
-/// As it stands in the log.
+/// As it stands in the log, whose readers know handing_over as "yielding".
 constexpr std::string_view to_string(Phase phase) {
   switch (phase) {
     case Phase::starting:
