--- a/lab/changes.cpp
+++ b/lab/changes.cpp
@@ -5,7 +5,8 @@
 
 namespace walkpaddle::lab {
 
-using change::Document, change::Rollout, change::Tally;
+using rollout::GenerationMove, rollout::RequestOutcome, rollout::Rollout, rollout::RolloutLimits,
+    rollout::RolloutPlan, rollout::RolloutStatus;
 
 Changes::Changes(const Setup& setup)
     : memory(0, setup.seed, setup.net,
@@ -22,16 +23,16 @@
   for (int n = 0; n < setup.routers; ++n) start(n);
 }
 
-Document Changes::document(const char* name, const char* before, const char* after) {
+RolloutPlan Changes::document(const char* name, const char* before, const char* after) {
   return {.name = name,
           .work = freeze::kSettings,
           .before = before,
           .after = after,
-          .by = "ana",
+          .author = "ana",
           .body = "allowed.max_attempts=2",
-          .txns = 100,
-          .least = 10,
-          .longest = 300,
+          .min_requests = 100,
+          .min_stage_time = 10,
+          .max_stage_time = 300,
           .warm_up = 4};
 }
 
@@ -62,16 +63,16 @@
       .peers = {},
       .generation = m.program,
       .seed = static_cast<std::uint32_t>(r.number) * 7 + setup_.seed,
-      .lasting = setup_.store,
+      .durable = setup_.store,
       .alive =
           [&members = r.members](int p) {
             const auto state = members.peers()[static_cast<std::size_t>(p)].state;
             return state == fleet::Members::State::alive || state == fleet::Members::State::suspect;
           },
-      .refuses = setup_.refuses ? setup_.refuses : [](const Document&) { return std::string(); }};
+      .refusal = setup_.refuses ? setup_.refuses : [](const RolloutPlan&) { return std::string(); }};
   for (int p = 0; p < setup_.routers; ++p)
     if (p != r.number) s.peers.push_back({Memory::Router::name(p), site_of(p, setup_.sites)});
-  auto rollout = std::make_unique<Rollout>(s, *calendar, Rollout::Bounds{}, now);
+  auto rollout = std::make_unique<Rollout>(s, *calendar, RolloutLimits{}, now);
   if (setup_.store) {
     if (const auto own = m.store.find("own"); own != m.store.end()) rollout->own_back(own->second);
     for (const char* kind : {"0", "1"})
@@ -79,7 +80,7 @@
         if (key.starts_with(kind))
           (kind[0] == '0' ? static_cast<replica::Kind&>(*calendar) : *rollout).take(item, now);
   }
-  m.tally.begin(static_cast<std::uint64_t>(now * 1e6), now + 4);
+  m.metrics.begin(static_cast<std::uint64_t>(now * 1e6), now + 4);
   m.cpu = 0;
   const auto q = quality(m.program, r.number, now);
   m.dies_at = q.dies_after > 0 ? memory.now + q.dies_after : 0;
@@ -95,19 +96,19 @@
   const int count = std::poisson_distribution<>(setup_.rate * m.share * setup_.pace)(chance_);
   for (int t = 0; t < count; ++t) {
     const double fate = roll();
-    const auto end = fate < q.refused              ? Tally::End::rejected
-                     : fate < q.refused + q.failed ? Tally::End::aborted
-                                                   : Tally::End::completed;
+    const auto end = fate < q.refused              ? RequestOutcome::rejected
+                     : fate < q.refused + q.failed ? RequestOutcome::failed
+                                                   : RequestOutcome::served;
     const Seconds took = roll() < q.late ? 1.5 : -q.time * std::log(std::max(1e-9, roll()));
     const int hops = 1 + (roll() < q.hops);
-    m.tally.txn(end, took, 1, hops, now);
-    m.tally.hop(roll() < q.fills, false, now);
+    m.metrics.request_ended(end, took, 1, hops, now);
+    m.metrics.attempt_ended({.filled = roll() < q.fills, .rejected = false}, now);
     m.cpu += q.cpu;
     ++all_;
-    harmed_ += generation != "g1" && (end != Tally::End::completed || took > 1);
+    harmed_ += generation != "g1" && (end != RequestOutcome::served || took > 1);
   }
-  if (q.breaks_rule && count > 0) m.tally.breach();
-  m.tally.load(q.memory, m.cpu, now);
+  if (q.breaks_rule && count > 0) m.metrics.invariant_violated();
+  m.metrics.load_measured(q.memory, m.cpu, now);
 }
 
 void Changes::step(Memory::Router& r, Seconds now) {
@@ -117,8 +118,8 @@
   if (!r.gossip.catching_up() && r.members.alive() + 1 >= calendar.majority()) calendar.in_contact(now);
   calendar.clock_apart(r.gossip.clock_apart(now));
   traffic(m, rollout.running(), r.number, now);
-  rollout.counted(m.tally.counters());
-  for (auto& line : rollout.take_said()) m.said.push_back(std::move(line));
+  rollout.set_metrics(m.metrics.metrics());
+  for (auto& line : rollout.take_log_lines()) m.said.push_back(std::move(line));
   if (setup_.store) {
     m.store.clear();
     for (auto& kind : r.kinds)
@@ -133,14 +134,14 @@
 }
 
 // Settings at once; a program by an end and a start, back to the earlier one if it does not become ready.
-void Changes::carry_out(Memory::Router& r, const Rollout::Move& move, Seconds now) {
+void Changes::carry_out(Memory::Router& r, const GenerationMove& move, Seconds now) {
   auto& m = machines_[static_cast<std::size_t>(r.number)];
   auto& rollout = static_cast<Rollout&>(*r.kinds[1]);
   ++moves;
-  if (move.document.work == freeze::kSettings) {
-    if (!quality(move.to, r.number, now).ready) return rollout.move_failed("refused by the module", now);
-    rollout.moved(now);
-    m.tally.begin(static_cast<std::uint64_t>(now * 1e6), now + move.document.warm_up);
+  if (move.plan.work == freeze::kSettings) {
+    if (!quality(move.to, r.number, now).ready) return rollout.move_failed("refused by the module");
+    rollout.moved();
+    m.metrics.begin(static_cast<std::uint64_t>(now * 1e6), now + move.plan.warm_up);
     const auto q = quality(move.to, r.number, now);
     m.dies_at = q.dies_after > 0 ? memory.now + q.dies_after : 0;
     return;
@@ -197,9 +198,9 @@
   return best;
 }
 
-Rollout::Standing Changes::standing(int n, const std::string& change) {
-  for (const auto& s : (*this)[n].standing(now(n)))
-    if (s.document.name == change) return s;
+RolloutStatus Changes::standing(int n, const std::string& change) {
+  for (const auto& s : (*this)[n].status(now(n)))
+    if (s.plan.name == change) return s;
   return {};
 }
 
--- a/lab/changes.h
+++ b/lab/changes.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "change/rollout.h"
 #include "lab/memory.h"
+#include "rollout/rollout.h"
 
 namespace walkpaddle::lab {
 
@@ -36,18 +36,18 @@
     int sites = 1;
     Seconds now = 1'780'000'000;
     std::function<Quality(const std::string& generation, int router, Seconds now)> quality{};
-    std::function<std::string(const change::Document&)> refuses{};
+    std::function<std::string(const rollout::RolloutPlan&)> refuses{};
     Seconds pace = 0.05;
   };
   explicit Changes(const Setup& setup);
-  static change::Document document(const char* name = "c1", const char* before = "g1",
-                                   const char* after = "g2");
+  static rollout::RolloutPlan document(const char* name = "c1", const char* before = "g1",
+                                       const char* after = "g2");
   // No generation differs, but routers do, and the day goes up and down.
   static Quality uneven(unsigned seed, int n, Seconds now);
   static std::string site_of(int n, int sites) { return sites > 1 && n % sites == 1 ? "west" : "east"; }
 
-  change::Rollout& operator[](int n) {
-    return *static_cast<change::Rollout*>(memory.operator[](n).kinds[1].get());
+  rollout::Rollout& operator[](int n) {
+    return *static_cast<rollout::Rollout*>(memory.operator[](n).kinds[1].get());
   }
   freeze::Calendar& calendar(int n) {
     return *static_cast<freeze::Calendar*>(memory.operator[](n).kinds[0].get());
@@ -64,7 +64,7 @@
   int with(const std::string& generation);  // routers that run it
   bool everywhere(const std::string& generation) { return with(generation) == memory.size(); }
   int driver();  // -1: nobody drives; the one that says so with the greatest term
-  change::Rollout::Standing standing(int n, const std::string& change);
+  rollout::RolloutStatus standing(int n, const std::string& change);
   bool stopped(const std::string& change);  // at every router that is up
   bool done(const std::string& change);
   std::uint32_t stage(const std::string& change);  // the furthest that any router knows
@@ -83,7 +83,7 @@
     std::string program = "g1";  // what a start runs
     std::map<std::string, std::string> store;
     std::vector<std::string> said;
-    change::Tally tally;
+    rollout::MetricsCollector metrics;
     double share = 1;  // of the mean router's traffic
     Seconds started = 0, back_at = 0, dies_at = 0, fails_at = 0, cpu = 0;
     std::string trying;  // a program that is being started for the first time; the earlier one if it fails
@@ -92,7 +92,7 @@
   void furnish(Memory::Router& r, Seconds now);
   void step(Memory::Router& r, Seconds now);
   void traffic(Machine& m, const std::string& generation, int n, Seconds now);
-  void carry_out(Memory::Router& r, const change::Rollout::Move& move, Seconds now);
+  void carry_out(Memory::Router& r, const rollout::GenerationMove& move, Seconds now);
   Quality quality(const std::string& generation, int n, Seconds now) const;
   void supervise();
 
--- a/models/rollout.pml
+++ b/models/rollout.pml
@@ -1,4 +1,4 @@
-/* A rolling change among three routers, as src/change/rollout.cpp takes it from stage to stage: who wants to drive
+/* A rolling change among three routers, as src/rollout/driver.cpp takes it from stage to stage: who wants to drive
  * asks for votes under a term that nobody else uses; a router promises the greater term, and tells the stage that it
  * agreed to last. With a majority's promises it drives: what one of them agreed to under an earlier term it asks for
  * again, then for the next; a majority's agreement decides. Any router may hold a stop at any moment; stops and what
--- a/src/control/documents.cpp
+++ b/src/control/documents.cpp
@@ -65,13 +65,13 @@
   return e;
 }
 
-change::Document change_of(const std::string& path, cfg_t* s) {
-  change::Document d{.name = cfg_title(s),
-                     .work = work_of(path, s, text_of(s, "work")),
-                     .before = text_of(s, "before"),
-                     .after = text_of(s, "after"),
-                     .by = text_of(s, "by"),
-                     .body = {}};
+rollout::RolloutPlan change_of(const std::string& path, cfg_t* s) {
+  rollout::RolloutPlan d{.name = cfg_title(s),
+                         .work = work_of(path, s, text_of(s, "work")),
+                         .before = text_of(s, "before"),
+                         .after = text_of(s, "after"),
+                         .author = text_of(s, "by"),
+                         .body = {}};
   const auto settings = texts_of(s, "settings");
   const auto program = text_of(s, "program");
   if (d.work == freeze::kRelease && (program.empty() || !settings.empty()))
@@ -94,17 +94,17 @@
     d.stages.clear();
     for (unsigned n = 0; n < cfg_size(s, "stages"); ++n) d.stages.push_back(cfg_getnfloat(s, "stages", n));
   }
-  d.txns = static_cast<std::uint64_t>(std::max(0L, cfg_getint(s, "txns")));
-  d.least = cfg_getfloat(s, "least"), d.longest = cfg_getfloat(s, "longest");
-  d.warm_up = cfg_getfloat(s, "warm_up"), d.ready_in = cfg_getfloat(s, "ready_in");
-  d.at_once = cfg_getfloat(s, "at_once"), d.harm = cfg_getfloat(s, "harm"),
-  d.ratio = cfg_getfloat(s, "ratio");
-  if (const auto why = refusal(d); !why.empty()) refuse(path, s, "change " + d.name + ": " + why);
+  d.min_requests = static_cast<std::uint64_t>(std::max(0L, cfg_getint(s, "txns")));
+  d.min_stage_time = cfg_getfloat(s, "least"), d.max_stage_time = cfg_getfloat(s, "longest");
+  d.warm_up = cfg_getfloat(s, "warm_up"), d.ready_within = cfg_getfloat(s, "ready_in");
+  d.max_moving_share = cfg_getfloat(s, "at_once"), d.harm_threshold = cfg_getfloat(s, "harm"),
+  d.tolerated_ratio = cfg_getfloat(s, "ratio");
+  if (const auto why = refusal(d)) refuse(path, s, "change " + d.name + ": " + *why);
   return d;
 }
 
 void read_one(const std::string& path, Seconds now, Documents& to) {
-  const change::Document usual;
+  const rollout::RolloutPlan usual;
   cfg_opt_t window[] = {CFG_INT("version", 1, CFGF_NONE),
                         CFG_STR_LIST("sites", nullptr, CFGF_NONE),
                         CFG_STR("zone", nullptr, CFGF_NODEFAULT),
@@ -129,14 +129,14 @@
                         CFG_STR_LIST("settings", nullptr, CFGF_NONE),
                         CFG_STR("program", nullptr, CFGF_NODEFAULT),
                         CFG_FLOAT_LIST("stages", nullptr, CFGF_NONE),
-                        CFG_INT("txns", static_cast<long>(usual.txns), CFGF_NONE),
-                        CFG_FLOAT("least", usual.least, CFGF_NONE),
-                        CFG_FLOAT("longest", usual.longest, CFGF_NONE),
+                        CFG_INT("txns", static_cast<long>(usual.min_requests), CFGF_NONE),
+                        CFG_FLOAT("least", usual.min_stage_time, CFGF_NONE),
+                        CFG_FLOAT("longest", usual.max_stage_time, CFGF_NONE),
                         CFG_FLOAT("warm_up", usual.warm_up, CFGF_NONE),
-                        CFG_FLOAT("ready_in", usual.ready_in, CFGF_NONE),
-                        CFG_FLOAT("at_once", usual.at_once, CFGF_NONE),
-                        CFG_FLOAT("harm", usual.harm, CFGF_NONE),
-                        CFG_FLOAT("ratio", usual.ratio, CFGF_NONE),
+                        CFG_FLOAT("ready_in", usual.ready_within, CFGF_NONE),
+                        CFG_FLOAT("at_once", usual.max_moving_share, CFGF_NONE),
+                        CFG_FLOAT("harm", usual.harm_threshold, CFGF_NONE),
+                        CFG_FLOAT("ratio", usual.tolerated_ratio, CFGF_NONE),
                         CFG_END()};
   cfg_opt_t stop[] = {CFG_STR("why", nullptr, CFGF_NODEFAULT), CFG_END()};
   constexpr auto kTitled = CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES;
--- a/src/control/documents.h
+++ b/src/control/documents.h
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "change/document.h"
 #include "freeze/calendar.h"
+#include "rollout/plan.h"
 
 namespace walkpaddle::control {
 
@@ -17,7 +17,7 @@
   std::vector<freeze::Window> windows;
   std::vector<std::pair<std::string, std::uint32_t>> withdrawals;  // window, version
   std::vector<freeze::Exception> exceptions;
-  std::vector<change::Document> changes;
+  std::vector<rollout::RolloutPlan> changes;
   std::vector<std::pair<std::string, std::string>> stops;  // change, why
 };
 
--- a/src/control/operators.cpp
+++ b/src/control/operators.cpp
@@ -116,22 +116,22 @@
   }
   json changes = json::array(), windows = json::array();
   if (const auto* c = share.changes(); c != nullptr) {
-    for (const auto& s : c->rollout().standing(now))
-      changes.push_back({{"name", s.document.name},
-                         {"from", s.document.before},
-                         {"to", s.document.after},
-                         {"by", s.document.by},
+    for (const auto& s : c->rollout().status(now))
+      changes.push_back({{"name", s.plan.name},
+                         {"from", s.plan.before},
+                         {"to", s.plan.after},
+                         {"by", s.plan.author},
                          {"state", s.stopped      ? "STOPPED"
                                    : s.done       ? "done"
                                    : s.stage == 0 ? "proposed"
                                                   : "under way"},
                          {"stage", s.stage},
                          {"stages", s.stages},
-                         {"through", s.through},
+                         {"through", s.turns},
                          {"routers", s.fleet},
                          {"drives", s.drives},
-                         {"txns_old", s.txns[0]},
-                         {"txns_new", s.txns[1]},
+                         {"txns_old", s.control_requests},
+                         {"txns_new", s.canary_requests},
                          {"why", s.why}});
     for (const auto& w : c->calendar().standing())
       windows.push_back({{"name", w.window.name},
@@ -158,8 +158,8 @@
       {"refuted", share.members().refuted()},
       {"members", members},
       {"generation", share.changes() != nullptr ? json(share.changes()->rollout().running()) : json(nullptr)},
-      {"fleets_generation",
-       share.changes() != nullptr ? json(share.changes()->rollout().fleets_generation()) : json(nullptr)},
+      {"fleet_generation",
+       share.changes() != nullptr ? json(share.changes()->rollout().fleet_generation()) : json(nullptr)},
       {"calendar",
        share.changes() != nullptr ? json(share.changes()->calendar().not_current(now)) : json(nullptr)},
       {"changes", changes},
--- a/src/fleet/share.cpp
+++ b/src/fleet/share.cpp
@@ -46,9 +46,9 @@
                static_cast<std::uint64_t>(std::llround(started_ * 1e3)), {}, seed_of(setup) + 1, started_),
       keepers_(members_, {}, started_),
       gossip_(members_, watch_, keepers_, {}, seed_of(setup) + 2, started_),
-      changes_(setup.changes
-                   ? std::make_unique<Changes>(log, *setup.changes, members_, gossip_, setup.store, started_)
-                   : nullptr),
+      changes_(setup.changes ? std::make_unique<rollout::RolloutCoordinator>(log, *setup.changes, members_,
+                                                                             gossip_, setup.store, started_)
+                             : nullptr),
       datagrams_(scheduler, log, members_, gossip_, setup.listen, addresses_of(setup.peers),
                  [this] {
                    if (std::exchange(looked_at_, gossip_.facts_heard()) != gossip_.facts_heard())
@@ -80,7 +80,7 @@
   std::size_t held = 0, refused = 0;
   try {
     setup_.store->each([&](std::string_view key, std::string_view value) {
-      if (changes_ && Changes::owns(key)) changes_->restore(key, value, started_);
+      if (changes_ && rollout::RolloutCoordinator::owns(key)) changes_->restore(key, value, started_);
       if (key == kLearnt) keepers_.stored(stored_belief(value));
       if (!key.starts_with('f')) return;
       const auto fact = stored_fact(value);
@@ -148,7 +148,7 @@
   constexpr Seconds kLook = 1, kKeep = 2;
   const Seconds now = scheduler_.now();
   believe();
-  if (changes_) changes_->pull(now);
+  if (changes_) changes_->poll(now);
   datagrams_.pull();
   say_changes();
   if (now >= look_at_) look_at_ = now + kLook, setup_.look_again();
--- a/src/fleet/share.h
+++ b/src/fleet/share.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet/changes.h"
 #include "fleet/datagrams.h"
 #include "fleet/links.h"
+#include "rollout/coordinator.h"
 #include "store/store.h"
 
 namespace walkpaddle::fleet {
@@ -27,7 +27,7 @@
     // What the module has learnt, and what it had learnt before this start.
     std::function<Belief()> learnt;
     std::function<void(const Belief&)> take_learnt;
-    std::optional<Changes::Setup> changes{};  // nullopt: none are made
+    std::optional<rollout::RolloutCoordinator::Setup> changes{};  // nullopt: none are made
   };
   // Throws SystemError if the address cannot be had; StoreError if what is stored cannot be read.
   Share(Scheduler& scheduler, Log& log, const Setup& setup);
@@ -37,8 +37,8 @@
   const replica::Watch& watch() const { return watch_; }
   const Members& members() const { return members_; }
   const Gossip& gossip() const { return gossip_; }
-  Changes* changes() { return changes_.get(); }  // null: none are made
-  const Changes* changes() const { return changes_.get(); }
+  rollout::RolloutCoordinator* changes() { return changes_.get(); }  // null: none are made
+  const rollout::RolloutCoordinator* changes() const { return changes_.get(); }
   const Datagrams::Counts& counts() const { return datagrams_.counts(); }
   const std::string& name_of(std::uint64_t name) const;  // of a router by its hash; "?" for a stranger
   Seconds started() const { return started_; }
@@ -59,7 +59,7 @@
   Keepers keepers_;
   Gossip gossip_;
   std::uint64_t looked_at_ = 0;  // facts heard when the module was last told
-  std::unique_ptr<Changes> changes_;
+  std::unique_ptr<rollout::RolloutCoordinator> changes_;
   Datagrams datagrams_;
   std::map<replica::Watch::Key, replica::Stamp> stored_;
   std::vector<Members::State> said_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -74,7 +74,7 @@
   for (auto* word : {&self, &run, &option, &file}) args.push_back(word->data());
   args.push_back(nullptr);
   ::fcntl(next.listener.get(), F_SETFD, 0);
-  ::alarm(static_cast<unsigned>(std::ceil(move.document.ready_in)));
+  ::alarm(static_cast<unsigned>(std::ceil(move.plan.ready_within)));
   ::execve(program.c_str(), args.data(), env.data());
   throw std::runtime_error(fmt::format("cannot run {}: {}", program, std::strerror(errno)));
 }
@@ -123,10 +123,12 @@
       const auto fleet = file.fleet.peers.size() + 1;
       const auto may = calendar.ask(
           freeze::Act::propose,
-          {.change = d.name, .work = d.work, .sites = {}, .worst = change::worst(d, fleet)}, now);
+          {.change = d.name, .work = d.work, .sites = {}, .worst = rollout::max_rollout_duration(d, fleet)},
+          now);
       if (may.may == freeze::Answer::May::never) throw InputError("change " + d.name + ": " + may.why);
       fmt::print("change {}: {} routers in stages of {}, {:.0f} minutes at most, the way back included; {}\n",
-                 d.name, fleet, fmt::join(change::stage_sizes(d, fleet), ", "), change::worst(d, fleet) / 60,
+                 d.name, fleet, fmt::join(rollout::stage_sizes(d, fleet), ", "),
+                 rollout::max_rollout_duration(d, fleet) / 60,
                  may.may == freeze::Answer::May::now
                      ? std::string("it may begin now")
                      : "not before " + freeze::text_of_moment(may.at) + ", as " + may.why);
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -91,19 +91,21 @@
   return *brain_;
 }
 
-void RequestDispatcher::begin_tally(std::uint64_t epoch, Seconds quiet_until) {
-  if (!tally_) tally_.emplace();
-  tally_->begin(epoch, quiet_until);
+void RequestDispatcher::begin_metrics(std::uint64_t epoch, Seconds quiet_until) {
+  if (!metrics_) metrics_.emplace();
+  metrics_->begin(epoch, quiet_until);
 }
 
-void RequestDispatcher::txn_ended(change::Tally::End end, int rule, Seconds took, int hops) {
-  if (tally_) tally_->txn(end, took, sla_[static_cast<std::size_t>(rule)], hops, scheduler_.now());
+void RequestDispatcher::txn_ended(rollout::RequestOutcome end, int rule, Seconds took, int hops) {
+  if (metrics_)
+    metrics_->request_ended(end, took, sla_[static_cast<std::size_t>(rule)], hops, scheduler_.now());
 }
 
 void RequestDispatcher::hop_counted(AttemptOutcome verdict, FillOutcome note) {
-  if (tally_)
-    tally_->hop(note == FillOutcome::filled || note == FillOutcome::from_origin,
-                verdict == AttemptOutcome::rejected, scheduler_.now());
+  if (metrics_)
+    metrics_->attempt_ended({.filled = note == FillOutcome::filled || note == FillOutcome::from_origin,
+                             .rejected = verdict == AttemptOutcome::rejected},
+                            scheduler_.now());
 }
 
 void RequestDispatcher::load_reported(int member, double busy) {
--- a/src/net/request_dispatcher.h
+++ b/src/net/request_dispatcher.h
@@ -5,12 +5,12 @@
 #include <optional>
 #include <vector>
 
-#include "change/evidence.h"
 #include "config/settings.h"
 #include "fleet/purges.h"
 #include "guard/guard.h"
 #include "io/scheduler.h"
 #include "net/upstream_pool.h"
+#include "rollout/metrics.h"
 #include "routing/policy.h"
 
 namespace walkpaddle::net {
@@ -67,10 +67,12 @@
   fleet::Purges& purges() { return purges_; }
   guard::Guard& guard() { return guard_; }
   // What the txns come to, for the judge of changes; only where changes are made.
-  void begin_tally(std::uint64_t epoch, Seconds quiet_until);
-  void txn_ended(change::Tally::End end, int rule, Seconds took, int hops);
+  void begin_metrics(std::uint64_t epoch, Seconds quiet_until);
+  void txn_ended(rollout::RequestOutcome end, int rule, Seconds took, int hops);
   void hop_counted(AttemptOutcome verdict, FillOutcome note);
-  change::Tally* tally() { return tally_ ? &*tally_ : nullptr; }  // null: nothing is counted
+  rollout::MetricsCollector* metrics() {
+    return metrics_ ? &*metrics_ : nullptr;
+  }  // null: nothing is counted
   void settings_changed(const Settings& settings) { apply_live_settings(settings, input()); }
   std::size_t txns_open() const { return handles_.size() - free_.size(); }
 
@@ -95,7 +97,7 @@
   Seconds pulled_at_ = 0;
   bool pull_due_ = false;
   Seconds wake_at_ = kNoTime;
-  std::optional<change::Tally> tally_;
+  std::optional<rollout::MetricsCollector> metrics_;
   std::vector<Seconds> sla_;  // by rule
 };
 
--- a/src/net/request_handler.cpp
+++ b/src/net/request_handler.cpp
@@ -75,7 +75,7 @@
       client.over(order.tag);
     }
   } owed{*client, order, handle, guard};
-  using End = change::Tally::End;
+  using End = rollout::RequestOutcome;
   const Seconds taken = scheduler.now();
   int hops = 0;
   const auto ended = [&](End end) { dispatcher.txn_ended(end, order.rule, scheduler.now() - taken, hops); };
@@ -99,7 +99,7 @@
         else
           client->answer(order.tag, "ABORTED");
       }
-      ended(refused ? End::rejected : End::aborted);
+      ended(refused ? End::rejected : End::failed);
       break;
     }
     const Seconds until = d->time > 0 ? std::min(order.expires, scheduler.now() + d->time) : order.expires;
@@ -148,7 +148,7 @@
     }
     if (completed) {
       ++counters.served;
-      ended(End::completed);
+      ended(End::served);
       break;
     }
   }
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -237,36 +237,36 @@
 
 }  // namespace
 
-std::optional<fleet::Changes::Setup> Router::changes_setup() {
+std::optional<rollout::RolloutCoordinator::Setup> Router::changes_setup() {
   const auto& c = file_.changes;
   if (!c.on) return std::nullopt;
   const char* generation = std::getenv(kGeneration);
   // What an earlier program left stands in the configuration already.
   if (const char* lines = std::getenv(kSettings)) settings_lines_ = lines;
   generations_[generation != nullptr ? generation : c.generation] = settings_lines_;
-  fleet::Changes::Setup s{.name = file_.fleet.name,
-                          .site = c.site,
-                          .generation = generation != nullptr ? generation : c.generation,
-                          .peers = {},
-                          .seed = fold_seed(config_.seed),
-                          .kept =
-                              [folder = c.protocol] {
-                                std::vector<compat::Release> kept;
-                                std::error_code error;
-                                for (const auto& entry : std::filesystem::directory_iterator(folder, error))
-                                  if (entry.is_directory()) kept.push_back(release_in(entry.path()));
-                                return kept;
-                              },
-                          .release =
-                              [folder = c.protocol](const std::string& name) {
-                                if (folder.empty())
-                                  throw InputError("the operator's file names no protocol folder");
-                                return release_in(std::filesystem::path(folder) / name);
-                              },
-                          .carry_out = [this](const change::Rollout::Move& m) { carry_out(m); },
-                          .counted = [this] { return counted(); }};
+  rollout::RolloutCoordinator::Setup s{
+      .name = file_.fleet.name,
+      .site = c.site,
+      .generation = generation != nullptr ? generation : c.generation,
+      .peers = {},
+      .seed = fold_seed(config_.seed),
+      .kept_releases =
+          [folder = c.protocol] {
+            std::vector<compat::Release> kept;
+            std::error_code error;
+            for (const auto& entry : std::filesystem::directory_iterator(folder, error))
+              if (entry.is_directory()) kept.push_back(release_in(entry.path()));
+            return kept;
+          },
+      .release_of =
+          [folder = c.protocol](const std::string& name) {
+            if (folder.empty()) throw InputError("the operator's file names no protocol folder");
+            return release_in(std::filesystem::path(folder) / name);
+          },
+      .carry_out = [this](const rollout::GenerationMove& m) { carry_out(m); },
+      .metrics = [this] { return counted(); }};
   for (const auto& p : file_.fleet.peers) s.peers.push_back({p.name, p.site});
-  dispatcher_.begin_tally(epoch_of(scheduler_.now()), scheduler_.now() + kWarmUp);
+  dispatcher_.begin_metrics(epoch_of(scheduler_.now()), scheduler_.now() + kWarmUp);
   return s;
 }
 
@@ -290,7 +290,7 @@
   }
 }
 
-change::Counters Router::counted() {
+rollout::RolloutMetrics Router::counted() {
   constexpr Seconds kLoad = 1;
   if (const Seconds now = scheduler_.now(); now >= load_at_) {
     load_at_ = now + kLoad;
@@ -298,32 +298,32 @@
     ::clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &cpu);
     long pages = 0, resident = 0;
     std::ifstream("/proc/self/statm") >> pages >> resident;
-    dispatcher_.tally()->load(
+    dispatcher_.metrics()->load_measured(
         static_cast<double>(resident) * static_cast<double>(::sysconf(_SC_PAGESIZE)) / (1 << 20),
         static_cast<double>(cpu.tv_sec) + static_cast<double>(cpu.tv_nsec) * 1e-9, now);
   }
-  return dispatcher_.tally()->counters();
+  return dispatcher_.metrics()->metrics();
 }
 
 // Settings are handed to the module between two turns: no txn notices. What the platform told stays under
 // them, so that going back is handing over what was before.
-void Router::carry_out(const change::Rollout::Move& move) {
+void Router::carry_out(const rollout::GenerationMove& move) {
   auto& rollout = shared_->changes()->rollout();
   const Seconds now = scheduler_.now();
   if (phase_ != Phase::serving) return;  // it ends, and no other program begins for it
-  if (move.document.work == freeze::kRelease) {
+  if (move.plan.work == freeze::kRelease) {
     const char* earlier = std::getenv(kEarlier);
-    const std::string program = !move.back ? move.document.body : earlier != nullptr ? earlier : "";
+    const std::string program = !move.is_rollback ? move.plan.body : earlier != nullptr ? earlier : "";
     if (program.empty() || ::access(program.c_str(), X_OK) != 0)
-      return rollout.move_failed("'" + program + "' is no program here", now);
+      return rollout.move_failed("'" + program + "' is no program here");
     next_ = Next{move, program, settings_lines_, Fd()};
     signals_.came.set();
     return;
   }
   auto& lines = generations_[move.to];
-  if (!move.back) {
-    lines = generations_[move.document.before];
-    lines += (lines.empty() ? "" : "\n") + move.document.body;
+  if (!move.is_rollback) {
+    lines = generations_[move.plan.before];
+    lines += (lines.empty() ? "" : "\n") + move.plan.body;
   }
   try {
     auto settings = config_.settings;
@@ -331,11 +331,11 @@
     check(settings);
     dispatcher_.settings_changed(settings);
   } catch (const InputError& e) {
-    return rollout.move_failed(e.what(), now);
+    return rollout.move_failed(e.what());
   }
   settings_lines_ = lines;
-  dispatcher_.begin_tally(epoch_of(now), now + move.document.warm_up);
-  rollout.moved(now);
+  dispatcher_.begin_metrics(epoch_of(now), now + move.plan.warm_up);
+  rollout.moved();
 }
 
 // The alarm that the program before set for this one: past it the kernel ends a start that hangs.
--- a/src/net/router.h
+++ b/src/net/router.h
@@ -41,7 +41,7 @@
   void run();  // returns once stopped
   // A program that is to take this process's place, once run() has returned: listening on `listener`.
   struct Next {
-    change::Rollout::Move move;
+    rollout::GenerationMove move;
     std::string program, settings;  // its path; the lines that stand beyond the platform's
     Fd listener;
   };
@@ -88,12 +88,12 @@
   void take_back(const fleet::Belief& belief);
   fleet::Purges::Setup purges_setup();
   void pull_fleet();
-  std::optional<fleet::Changes::Setup> changes_setup();
+  std::optional<rollout::RolloutCoordinator::Setup> changes_setup();
   void read_documents();
-  void carry_out(const change::Rollout::Move& move);
+  void carry_out(const rollout::GenerationMove& move);
   void became_ready();  // the start of a program that is tried is over
   Task make_way();      // the end of this one, for the next
-  change::Counters counted();
+  rollout::RolloutMetrics counted();
   std::vector<std::pair<std::string, std::uint64_t>> counts();  // by name, of what the guard counted
   void tell_counters();
 
--- /dev/null
+++ b/src/rollout/canary_analysis.cpp
@@ -0,0 +1,239 @@
+#include "rollout/canary_analysis.h"
+
+#include <algorithm>
+#include <cmath>
+#include <cstdio>
+
+namespace walkpaddle::rollout {
+
+namespace {
+
+constexpr std::array kAllMeasures{Measure::rejected, Measure::failed,  Measure::late,
+                                  Measure::slow,     Measure::retries, Measure::fills};
+static_assert(kAllMeasures.size() == kMeasures);
+
+/// How many times as much: little harm needs much evidence, gross harm a handful of ends.
+constexpr std::array<double, 6> kAlternativeRatios{1.15, 1.5, 2.5, 6, 20, 100};
+/// A router's own past counts as much as so many bad ends of the fleet's mean.
+constexpr double kShrinkageEnds = 20;
+/// A rate of nothing at all so far is taken for one in ten thousand.
+constexpr double kMinRate = 1e-4;
+/// Slow is what this share of the answers, or somewhat less, took before.
+constexpr double kSlowShare = 0.1;
+/// One part of a hundredth of an end, met once, would outweigh all others.
+constexpr double kMinSpreadPart = 0.2;
+/// The spread is measured from so many routers on.
+constexpr double kMinSpreadTerms = 3;
+constexpr double kMaxSpread = 100;
+constexpr double kMaxLogLikelihoodRatio = 50;
+constexpr double kMemoryMarginMb = 16;
+constexpr int kHeavyIntervals = 3;
+/// Shorter times of the processor are a scheduler's noise.
+constexpr Seconds kMinCpuTime = 2;
+
+std::size_t index_of(Measure measure) { return static_cast<std::size_t>(measure); }
+
+double bad_ends(const RolloutMetrics& metrics, Measure measure, std::size_t slow_from) {
+  switch (measure) {
+    case Measure::rejected:
+      return static_cast<double>(metrics.rejected);
+    case Measure::failed:
+      return static_cast<double>(metrics.failed);
+    case Measure::late:
+      return static_cast<double>(metrics.late);
+    case Measure::slow: {
+      double slow = 0;
+      for (auto bucket = slow_from; bucket < RolloutMetrics::kLatencyBuckets; ++bucket)
+        slow += metrics.latency[bucket];
+      return slow;
+    }
+    case Measure::retries:
+      if (metrics.attempts <= metrics.requests) return 0;
+      return static_cast<double>(metrics.attempts - metrics.requests);
+    case Measure::fills:
+      return static_cast<double>(metrics.fills);
+  }
+  return 0;
+}
+
+/// Of fills, retries and slow answers a tenth more is not a tenth of the requests worse off.
+double harm_weight(Measure measure) {
+  switch (measure) {
+    case Measure::rejected:
+    case Measure::failed:
+    case Measure::late:
+      return 1;
+    case Measure::slow:
+    case Measure::retries:
+    case Measure::fills:
+      return 10;
+  }
+  return 1;
+}
+
+}  // namespace
+
+std::string_view to_string(Measure measure) {
+  switch (measure) {
+    case Measure::rejected:
+      return "refused";
+    case Measure::failed:
+      return "failed";
+    case Measure::late:
+      return "late";
+    case Measure::slow:
+      return "slow";
+    case Measure::retries:
+      return "hops past the first";
+    case Measure::fills:
+      return "fills";
+  }
+  return "";
+}
+
+void CanaryAnalysis::add_baseline(std::uint64_t router, const RolloutMetrics& metrics) {
+  if (!baselines_.emplace(router, metrics).second) return;
+  fleet_baseline_.add_counts(metrics);
+  update_slow_bucket();
+  const auto requests = static_cast<double>(fleet_baseline_.requests);
+  for (const auto measure : kAllMeasures) {
+    const double bad = bad_ends(fleet_baseline_, measure, slow_from_);
+    fleet_rate_[index_of(measure)] = std::max(kMinRate, requests > 0 ? bad / requests : 0);
+  }
+}
+
+void CanaryAnalysis::update_slow_bucket() {
+  const auto& latency = fleet_baseline_.latency;
+  double all = 0;
+  for (const auto answers : latency) all += answers;
+  double slow = 0;
+  slow_from_ = RolloutMetrics::kLatencyBuckets;
+  while (slow_from_ > 1 && slow + latency[slow_from_ - 1] <= kSlowShare * all) {
+    --slow_from_;
+    slow += latency[slow_from_];
+  }
+}
+
+double CanaryAnalysis::rate(std::uint64_t router, Measure measure) const {
+  const double mean = std::max(kMinRate, fleet_rate_[index_of(measure)]);
+  const auto baseline = baselines_.find(router);
+  if (baseline == baselines_.end()) return mean;
+  return (bad_ends(baseline->second, measure, slow_from_) + kShrinkageEnds) /
+         (static_cast<double>(baseline->second.requests) + kShrinkageEnds / mean);
+}
+
+void CanaryAnalysis::add_interval(const std::vector<Sample>& samples) {
+  std::map<std::size_t, Site> sites;
+  for (const auto& sample : samples) {
+    stage_requests_[sample.cohort] += sample.delta.requests;
+    if (sample.cohort == Cohort::canary) {
+      canary_requests_ += sample.delta.requests;
+      canary_violations_ += sample.delta.invariant_violations;
+    }
+    sites[sample.site].push_back(&sample);
+  }
+  for (const auto measure : kAllMeasures)
+    for (const auto& [number, site] : sites) compare(measure, site);
+  add_load(samples);
+  conclude();
+}
+
+void CanaryAnalysis::compare(Measure measure, const Site& site) {
+  auto& evidence = evidence_[index_of(measure)];
+  PerCohort<double> bad;
+  PerCohort<double> expected;
+  for (const auto* sample : site) {
+    bad[sample->cohort] += bad_ends(sample->delta, measure, slow_from_);
+    expected[sample->cohort] += static_cast<double>(sample->delta.requests) * rate(sample->router, measure);
+  }
+  if (expected.control <= 0) return;
+  if (bad.control > 0) add_spread(evidence, measure, site, bad.control, expected.control);
+  if (expected.canary <= 0) return;
+  const double tolerated = limits_.tolerated_ratio * expected.canary;
+  evidence.bad += bad.canary;
+  evidence.expected += std::max(0.0, bad.control) * expected.canary / expected.control;
+  double spread = 1;
+  if (evidence.spread_terms >= kMinSpreadTerms)
+    spread = std::clamp(evidence.spread / evidence.spread_terms, 1.0, kMaxSpread);
+  for (std::size_t n = 0; n < kAlternatives; ++n) {
+    const double null_part = tolerated / (tolerated + expected.control);
+    const double more = kAlternativeRatios[n] * tolerated;
+    const double alternative_part = more / (more + expected.control);
+    evidence.log_likelihood_ratio[n] += (bad.canary * std::log(alternative_part / null_part) +
+                                         bad.control * std::log((1 - alternative_part) / (1 - null_part))) /
+                                        spread;
+  }
+}
+
+/// What each router of the control has against its part of their total, as Pearson's statistic.
+void CanaryAnalysis::add_spread(Evidence& evidence, Measure measure, const Site& site, double bad,
+                                double expected) const {
+  for (const auto* sample : site) {
+    if (sample->cohort != Cohort::control || sample->delta.requests == 0) continue;
+    const double part =
+        bad * static_cast<double>(sample->delta.requests) * rate(sample->router, measure) / expected;
+    const double off = bad_ends(sample->delta, measure, slow_from_) - part;
+    evidence.spread += off * off / std::max(part, kMinSpreadPart);
+    evidence.spread_terms += 1;
+  }
+}
+
+void CanaryAnalysis::add_load(const std::vector<Sample>& samples) {
+  PerCohort<double> memory;
+  PerCohort<int> count;
+  for (const auto& [router, site, cohort, delta] : samples) {
+    if (delta.requests == 0) continue;
+    cpu_time_[cohort] += delta.cpu_time;
+    cpu_requests_[cohort] += static_cast<double>(delta.requests);
+    if (delta.memory_mb <= 0) continue;
+    memory[cohort] += delta.memory_mb;
+    ++count[cohort];
+  }
+  const bool heavy = count.control > 0 && count.canary > 0 &&
+                     memory.canary / count.canary > limits_.memory_ratio * memory.control / count.control &&
+                     memory.canary / count.canary > memory.control / count.control + kMemoryMarginMb;
+  heavy_intervals_ = heavy ? heavy_intervals_ + 1 : 0;
+}
+
+void CanaryAnalysis::conclude() {
+  if (verdict_ == CanaryVerdict::worse) return;
+  verdict_ = CanaryVerdict::healthy;
+  reason_.clear();
+  if (canary_violations_ > 0) raise(CanaryVerdict::worse, "a rule was broken by the new generation");
+  for (const auto measure : kAllMeasures) conclude_measure(measure);
+  conclude_load();
+}
+
+void CanaryAnalysis::conclude_measure(Measure measure) {
+  const auto& evidence = evidence_[index_of(measure)];
+  const double requests = static_cast<double>(std::max<std::uint64_t>(canary_requests_, 1));
+  double ratio = 0;
+  for (const double log_ratio : evidence.log_likelihood_ratio)
+    ratio += std::exp(std::min(log_ratio, kMaxLogLikelihoodRatio)) / kAlternatives;
+  if ((evidence.bad - evidence.expected) / requests < limits_.harm_threshold * harm_weight(measure)) return;
+  char text[200];
+  std::snprintf(text, sizeof text, "%s: %.4f a txn with the new generation, %.4f expected, of %.0f txns",
+                to_string(measure).data(), evidence.bad / requests, evidence.expected / requests, requests);
+  if (ratio > kMeasures / limits_.false_stop_chance)
+    raise(CanaryVerdict::worse, text);
+  else if (ratio > limits_.inconclusive_from)
+    raise(CanaryVerdict::inconclusive, text);
+}
+
+void CanaryAnalysis::conclude_load() {
+  if (heavy_intervals_ >= kHeavyIntervals)
+    raise(CanaryVerdict::worse, "memory: over 1.5 times that of the old generation");
+  if (cpu_time_.control <= kMinCpuTime || cpu_time_.canary <= kMinCpuTime) return;
+  if (cpu_requests_.control <= 0 || cpu_requests_.canary <= 0) return;
+  if (cpu_time_.canary / cpu_requests_.canary > limits_.cpu_ratio * cpu_time_.control / cpu_requests_.control)
+    raise(CanaryVerdict::worse, "processor time a txn: over 1.5 times that of the old generation");
+}
+
+/// The first reason of the gravest verdict stays.
+void CanaryAnalysis::raise(CanaryVerdict verdict, const std::string& reason) {
+  if (verdict <= verdict_) return;
+  verdict_ = verdict;
+  reason_ = reason;
+}
+
+}  // namespace walkpaddle::rollout
--- /dev/null
+++ b/src/rollout/driver.cpp
@@ -0,0 +1,184 @@
+#include "rollout/driver.h"
+
+#include <algorithm>
+
+namespace walkpaddle::rollout {
+
+using State = StageRunner::State;
+
+RolloutDriver::RolloutDriver(RolloutContext& context, RolloutState& state, Voter& voter, Host& host,
+                             std::uint32_t seed, Seconds now)
+    : context_(context),
+      state_(state),
+      voter_(voter),
+      host_(host),
+      random_(seed),
+      stepped_at_(now),
+      next_election_(now) {}
+
+void RolloutDriver::resign_from(const std::string& rollout) {
+  if (drive_ && drive_->rollout == rollout) resign();
+}
+
+const StageRunner* RolloutDriver::stages_of(const std::string& rollout) const {
+  return is_driving() && drive_->rollout == rollout ? &*drive_->stages : nullptr;
+}
+
+void RolloutDriver::step(Seconds now) {
+  // One that stood still drives no more, and lets the others' driver speak first.
+  if (now - stepped_at_ > context_.limits.lease / 2) {
+    resign();
+    voter_.restart_lease(now);
+  }
+  stepped_at_ = now;
+  if (now < context_.wake.due()) return;
+  context_.wake.set(now + context_.limits.retry_interval / 2);
+  auto* record = state_.active();
+  if (record == nullptr) {
+    resign();
+    voter_.limit_silence(now);
+    context_.wake.set(now + context_.limits.request_interval);
+    return;
+  }
+  if (drive_ && drive_->rollout != record->plan.name) resign();
+  if (drive_)
+    drive(*record, now);
+  else
+    elect(*record, now);
+}
+
+// ---- elections ---------------------------------------------------------------------------------
+
+void RolloutDriver::elect(RolloutRecord& record, Seconds now) {
+  if (!may_stand(record, now)) return;
+  std::uniform_real_distribution<> leases(0.5, 1.5);
+  next_election_ = now + context_.limits.lease * leases(random_);
+  voter_.stand_for_election(record.place);
+  drive_.emplace(Drive{.rollout = record.plan.name,
+                       .since = now,
+                       .request_at = now,
+                       .progress = FleetProgress(context_, record.own.turns)});
+  drive(record, now);
+}
+
+/// The last in the order to change asks first: while it lives it drives to the end, as an old router.
+bool RolloutDriver::may_stand(const RolloutRecord& record, Seconds now) const {
+  constexpr std::size_t kMaxWaitSteps = 8;
+  std::size_t alive_after = 0;
+  for (auto place = record.place + 1; place < record.order.size(); ++place)
+    if (context_.fleet.alive(static_cast<int>(record.order[place]))) ++alive_after;
+  const auto steps = static_cast<double>(std::min(alive_after, kMaxWaitSteps));
+  const Seconds patience = context_.limits.lease * (1 + 0.5 * steps);
+  const bool nobody_drove_yet = record.decision.stage == 0 && voter_.term() == 0 && alive_after == 0;
+  if (now - voter_.driver_heard() < patience && !nobody_drove_yet) return false;
+  return now >= next_election_ && context_.calendar.not_current(now).empty();
+}
+
+/// Whether this router drives on, or still waits for votes; else it has resigned.
+bool RolloutDriver::hold_office(RolloutRecord& record, Seconds now) {
+  const auto majority = context_.fleet.majority();
+  if (drive_->stages) {
+    if (drive_->progress.fresh(now) >= majority) return true;
+    context_.log.say(record.plan.name, "no majority answers, this router drives it no more");
+    voter_.restart_lease(now);
+    resign();
+    return false;
+  }
+  if (drive_->progress.votes() >= majority) {
+    take_office(record, now);
+    return true;
+  }
+  if (now - drive_->since <= context_.limits.lease) return true;
+  resign();
+  return false;
+}
+
+/// What a majority agreed to under an earlier term may be decided: one of this majority agreed to it. It is
+/// asked for again, as a stop may stand since; what came before it was decided.
+void RolloutDriver::take_office(RolloutRecord& record, Seconds now) {
+  const auto agreed = std::max(record.decision.stage, drive_->progress.furthest_agreed());
+  if (agreed > record.decision.stage + 1) state_.set_decision(record, {voter_.term(), agreed - 1, false});
+  auto state = State::judging;
+  if (agreed > record.decision.stage)
+    state = State::asking;
+  else if (record.decision.stage == 0)
+    state = State::watching;
+  drive_->stages.emplace(context_, drive_->progress, record.plan, state, now);
+  context_.log.say(record.plan.name, "this router drives it, term " + std::to_string(voter_.term()));
+  drive_->request_at = now;
+}
+
+// ---- from stage to stage -----------------------------------------------------------------------
+
+void RolloutDriver::drive(RolloutRecord& record, Seconds now) {
+  const auto own = host_.own_report(record, true);
+  drive_->progress.set_own_report(own, now);
+  drive_->progress.note_phase(context_.fleet.self(), own, now);
+  if (!hold_office(record, now)) return;
+  if (drive_->stages && now >= drive_->stages->evaluate_at()) evaluate(record, now);
+  if (!drive_) return;
+  if (drive_->is(State::asking)) conclude_agreement(record, now);
+  if (drive_->is(State::judging) && drive_->stages->give_turns(record, now))
+    drive_->request_at = std::min(drive_->request_at, now);
+  if (now >= drive_->request_at) request(record, now);
+}
+
+void RolloutDriver::evaluate(RolloutRecord& record, Seconds now) {
+  const auto action = drive_->stages->evaluate(record, now);
+  switch (action.step) {
+    case StageAction::Step::wait:
+      return;
+    case StageAction::Step::ask:
+      drive_->request_at = now;
+      return;
+    case StageAction::Step::stop:
+      state_.stop(record.plan.name, action.reason, now);  // this router resigns by it
+      return;
+    case StageAction::Step::finish:
+      state_.set_decision(record, {voter_.term(), record.stages(), true});
+      resign();
+      return;
+  }
+}
+
+/// A stage is decided once a majority has agreed to it under this driver's term.
+void RolloutDriver::conclude_agreement(RolloutRecord& record, Seconds now) {
+  const auto agreed = drive_->progress.agreed_past(record.decision.stage, voter_.term());
+  if (agreed < context_.fleet.majority() || record.stop) return;
+  state_.set_decision(record, {voter_.term(), record.decision.stage + 1, false});
+  drive_->stages->stage_begins(now);
+  drive_->request_at = now;
+}
+
+void RolloutDriver::request(RolloutRecord& record, Seconds now) {
+  const bool is_election = !drive_->stages;
+  const bool is_asking = drive_->is(State::asking);
+  const bool is_urgent = is_election || is_asking;
+  drive_->request_at = now + (is_urgent ? context_.limits.retry_interval : context_.limits.request_interval);
+  const std::uint32_t wanted = is_asking ? record.decision.stage + 1 : 0;
+  if (wanted > 0 && voter_.agree(record, voter_.term(), wanted, now))
+    drive_->progress.set_own_report(host_.own_report(record, true), now);
+  const auto bytes = encode(DriverRequest{.rollout = message_id(record.plan.name),
+                                          .term = voter_.term(),
+                                          .kind = is_election ? RequestKind::vote : RequestKind::report,
+                                          .decided_stage = record.decision.stage,
+                                          .wanted_stage = wanted,
+                                          .turns = static_cast<std::uint32_t>(drive_->progress.turns())});
+  for (int peer = 0; peer < context_.fleet.self(); ++peer)
+    if (context_.fleet.alive(peer)) host_.send(peer, bytes);
+}
+
+void RolloutDriver::receive(int from, const RouterReport& report, Seconds now) {
+  if (report.term > voter_.term()) {
+    next_election_ = now + context_.limits.lease;
+    voter_.outvoted_by(report.term);
+    resign();
+    return;
+  }
+  if (!drive_->progress.receive(from, report, voter_.term(), now)) return;
+  const auto* record = state_.find(drive_->rollout);
+  if (record != nullptr && drive_->is(State::asking) && report.agreed_stage > record->decision.stage)
+    context_.wake.at_once();
+}
+
+}  // namespace walkpaddle::rollout
--- /dev/null
+++ b/src/rollout/fleet_progress.cpp
@@ -0,0 +1,148 @@
+#include "rollout/fleet_progress.h"
+
+#include <algorithm>
+
+namespace walkpaddle::rollout {
+
+namespace {
+
+/// In microseconds. A report that is older than the last by more is of another start, on a clock that went
+/// back.
+constexpr std::uint64_t kMaxDelayUs = 5'000'000;
+
+std::size_t count(bool holds) { return holds ? 1 : 0; }
+
+}  // namespace
+
+void FleetProgress::set_own_report(const RouterReport& report, Seconds now) {
+  reports_[context_.fleet.self()] = {report, now};
+}
+
+bool FleetProgress::receive(int from, const RouterReport& report, std::uint64_t term, Seconds now) {
+  auto& [last, at] = reports_[from];
+  // Datagrams overtake each other and come twice. Prevents that a report from before a move, which comes
+  // after one of the move, tells of a router that went to move and is as before.
+  if (report.sent > 0 && report.sent <= last.sent && last.sent - report.sent < kMaxDelayUs) return false;
+  const bool granted = last.vote_granted || (report.vote_granted && report.term == term);
+  last = report;
+  last.vote_granted = granted;
+  at = now;
+  note_phase(from, report, now);
+  return true;
+}
+
+void FleetProgress::note_phase(int from, const RouterReport& report, Seconds now) {
+  auto& last = last_phases_.try_emplace(from, report.phase).first->second;
+  // One that went to move and is as before did not come up, though it remembers nothing of it.
+  const bool fell_back = last == RouterPhase::moving && report.phase == RouterPhase::old_generation;
+  if (report.phase == RouterPhase::failed || fell_back) failed_.insert(from);
+  last = report.phase;
+  const auto epoch = report.metrics.epoch;
+  const auto move = moves_.find(from);
+  if (move == moves_.end()) {
+    if (report.phase == RouterPhase::new_generation) moves_[from] = {now, epoch};
+    return;
+  }
+  auto& [moved_at, first_epoch] = move->second;
+  if (first_epoch > 0 && epoch > first_epoch && now - moved_at < context_.limits.crash_window)
+    failed_.insert(from);
+  if (first_epoch == 0) first_epoch = epoch;
+}
+
+bool FleetProgress::is_fresh(const TimedReport& report, Seconds now) const {
+  return now - report.at <= context_.limits.lease;
+}
+
+std::size_t FleetProgress::fresh(Seconds now) const {
+  const auto is_fresh_entry = [&](const auto& entry) { return is_fresh(entry.second, now); };
+  return static_cast<std::size_t>(std::ranges::count_if(reports_, is_fresh_entry));
+}
+
+std::size_t FleetProgress::votes() const {
+  const auto granted = [](const auto& entry) { return entry.second.report.vote_granted; };
+  return static_cast<std::size_t>(std::ranges::count_if(reports_, granted));
+}
+
+std::size_t FleetProgress::agreed_past(std::uint32_t stage, std::uint64_t term) const {
+  const auto agreed = [&](const auto& entry) {
+    const auto& report = entry.second.report;
+    return report.agreed_stage > stage && report.agreed_term == term;
+  };
+  return static_cast<std::size_t>(std::ranges::count_if(reports_, agreed));
+}
+
+std::uint32_t FleetProgress::furthest_agreed() const {
+  std::uint32_t furthest = 0;
+  for (const auto& [number, timed] : reports_) furthest = std::max(furthest, timed.report.agreed_stage);
+  return furthest;
+}
+
+void FleetProgress::give_turn(int number, Seconds now) {
+  if (context_.fleet.alive(number)) turn_given_.try_emplace(number, now);
+  ++turns_;
+}
+
+bool FleetProgress::can_move(int number) const {
+  if (turn_given_.contains(number)) return true;
+  if (!context_.fleet.alive(number)) return false;
+  const auto it = reports_.find(number);
+  return it == reports_.end() || it->second.report.phase != RouterPhase::held;
+}
+
+bool FleetProgress::is_unsettled(int number) const {
+  if (!context_.fleet.alive(number)) return false;
+  const auto it = reports_.find(number);
+  if (it == reports_.end()) return true;
+  const auto phase = it->second.report.phase;
+  return phase == RouterPhase::old_generation || phase == RouterPhase::moving;
+}
+
+std::size_t FleetProgress::settled(const RolloutRecord& record, Seconds now) const {
+  std::size_t settled = 0;
+  for (std::size_t place = 0; place < turns_; ++place)
+    settled += count(is_settled(static_cast<int>(record.order[place]), record.plan.warm_up, now));
+  return settled;
+}
+
+bool FleetProgress::is_settled(int number, Seconds warm_up, Seconds now) const {
+  if (!context_.fleet.alive(number)) return true;
+  const auto it = reports_.find(number);
+  if (it != reports_.end()) {
+    const auto phase = it->second.report.phase;
+    if (phase == RouterPhase::failed || phase == RouterPhase::held) return true;
+  }
+  const auto move = moves_.find(number);
+  return move != moves_.end() && now >= move->second.at + warm_up;
+}
+
+std::size_t FleetProgress::failed_starts(const RolloutPlan& plan, Seconds now) const {
+  const auto died_since = died(plan, now);
+  return failed_.size() + (is_common_trouble(died_since) ? 0 : died_since);
+}
+
+/// Those that are down since soon after their move, or since their turn came.
+std::size_t FleetProgress::died(const RolloutPlan& plan, Seconds now) const {
+  const auto& fleet = context_.fleet;
+  const auto& limits = context_.limits;
+  std::size_t died = 0;
+  for (const auto& [number, move] : moves_)
+    died += count(!fleet.alive(number) && now - move.at < limits.crash_window + 2 * limits.lease);
+  const Seconds patience = plan.ready_within + limits.lease;
+  for (const auto& [number, given] : turn_given_)
+    died += count(!fleet.alive(number) && !moves_.contains(number) && now > given + patience);
+  return died;
+}
+
+bool FleetProgress::is_common_trouble(std::size_t died) const {
+  std::size_t untouched = 0;
+  std::size_t dead_untouched = 0;
+  for (int number = 0; number <= context_.fleet.self(); ++number) {
+    if (moves_.contains(number) || turn_given_.contains(number)) continue;
+    ++untouched;
+    dead_untouched += count(!context_.fleet.alive(number));
+  }
+  const auto tried = std::max(moves_.size(), turn_given_.size());
+  return dead_untouched > 0 && 2 * dead_untouched * tried >= died * untouched;
+}
+
+}  // namespace walkpaddle::rollout
--- /dev/null
+++ b/src/rollout/local_router.cpp
@@ -0,0 +1,112 @@
+#include "rollout/local_router.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "freeze/calendar.h"
+
+namespace walkpaddle::rollout {
+
+LocalRouter::LocalRouter(RolloutContext& context, RolloutState& state, std::string generation)
+    : context_(context), state_(state), running_(std::move(generation)) {}
+
+std::optional<GenerationMove> LocalRouter::next_move(Seconds now) {
+  if (moving_) return std::nullopt;
+  forget_completed_release();
+  for (auto& [name, record] : state_.records()) {
+    if (const auto at = rollback_at(record)) {
+      if (now >= *at) return begin_move(record, true);
+      context_.wake.no_later_than(*at);
+    }
+    if (!is_turn(record)) continue;
+    record.own.waits = why_held(record, now);
+    if (record.own.waits.empty()) return begin_move(record, false);
+  }
+  return std::nullopt;
+}
+
+/// A release is tried once while it is under way; one that this machine came to run and the fleet has is
+/// taken again whenever its supervisor starts the program before.
+void LocalRouter::forget_completed_release() {
+  if (attempted_release_.empty()) return;
+  const auto* record = state_.find(attempted_release_);
+  if (record != nullptr && record->decision.done && running_ == record->plan.after)
+    attempted_release_.clear();
+}
+
+/// When this router goes back after a stop: newest first, in groups, the last of the order at once. nullopt:
+/// it has nothing to go back from.
+std::optional<Seconds> LocalRouter::rollback_at(const RolloutRecord& record) const {
+  if (!record.stop || running_ != record.plan.after) return std::nullopt;
+  const std::size_t decided =
+      record.decision.stage > 0 ? record.stage_sizes[record.decision.stage - 1] : std::size_t{1};
+  const auto moved = std::max(record.own.turns, decided);
+  const auto later = moved > record.place ? moved - 1 - record.place : 0;
+  const auto group = later / max_moving(record.plan, context_.fleet.size());
+  return record.stop_heard + static_cast<Seconds>(group) * rollback_interval(record.plan);
+}
+
+/// Whether this router is to move forth, if no freeze window holds it.
+bool LocalRouter::is_turn(const RolloutRecord& record) const {
+  if (record.stop || running_ != record.plan.before || failed(record)) return false;
+  if (record.decision.done) return true;
+  return &record == state_.active() && record.decision.stage > 0 && record.place < record.own.turns;
+}
+
+std::string LocalRouter::why_held(const RolloutRecord& record, Seconds now) const {
+  // What the whole fleet has, a router that returns takes even in a freeze: it is no change any more.
+  if (record.decision.done) return {};
+  const freeze::Calendar::Plan move{.change = record.plan.name,
+                                    .work = record.plan.work,
+                                    .sites = {context_.fleet.self_router().site},
+                                    .worst = record.plan.ready_within};
+  const auto answer = context_.calendar.ask(freeze::Act::start_stage, move, now);
+  return answer.may == freeze::Answer::May::now ? std::string() : answer.why;
+}
+
+const GenerationMove& LocalRouter::begin_move(const RolloutRecord& record, bool is_rollback) {
+  const auto& plan = record.plan;
+  moving_ = GenerationMove{is_rollback ? plan.before : plan.after, plan, is_rollback};
+  context_.log.say(plan.name, "this router moves to " + moving_->to + (is_rollback ? ", back" : ""));
+  return *moving_;
+}
+
+void LocalRouter::moved() {
+  if (!moving_) return;
+  running_ = moving_->to;
+  metrics_ = {};  // those of before are not of this generation
+  context_.log.say(moving_->plan.name, "this router runs " + running_);
+  moving_.reset();
+  context_.wake.at_once();
+}
+
+void LocalRouter::move_failed(const std::string& why) {
+  if (!moving_) return;
+  const auto& name = moving_->plan.name;
+  context_.log.say(name, moving_->to + " did not become ready: " + why.substr(0, kMaxReasonBytes));
+  if (auto* record = state_.find(name); record != nullptr && !moving_->is_rollback)
+    record->own.move_failed = true;
+  moving_.reset();
+  context_.wake.at_once();
+}
+
+RouterPhase LocalRouter::phase(const RolloutRecord& record) const {
+  if (moving_) return RouterPhase::moving;
+  if (running_ == record.plan.after) return RouterPhase::new_generation;
+  if (failed(record)) return RouterPhase::failed;
+  return record.own.waits.empty() ? RouterPhase::old_generation : RouterPhase::held;
+}
+
+/// This router's move did; of a release its machine remembers that it was tried.
+bool LocalRouter::failed(const RolloutRecord& record) const {
+  if (record.own.move_failed) return true;
+  return !attempted_release_.empty() && attempted_release_ == record.plan.name &&
+         running_ == record.plan.before;
+}
+
+const std::string& LocalRouter::attempted_release() const {
+  const bool process_ends = moving_ && !moving_->is_rollback && moving_->plan.work == freeze::kRelease;
+  return process_ends ? moving_->plan.name : attempted_release_;
+}
+
+}  // namespace walkpaddle::rollout
--- /dev/null
+++ b/src/rollout/persisted_state.cpp
@@ -0,0 +1,57 @@
+#include "rollout/persisted_state.h"
+
+#include <utility>
+
+#include "fleet/wire.h"
+
+namespace walkpaddle::rollout {
+
+namespace {
+
+std::string key_of_kind(char prefix, const replica::Kind& kind) {
+  std::string key(1, prefix);
+  return key += std::to_string(kind.number());
+}
+
+/// Items in the order in which a start takes them: what is said of a rollout that is not known is passed
+/// over.
+std::string key_of_item(const replica::Kind& kind, std::uint64_t id) {
+  return fleet::numbers_text(key_of_kind('k', kind), {kind.place_of(id), id});
+}
+
+}  // namespace
+
+void PersistedState::restore(std::string_view key, std::string_view value, Seconds now) {
+  for (auto* kind : kinds_) {
+    const bool is_own = key == key_of_kind('o', *kind);
+    const bool is_item = key.starts_with(key_of_kind('k', *kind));
+    if (is_own) kind->own_back(value);
+    if (is_item) kind->take(value, now);
+    if (is_own || is_item) stored_[std::string(key)] = value;
+  }
+}
+
+PersistedState::Entries PersistedState::present(Extent extent) const {
+  Entries entries;
+  for (const auto* kind : kinds_) {
+    if (auto own = kind->own(); !own.empty()) entries[key_of_kind('o', *kind)] = std::move(own);
+    if (extent == Extent::own) continue;
+    for (int range = 0; range < replica::Kind::kRanges; ++range)
+      for (const auto id : kind->of_range(range)) entries[key_of_item(*kind, id)] = kind->bytes(id);
+  }
+  return entries;
+}
+
+void PersistedState::persist(store::Store& store, Extent extent) {
+  const auto entries = present(extent);
+  for (const auto& [key, value] : entries) {
+    const auto stored = stored_.find(key);
+    if (stored != stored_.end() && stored->second == value) continue;
+    if (store.put(key, value, 0)) stored_[key] = value;
+  }
+  if (extent == Extent::own) return;
+  std::erase_if(
+      stored_, [&](const auto& entry) { return !entries.contains(entry.first) && store.erase(entry.first); });
+}
+
+}  // namespace walkpaddle::rollout
--- /dev/null
+++ b/src/rollout/release_check.cpp
@@ -0,0 +1,77 @@
+#include "rollout/release_check.h"
+
+#include <algorithm>
+#include <array>
+#include <utility>
+
+#include "base/error.h"
+
+namespace walkpaddle::rollout {
+
+namespace {
+
+using compat::ChannelOf;
+using State = fleet::Members::State;
+
+constexpr std::array<std::pair<const char*, ChannelOf>, 4> kComparedChannels{
+    {{"links", ChannelOf::links},
+     {"gossip", ChannelOf::gossip},
+     {"calendar", ChannelOf::calendar},
+     {"changes", ChannelOf::changes}}};
+
+/// Whether a router that announces `reads` may run the release: the versions that it reads are the same.
+bool matches(const compat::Release& release, std::uint64_t reads) {
+  if (!release.channels.contains("gossip")) return false;  // from before there was one
+  return std::ranges::all_of(kComparedChannels, [&](const auto& compared) {
+    const auto channel = release.channels.find(compared.first);
+    return channel == release.channels.end() ||
+           channel->second.version == compat::version_of(reads, compared.second);
+  });
+}
+
+}  // namespace
+
+std::string ReleaseCheck::refusal(const RolloutPlan& plan) {
+  if (const auto router = router_without_part())
+    return *router + " takes no part in changes: its file has no changes section, or its program is older";
+  if (plan.work != freeze::kRelease) return {};
+  const auto [known, is_new] = refusals_.try_emplace(plan.name);
+  if (is_new) known->second = refusal_of_release(plan.after);
+  return known->second;
+}
+
+std::optional<std::string> ReleaseCheck::router_without_part() const {
+  for (std::size_t peer = 0; peer < setup_.peers.size(); ++peer) {
+    const auto& member = members_.peers()[peer];
+    const bool is_alive = member.state == State::alive || member.state == State::suspect;
+    if (is_alive && compat::says_nothing_of(member.reads, ChannelOf::changes)) return setup_.peers[peer];
+  }
+  return std::nullopt;
+}
+
+std::string ReleaseCheck::refusal_of_release(const std::string& generation) const try {
+  const auto next = setup_.release_of(generation);
+  const auto kept = setup_.kept_releases();
+  const auto verdict = compat::verdict(next, routers_running(kept));
+  return verdict.may_start() ? std::string() : verdict.reasons.front().text();
+} catch (const InputError& e) {
+  return "what generation " + generation + " publishes cannot be read: " + e.what();
+}
+
+/// Each router of the fleet with every kept release that it may run, or with none.
+std::vector<compat::Router> ReleaseCheck::routers_running(
+    const std::vector<compat::Release>& releases) const {
+  std::vector<compat::Router> routers;
+  for (std::size_t peer = 0; peer < setup_.peers.size(); ++peer) {
+    const auto& member = members_.peers()[peer];
+    if (member.state == State::unheard) continue;
+    const bool away = member.state == State::dead;
+    const auto known = routers.size();
+    for (const auto& release : releases)
+      if (matches(release, member.reads)) routers.push_back({setup_.peers[peer], &release, away});
+    if (routers.size() == known) routers.push_back({setup_.peers[peer], nullptr, away});
+  }
+  return routers;
+}
+
+}  // namespace walkpaddle::rollout
--- /dev/null
+++ b/src/rollout/voter.cpp
@@ -0,0 +1,61 @@
+#include "rollout/voter.h"
+
+#include <algorithm>
+
+namespace walkpaddle::rollout {
+
+namespace {
+
+/// A term is a count and the place of who asks: no two ask for the same.
+constexpr std::uint64_t kPlacesPerTerm = 1024;
+
+}  // namespace
+
+void Voter::restore_term(std::uint64_t term) { term_ = std::max(term_, term); }
+
+/// A router that keeps nothing on disk may have forgotten a promise, for as long as one lasts.
+bool Voter::remembers_promises(Seconds now) const {
+  return context_.durable || now > context_.started + context_.limits.lease;
+}
+
+bool Voter::vote(const RolloutRecord& record, const DriverRequest& request, int from, Seconds now) {
+  const bool lease_is_over = now - driver_heard_ > context_.limits.lease || promised_to_ == from;
+  const bool granted = request.term > term_ && lease_is_over && remembers_promises(now) && !record.stop;
+  if (!granted) return false;
+  term_ = request.term;
+  promised_to_ = from;
+  return true;
+}
+
+bool Voter::follow(std::uint64_t term, int from, Seconds now) {
+  if (term < term_) return false;
+  term_ = term;
+  promised_to_ = from;
+  driver_heard_ = now;
+  return true;
+}
+
+bool Voter::agree(RolloutRecord& record, std::uint64_t term, std::uint32_t stage, Seconds now) const {
+  if (term != term_ || record.stop || stage == 0 || stage > record.decision.stage + 1) return false;
+  const Seconds forgetful_until = context_.started + (context_.durable ? 0 : context_.limits.lease);
+  if (now < forgetful_until) return false;
+  if (!context_.calendar.not_current(now).empty()) return false;
+  if (!context_.refusal(record.plan).empty()) return false;
+  record.own.agreed_stage = std::max(record.own.agreed_stage, stage);
+  record.own.agreed_term = term;
+  return true;
+}
+
+std::uint64_t Voter::stand_for_election(std::size_t place) {
+  term_ = (term_ / kPlacesPerTerm + 1) * kPlacesPerTerm + static_cast<std::uint64_t>(place);
+  promised_to_ = context_.fleet.self();
+  return term_;
+}
+
+void Voter::outvoted_by(std::uint64_t term) { term_ = std::max(term_, term); }
+
+void Voter::limit_silence(Seconds now) {
+  driver_heard_ = std::max(driver_heard_, now - context_.limits.lease);
+}
+
+}  // namespace walkpaddle::rollout
--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -30,7 +30,7 @@
     until(15, [] { return false; });
   }
   // Proposed at one of them; whether it came to hold in time.
-  void propose(const change::Document& d, int at = 3) { REQUIRE((*this)[at].propose(d, now(at))); }
+  void propose(const rollout::RolloutPlan& d, int at = 3) { REQUIRE((*this)[at].propose(d, now(at))); }
   void pass(Seconds seconds) {
     until(seconds, [] { return false; });
   }
@@ -39,7 +39,7 @@
   }
 };
 
-change::Document release_document() {
+rollout::RolloutPlan release_document() {
   auto d = Changes::document();
   d.work = freeze::kRelease, d.body = "/opt/walkpaddle/g2";
   return d;
@@ -70,7 +70,7 @@
         for (const char* line :
              {"stage 1 of 3, 1 of 8 routers", "stage 2 of 3, 2 of 8", "stage 3 of 3, 8 of 8"})
           CHECK(fleet.anyone_said(line));
-        CHECK(fleet[0].fleets_generation() == "g2");
+        CHECK(fleet[0].fleet_generation() == "g2");
         CHECK(fleet.moves == 8);
         CHECK(fleet.memory.largest < 1472);  // bytes of a datagram: a frame
       }
@@ -212,7 +212,7 @@
 SCENARIO("too little evidence is never a reason to go on") {
   Grown fleet({.routers = 8, .rate = 0.05});
   auto d = Changes::document();
-  d.longest = 60;
+  d.max_stage_time = 60;
   fleet.propose(d);
   CHECK(fleet.over());
   CHECK(fleet.stopped("c1"));
@@ -419,7 +419,7 @@
     fleet.calendar(2).declare(frozen_now({}, fleet.now(), 3600));
     fleet.pass(2);
     auto d = Changes::document();
-    d.longest = 3000;
+    d.max_stage_time = 3000;
     fleet.propose(d);
     fleet.pass(60);
     THEN("a change whose longest time does not fit does not begin, and says why") {
@@ -488,7 +488,7 @@
 }
 
 SCENARIO("a release that a live router could not read is refused before its canary") {
-  Grown fleet({.routers = 8, .seed = 23, .refuses = [](const change::Document&) {
+  Grown fleet({.routers = 8, .seed = 23, .refuses = [](const rollout::RolloutPlan&) {
                  return std::string(
                      "channel gossip, fleet.Fact.health: field 5 is removed (r2 reads version 1)");
                }});
@@ -511,7 +511,7 @@
     THEN("both are stopped, with the same document at all") {
       CHECK(fleet.until(30, [&] { return fleet.stopped("c1"); }));
       fleet.pass(10);
-      for (int n = 1; n < 8; ++n) CHECK(fleet.standing(n, "c1").document == fleet.standing(0, "c1").document);
+      for (int n = 1; n < 8; ++n) CHECK(fleet.standing(n, "c1").plan == fleet.standing(0, "c1").plan);
       CHECK(fleet.everywhere("g1"));
       CHECK(fleet.moves == 0);
     }
@@ -541,7 +541,7 @@
   const auto why = [](auto&& spoil) {
     auto d = Changes::document();
     spoil(d);
-    return refusal(d);
+    return refusal(d).value_or("");
   };
   CHECK(why([](auto&) {}).empty());
   CHECK(why([](auto& d) { d.after = "g1"; }) == "before and after are one generation");
@@ -549,20 +549,21 @@
   CHECK(why([](auto& d) {
           d.stages = {0, 0.5, 0.5, 1};
         }) == "stages are shares of the fleet, from 0 to 1, each larger than the last");
-  CHECK(why([](auto& d) { d.longest = 10; }) == "longest is out of range, over least and up to 7 days");
-  CHECK(why([](auto& d) { d.longest = 13; }) == "longest leaves no time after warm_up");
-  CHECK(why([](auto& d) { d.at_once = 0.9; }) == "at_once is out of range, 0.001 to 0.5 of a site");
+  CHECK(why([](auto& d) { d.max_stage_time = 10; }) ==
+        "longest is out of range, over least and up to 7 days");
+  CHECK(why([](auto& d) { d.max_stage_time = 13; }) == "longest leaves no time after warm_up");
+  CHECK(why([](auto& d) { d.max_moving_share = 0.9; }) == "at_once is out of range, 0.001 to 0.5 of a site");
   CHECK(why([](auto& d) { d.work = 3; }) == "what it changes is neither settings nor a release");
   CHECK(why([](auto& d) { d.body = std::string(600, 'x'); }) == "it says in 1 to 512 bytes what changes");
-  CHECK(why([](auto& d) { d.by = ""; }) == "by is missing: who proposes it");
+  CHECK(why([](auto& d) { d.author = ""; }) == "by is missing: who proposes it");
 }
 
 SCENARIO("each stage holds the one before and is spread over the sites") {
-  std::vector<change::Placed> fleet;
+  std::vector<rollout::PlacedRouter> fleet;
   for (int n = 0; n < 300; ++n)
     fleet.push_back({static_cast<std::uint64_t>(n) * 7919, n % 3 == 0 ? "east" : "west"});
   const auto d = Changes::document();
-  const auto order = order_of(d, fleet);
+  const auto order = rollout_order(d, fleet);
   const auto sizes = stage_sizes(d, fleet.size());
   CHECK(sizes == std::vector<std::size_t>{1, 3, 15, 75, 300});
   for (const auto size : sizes) {
@@ -574,7 +575,7 @@
   auto seen = order;
   std::ranges::sort(seen);
   CHECK(std::ranges::unique(seen).begin() == seen.end());
-  CHECK(order_of(Changes::document("c2"), fleet) != order);
+  CHECK(rollout_order(Changes::document("c2"), fleet) != order);
   CHECK(stage_sizes(d, 1) == std::vector<std::size_t>{1});
 }
 
@@ -665,9 +666,9 @@
   static constexpr int kRouters = 3;
   struct Router {
     std::unique_ptr<freeze::Calendar> calendar;
-    std::unique_ptr<change::Rollout> rollout;
+    std::unique_ptr<rollout::Rollout> rollout;
     std::vector<int> peers;  // by number among its members
-    change::Counters counters;
+    rollout::RolloutMetrics metrics;
     Seconds ready_at = 0;
     std::vector<std::string> said;
   };
@@ -675,24 +676,24 @@
     for (int n = 0; n < kRouters; ++n) {
       auto& r = routers[static_cast<std::size_t>(n)];
       const auto name = [](int of) { return static_cast<std::uint64_t>(of) + 1; };
-      change::Rollout::Setup s{.self = {name(n), "east"},
-                               .peers = {},
-                               .generation = "g1",
-                               .seed = static_cast<std::uint32_t>(n),
-                               .lasting = true,
-                               .alive = [](int) { return true; },
-                               .refuses = [](const change::Document&) { return std::string(); }};
+      rollout::Rollout::Setup s{.self = {name(n), "east"},
+                                .peers = {},
+                                .generation = "g1",
+                                .seed = static_cast<std::uint32_t>(n),
+                                .durable = true,
+                                .alive = [](int) { return true; },
+                                .refusal = [](const rollout::RolloutPlan&) { return std::string(); }};
       std::vector<std::uint64_t> fleet{name(n)};
       for (int p = 0; p < kRouters; ++p)
         if (p != n) r.peers.push_back(p), fleet.push_back(name(p)), s.peers.push_back({name(p), "east"});
       r.calendar = std::make_unique<freeze::Calendar>(name(n), fleet, freeze::Calendar::Bounds{});
-      r.rollout = std::make_unique<change::Rollout>(s, *r.calendar, change::Rollout::Bounds{}, now);
-      r.counters.epoch = 1;
+      r.rollout = std::make_unique<rollout::Rollout>(s, *r.calendar, rollout::RolloutLimits{}, now);
+      r.metrics.epoch = 1;
     }
   }
-  bool all(const std::function<bool(const change::Rollout::Standing&)>& holds) {
+  bool all(const std::function<bool(const rollout::RolloutStatus&)>& holds) {
     return std::ranges::all_of(routers, [&](auto& r) {
-      const auto standing = r.rollout->standing(now);
+      const auto standing = r.rollout->status(now);
       return !standing.empty() && holds(standing.front());
     });
   }
@@ -701,12 +702,12 @@
     for (int n = 0; n < kRouters; ++n) {
       auto& r = routers[static_cast<std::size_t>(n)];
       r.calendar->in_contact(now);
-      r.counters.txns += 5, r.counters.took[4] += 5, r.counters.hops += 5;
-      r.rollout->counted(r.counters);
+      r.metrics.requests += 5, r.metrics.latency[4] += 5, r.metrics.attempts += 5;
+      r.rollout->set_metrics(r.metrics);
       if (r.rollout->next_move(now)) r.ready_at = now + 5;
       if (r.ready_at > 0 && now >= r.ready_at)
-        r.ready_at = 0, r.counters = {.epoch = r.counters.epoch + 1}, r.rollout->moved(now);
-      for (auto& line : r.rollout->take_said()) r.said.push_back(std::move(line));
+        r.ready_at = 0, r.metrics = {.epoch = r.metrics.epoch + 1}, r.rollout->moved();
+      for (auto& line : r.rollout->take_log_lines()) r.said.push_back(std::move(line));
       for (const auto id : r.rollout->take_news())
         for (const int p : r.peers)
           routers[static_cast<std::size_t>(p)].rollout->take(r.rollout->bytes(id), now);
