--- a/lab/changes.cpp
+++ b/lab/changes.cpp
@@ -57,7 +57,7 @@
 void Changes::furnish(Memory::Router& r, Seconds now) {
   auto& m = machines_[static_cast<std::size_t>(r.number)];
   auto calendar = std::make_unique<freeze::Calendar>(
-      Memory::Router::name(r.number), Memory::Router::all(setup_.routers), freeze::Calendar::Bounds{});
+      Memory::Router::name(r.number), Memory::Router::all(setup_.routers), freeze::Calendar::Limits{});
   Rollout::Setup s{
       .self = {Memory::Router::name(r.number), site_of(r.number, setup_.sites)},
       .peers = {},
@@ -115,8 +115,9 @@
   auto& m = machines_[static_cast<std::size_t>(r.number)];
   auto& calendar = static_cast<freeze::Calendar&>(*r.kinds[0]);
   auto& rollout = static_cast<Rollout&>(*r.kinds[1]);
-  if (!r.gossip.catching_up() && r.members.alive() + 1 >= calendar.majority()) calendar.in_contact(now);
-  calendar.clock_apart(r.gossip.clock_apart(now));
+  if (!r.gossip.catching_up() && r.members.alive() + 1 >= calendar.majority())
+    calendar.majority_contacted(now);
+  calendar.set_clock_offset(r.gossip.clock_apart(now));
   traffic(m, rollout.running(), r.number, now);
   rollout.set_metrics(m.metrics.metrics());
   for (auto& line : rollout.take_log_lines()) m.said.push_back(std::move(line));
--- a/lab/memory.cpp
+++ b/lab/memory.cpp
@@ -16,7 +16,7 @@
       members(name(n), others(n, routers), static_cast<std::uint64_t>(now * 1e3), {}, seed + 1, now),
       keepers(members, {}, now),
       gossip(members, watch, keepers, {}, seed + 2, now) {
-  members.announce(compat::announced(fleet::kReads));
+  members.announce(compat::announcement(fleet::kReads));
   watch.list_heard(now);
   for (int s = 0; s < 4; ++s) watch.listed(s, {.hash = kServer + static_cast<std::uint64_t>(s)}, now);
 }
--- a/src/control/documents.cpp
+++ b/src/control/documents.cpp
@@ -21,9 +21,9 @@
   refuse(path, s, "'" + word + "', expected settings or release");
 }
 
-freeze::Local local_of(const std::string& path, cfg_t* s, const char* name) {
+freeze::LocalTime local_of(const std::string& path, cfg_t* s, const char* name) {
   const auto text = text_of(s, name);
-  const auto local = freeze::read_local(text);
+  const auto local = freeze::parse_local_time(text);
   if (!local)
     refuse(path, s,
            std::string(name) + " is '" + text + "', expected YEAR-MM-DD HH:MM, or MM-DD HH:MM for each year");
@@ -39,10 +39,10 @@
                    .until = local_of(path, s, "until"),
                    .blocks = 0,
                    .lead = static_cast<Seconds>(cfg_getint(s, "lead")),
-                   .by = text_of(s, "by")};
+                   .author = text_of(s, "by")};
   std::ranges::sort(w.sites);
   for (const auto& word : texts_of(s, "blocks")) w.blocks |= work_of(path, s, word);
-  if (const auto why = refusal(w); !why.empty()) refuse(path, s, "window " + w.name + ": " + why);
+  if (const auto why = refusal(w)) refuse(path, s, "window " + w.name + ": " + *why);
   return w;
 }
 
@@ -52,7 +52,8 @@
   const auto until = local_of(path, s, "until");
   if (until.year == 0) refuse(path, s, "until has no year");
   // The end of an exception is said in UTC.
-  const freeze::Window end{.name = "e", .zone = "UTC", .from = {1970, 1, 1, 0, 0}, .until = until, .by = "e"};
+  const freeze::Window end{
+      .name = "e", .zone = "UTC", .from = {1970, 1, 1, 0, 0}, .until = until, .author = "e"};
   const auto spans = freeze::spans(end, 0, 1e11, 0);
   freeze::Exception e{.change = text_of(s, "change"),
                       .window = text_of(s, "window"),
@@ -60,8 +61,8 @@
                       .approvers = {approvers[0], approvers[1]},
                       .version = static_cast<std::uint32_t>(cfg_getint(s, "version")),
                       .until = spans.empty() ? 0 : spans.front().until};
-  if (const auto why = refusal(e, now); !why.empty())
-    refuse(path, s, "exception " + std::string(cfg_title(s)) + ": " + why);
+  if (const auto why = refusal(e, now))
+    refuse(path, s, "exception " + std::string(cfg_title(s)) + ": " + *why);
   return e;
 }
 
--- a/src/control/operators.cpp
+++ b/src/control/operators.cpp
@@ -133,13 +133,13 @@
                          {"txns_old", s.control_requests},
                          {"txns_new", s.canary_requests},
                          {"why", s.why}});
-    for (const auto& w : c->calendar().standing())
+    for (const auto& w : c->calendar().status())
       windows.push_back({{"name", w.window.name},
                          {"version", w.window.version},
                          {"zone", w.window.zone},
-                         {"from", freeze::text_of(w.window.from)},
-                         {"until", freeze::text_of(w.window.until)},
-                         {"by", w.window.by},
+                         {"from", freeze::to_string(w.window.from)},
+                         {"until", freeze::to_string(w.window.until)},
+                         {"by", w.window.author},
                          {"withdrawn", w.withdrawn},
                          {"withdrawn_by", w.withdrawn_by}});
   }
@@ -158,10 +158,11 @@
       {"refuted", share.members().refuted()},
       {"members", members},
       {"generation", share.changes() != nullptr ? json(share.changes()->rollout().running()) : json(nullptr)},
-      {"fleet_generation",
+      {"fleets_generation",
        share.changes() != nullptr ? json(share.changes()->rollout().fleet_generation()) : json(nullptr)},
-      {"calendar",
-       share.changes() != nullptr ? json(share.changes()->calendar().not_current(now)) : json(nullptr)},
+      {"calendar", share.changes() != nullptr
+                       ? json(share.changes()->calendar().why_not_current(now).value_or(""))
+                       : json(nullptr)},
       {"changes", changes},
       {"windows", windows},
       {"facts_held", all.size()},
--- a/src/fleet/gossip.cpp
+++ b/src/fleet/gossip.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "base/text.h"
-#include "compat/verdict.h"
+#include "compat/announcement.h"
 
 namespace walkpaddle::fleet {
 
@@ -62,7 +62,8 @@
 bool Gossip::reads_items(int peer) const {
   constexpr int kItems = 2;  // the gossip's version from which on datagrams have items
   const auto reads = members_.peers()[static_cast<std::size_t>(peer)].reads;
-  return compat::version_to_write(kItems, {compat::version_of(reads, compat::ChannelOf::gossip)}) >= kItems;
+  return compat::version_to_write(
+             kItems, {compat::announced_version(reads, compat::AnnouncedChannel::gossip)}) >= kItems;
 }
 
 replica::Kind* Gossip::kind_of(std::uint8_t number) const {
--- a/src/fleet/share.cpp
+++ b/src/fleet/share.cpp
@@ -56,9 +56,9 @@
                  }),
       said_(setup.peers.size(), Members::State::unheard) {
   // Calendar and changes are read only where they are switched on.
-  auto reads = compat::announced(kReads);
+  auto reads = compat::announcement(kReads);
   if (!changes_)
-    for (const auto channel : {compat::ChannelOf::calendar, compat::ChannelOf::changes})
+    for (const auto channel : {compat::AnnouncedChannel::calendar, compat::AnnouncedChannel::changes})
       reads &= ~(std::uint64_t{255} << (8 * static_cast<int>(channel)));
   members_.announce(reads);
   names_[stable_hash(setup.name)] = setup.name;
--- a/src/fleet/wire.h
+++ b/src/fleet/wire.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "compat/verdict.h"
+#include "compat/announcement.h"
 #include "fleet/gossip.h"
 #include "fleet/sync.h"
 
@@ -21,7 +21,7 @@
 constexpr int kVersion = 1;
 // What this program reads of each channel; schemas/rules.json says the same, and compat_kept holds them
 // together.
-constexpr int kReads[compat::kChannels] = {1, 2, 1, 1, 1};
+constexpr int kReads[compat::kAnnouncedChannels] = {1, 2, 1, 1, 1};
 constexpr std::size_t kLargestMessage = 64 * 1024;  // a beat with the heads of a thousand issuers
 
 // Where the decoded fields go.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -117,21 +117,24 @@
     // Whether a change fits before the next freeze, as far as the windows here tell.
     freeze::Calendar calendar(0, {0}, {});
     for (const auto& w : documents.windows) calendar.declare(w);
-    for (const auto& e : documents.exceptions) calendar.except(e);
-    calendar.in_contact(now);
+    for (const auto& e : documents.exceptions) calendar.add_exception(e);
+    calendar.majority_contacted(now);
     for (const auto& d : documents.changes) {
       const auto fleet = file.fleet.peers.size() + 1;
-      const auto may = calendar.ask(
-          freeze::Act::propose,
-          {.change = d.name, .work = d.work, .sites = {}, .worst = rollout::max_rollout_duration(d, fleet)},
-          now);
-      if (may.may == freeze::Answer::May::never) throw InputError("change " + d.name + ": " + may.why);
+      const auto permission = calendar.decide(freeze::Action::propose,
+                                              {.change = d.name,
+                                               .work = d.work,
+                                               .sites = {},
+                                               .max_duration = rollout::max_rollout_duration(d, fleet)},
+                                              now);
+      if (permission.outcome == freeze::Permission::Outcome::never)
+        throw InputError("change " + d.name + ": " + permission.why);
       fmt::print("change {}: {} routers in stages of {}, {:.0f} minutes at most, the way back included; {}\n",
                  d.name, fleet, fmt::join(rollout::stage_sizes(d, fleet), ", "),
                  rollout::max_rollout_duration(d, fleet) / 60,
-                 may.may == freeze::Answer::May::now
+                 permission.allowed()
                      ? std::string("it may begin now")
-                     : "not before " + freeze::text_of_moment(may.at) + ", as " + may.why);
+                     : "not before " + freeze::format_utc(permission.at) + ", as " + permission.why);
     }
   }
   fmt::print("{}: good\n", path);
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -280,7 +280,7 @@
     auto& rollout = shared_->changes()->rollout();
     for (const auto& w : documents.windows) calendar.declare(w);
     for (const auto& [window, version] : documents.withdrawals) calendar.withdraw(window, version);
-    for (const auto& e : documents.exceptions) calendar.except(e);
+    for (const auto& e : documents.exceptions) calendar.add_exception(e);
     for (const auto& d : documents.changes) rollout.propose(d, now);
     for (const auto& [change, why] : documents.stops) rollout.stop(change, why, now);
     log_("change", "{}: {} windows, {} changes", file_.changes.folder, documents.windows.size(),
--- a/src/rollout/canary_analysis.h
+++ b/src/rollout/canary_analysis.h
@@ -42,8 +42,8 @@
 /// One value for each cohort.
 template <class T>
 struct PerCohort {
-  T control{};
-  T canary{};
+  T control{};  ///< of the old generation
+  T canary{};   ///< of the new generation
   /// The value of `cohort`.
   T& operator[](Cohort cohort) { return cohort == Cohort::control ? control : canary; }
   /// The value of `cohort`.
@@ -81,6 +81,7 @@
     RolloutMetrics delta;             ///< over the interval
   };
 
+  /// Nothing is concluded before the first interval.
   explicit CanaryAnalysis(const Limits& limits) : limits_(limits) {}
 
   /// What a router counted in the old generation before the rollout: taken once for each router, before its
--- a/src/rollout/context.h
+++ b/src/rollout/context.h
@@ -3,6 +3,7 @@
 /// when the next step is due. No I/O. Rollout owns it, and it outlives the parts.
 #pragma once
 
+#include <algorithm>
 #include <cstddef>
 #include <functional>
 #include <string>
@@ -36,7 +37,7 @@
 class RolloutLog {
  public:
   /// "change NAME: TEXT". Past kMaxLines lines that nobody took it is lost.
-  void say(std::string_view rollout, std::string_view text) {
+  void add(std::string_view rollout, std::string_view text) {
     if (lines_.size() >= kMaxLines) return;
     std::string line = "change ";
     line += rollout;
@@ -55,6 +56,7 @@
 /// When the next step is due.
 class WakeTime {
  public:
+  /// Due now.
   explicit WakeTime(Seconds now) : due_(now) {}
   void set(Seconds due) { due_ = due; }  ///< at that time
   void at_once() { due_ = 0; }           ///< as soon as may be
--- a/src/rollout/coordinator.cpp
+++ b/src/rollout/coordinator.cpp
@@ -79,12 +79,13 @@
 }
 
 void RolloutCoordinator::update_calendar(Seconds now, bool is_full) {
-  if (!gossip_.catching_up() && members_.alive() + 1 >= calendar_.majority()) calendar_.in_contact(now);
-  if (is_full) calendar_.clock_apart(gossip_.clock_apart(now));
+  if (!gossip_.catching_up() && members_.alive() + 1 >= calendar_.majority())
+    calendar_.majority_contacted(now);
+  if (is_full) calendar_.set_clock_offset(gossip_.clock_apart(now));
 }
 
 void RolloutCoordinator::report_calendar(Seconds now) {
-  auto why = calendar_.not_current(now);
+  auto why = calendar_.why_not_current(now).value_or("");
   if (why == reported_) return;
   log_("freeze", "{}", why.empty() ? "the calendar is current" : why);
   reported_ = std::move(why);
--- a/src/rollout/coordinator.h
+++ b/src/rollout/coordinator.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "compat/verdict.h"
+#include "compat/release.h"
 #include "fleet/gossip.h"
 #include "freeze/calendar.h"
 #include "io/log.h"
@@ -29,8 +29,8 @@
   struct Setup {
     /// Another router of the fleet.
     struct Peer {
-      std::string name;
-      std::string site;
+      std::string name;  ///< as the operator's file names it
+      std::string site;  ///< where it stands; may be empty
     };
     std::string name;         ///< of this router
     std::string site;         ///< where it stands
--- a/src/rollout/driver.cpp
+++ b/src/rollout/driver.cpp
@@ -71,7 +71,7 @@
   const Seconds patience = context_.limits.lease * (1 + 0.5 * steps);
   const bool nobody_drove_yet = record.decision.stage == 0 && voter_.term() == 0 && alive_after == 0;
   if (now - voter_.driver_heard() < patience && !nobody_drove_yet) return false;
-  return now >= next_election_ && context_.calendar.not_current(now).empty();
+  return now >= next_election_ && !context_.calendar.why_not_current(now);
 }
 
 /// Whether this router drives on, or still waits for votes; else it has resigned.
@@ -79,7 +79,7 @@
   const auto majority = context_.fleet.majority();
   if (drive_->stages) {
     if (drive_->progress.fresh(now) >= majority) return true;
-    context_.log.say(record.plan.name, "no majority answers, this router drives it no more");
+    context_.log.add(record.plan.name, "no majority answers, this router drives it no more");
     voter_.restart_lease(now);
     resign();
     return false;
@@ -104,7 +104,7 @@
   else if (record.decision.stage == 0)
     state = State::watching;
   drive_->stages.emplace(context_, drive_->progress, record.plan, state, now);
-  context_.log.say(record.plan.name, "this router drives it, term " + std::to_string(voter_.term()));
+  context_.log.add(record.plan.name, "this router drives it, term " + std::to_string(voter_.term()));
   drive_->request_at = now;
 }
 
--- a/src/rollout/fleet_progress.h
+++ b/src/rollout/fleet_progress.h
@@ -22,8 +22,8 @@
  public:
   /// A report and when it came.
   struct TimedReport {
-    RouterReport report;
-    Seconds at = 0;  ///< on this router's clock
+    RouterReport report;  ///< as it came
+    Seconds at = 0;       ///< on this router's clock
   };
 
   /// `turns`: so many of the order had their turn under earlier drivers. `context` outlives this.
--- a/src/rollout/local_router.cpp
+++ b/src/rollout/local_router.cpp
@@ -56,18 +56,18 @@
 std::string LocalRouter::why_held(const RolloutRecord& record, Seconds now) const {
   // What the whole fleet has, a router that returns takes even in a freeze: it is no change any more.
   if (record.decision.done) return {};
-  const freeze::Calendar::Plan move{.change = record.plan.name,
-                                    .work = record.plan.work,
-                                    .sites = {context_.fleet.self_router().site},
-                                    .worst = record.plan.ready_within};
-  const auto answer = context_.calendar.ask(freeze::Act::start_stage, move, now);
-  return answer.may == freeze::Answer::May::now ? std::string() : answer.why;
+  const freeze::PlannedChange move{.change = record.plan.name,
+                                   .work = record.plan.work,
+                                   .sites = {context_.fleet.self_router().site},
+                                   .max_duration = record.plan.ready_within};
+  const auto permission = context_.calendar.decide(freeze::Action::start_stage, move, now);
+  return permission.why;
 }
 
 const GenerationMove& LocalRouter::begin_move(const RolloutRecord& record, bool is_rollback) {
   const auto& plan = record.plan;
   moving_ = GenerationMove{is_rollback ? plan.before : plan.after, plan, is_rollback};
-  context_.log.say(plan.name, "this router moves to " + moving_->to + (is_rollback ? ", back" : ""));
+  context_.log.add(plan.name, "this router moves to " + moving_->to + (is_rollback ? ", back" : ""));
   return *moving_;
 }
 
@@ -75,7 +75,7 @@
   if (!moving_) return;
   running_ = moving_->to;
   metrics_ = {};  // those of before are not of this generation
-  context_.log.say(moving_->plan.name, "this router runs " + running_);
+  context_.log.add(moving_->plan.name, "this router runs " + running_);
   moving_.reset();
   context_.wake.at_once();
 }
@@ -83,7 +83,7 @@
 void LocalRouter::move_failed(const std::string& why) {
   if (!moving_) return;
   const auto& name = moving_->plan.name;
-  context_.log.say(name, moving_->to + " did not become ready: " + why.substr(0, kMaxReasonBytes));
+  context_.log.add(name, moving_->to + " did not become ready: " + why.substr(0, kMaxReasonBytes));
   if (auto* record = state_.find(name); record != nullptr && !moving_->is_rollback)
     record->own.move_failed = true;
   moving_.reset();
--- a/src/rollout/messages.cpp
+++ b/src/rollout/messages.cpp
@@ -30,8 +30,8 @@
   counters.setBreaches(metrics.invariant_violations);
   counters.setMemoryMb(static_cast<float>(metrics.memory_mb));
   counters.setCpuS(metrics.cpu_time);
-  auto took = counters.initTook(RolloutMetrics::kLatencyBuckets);
-  for (unsigned n = 0; n < metrics.latency.size(); ++n) took.set(n, metrics.latency[n]);
+  auto latency = counters.initTook(RolloutMetrics::kLatencyBuckets);
+  for (unsigned n = 0; n < metrics.latency.size(); ++n) latency.set(n, metrics.latency[n]);
 }
 
 RolloutMetrics read_metrics(const schema::Counters::Reader& counters) {
@@ -48,9 +48,9 @@
                          .cpu_time = replica::time_of(counters.getCpuS())};
   const bool memory_in_range = metrics.memory_mb >= 0 && metrics.memory_mb < kMaxMemoryMb;
   if (!memory_in_range) throw_bad_value("memory", std::to_string(metrics.memory_mb));
-  const auto took = counters.getTook();
-  const auto buckets = std::min<unsigned>(took.size(), RolloutMetrics::kLatencyBuckets);
-  for (unsigned n = 0; n < buckets; ++n) metrics.latency[n] = took[n];
+  const auto latency = counters.getTook();
+  const auto buckets = std::min<unsigned>(latency.size(), RolloutMetrics::kLatencyBuckets);
+  for (unsigned n = 0; n < buckets; ++n) metrics.latency[n] = latency[n];
   return metrics;
 }
 
--- a/src/rollout/messages.h
+++ b/src/rollout/messages.h
@@ -24,12 +24,12 @@
 
 /// From a driver, or from one that wants to be.
 struct DriverRequest {
-  std::uint64_t rollout = 0;  ///< its message_id()
-  std::uint64_t term = 0;     ///< of the sender
-  RequestKind kind = RequestKind::report;
-  std::uint32_t decided_stage = 0;  ///< 0: none
-  std::uint32_t wanted_stage = 0;   ///< to be agreed to; 0: none
-  std::uint32_t turns = 0;          ///< so many of the order may have moved
+  std::uint64_t rollout = 0;               ///< its message_id()
+  std::uint64_t term = 0;                  ///< of the sender
+  RequestKind kind = RequestKind::report;  ///< what it asks for
+  std::uint32_t decided_stage = 0;         ///< 0: none
+  std::uint32_t wanted_stage = 0;          ///< to be agreed to; 0: none
+  std::uint32_t turns = 0;                 ///< so many of the order may have moved
 };
 
 /// Where a router stands with a rollout. Numbers on the wire.
@@ -43,13 +43,13 @@
 
 /// A router's answer to a driver.
 struct RouterReport {
-  std::uint64_t rollout = 0;       ///< its message_id()
-  std::uint64_t term = 0;          ///< promised
-  bool vote_granted = false;       ///< the request for a vote was
-  std::uint32_t agreed_stage = 0;  ///< the last that it agreed to
-  std::uint64_t agreed_term = 0;   ///< under which it agreed
-  RouterPhase phase = RouterPhase::old_generation;
-  RolloutMetrics metrics{};
+  std::uint64_t rollout = 0;                        ///< its message_id()
+  std::uint64_t term = 0;                           ///< promised
+  bool vote_granted = false;                        ///< the request for a vote was
+  std::uint32_t agreed_stage = 0;                   ///< the last that it agreed to
+  std::uint64_t agreed_term = 0;                    ///< under which it agreed
+  RouterPhase phase = RouterPhase::old_generation;  ///< where it stands
+  RolloutMetrics metrics{};                         ///< of the generation that it runs
   /// Microseconds of its router's clock, each greater than the last; 0: not told.
   std::uint64_t sent = 0;
 };
--- a/src/rollout/metrics.h
+++ b/src/rollout/metrics.h
@@ -30,6 +30,7 @@
   std::array<std::uint32_t, kLatencyBuckets> latency{};  ///< requests served, by latency_bucket()
   double memory_mb = 0;                                  ///< resident, as last measured
   Seconds cpu_time = 0;                                  ///< of the processor, since the epoch began
+  /// Count by count.
   bool operator==(const RolloutMetrics&) const = default;
 
   /// The bucket of the histogram for an answer that took so long.
--- a/src/rollout/release_check.cpp
+++ b/src/rollout/release_check.cpp
@@ -5,19 +5,20 @@
 #include <utility>
 
 #include "base/error.h"
+#include "compat/announcement.h"
 
 namespace walkpaddle::rollout {
 
 namespace {
 
-using compat::ChannelOf;
+using compat::AnnouncedChannel;
 using State = fleet::Members::State;
 
-constexpr std::array<std::pair<const char*, ChannelOf>, 4> kComparedChannels{
-    {{"links", ChannelOf::links},
-     {"gossip", ChannelOf::gossip},
-     {"calendar", ChannelOf::calendar},
-     {"changes", ChannelOf::changes}}};
+constexpr std::array<std::pair<const char*, AnnouncedChannel>, 4> kComparedChannels{
+    {{"links", AnnouncedChannel::links},
+     {"gossip", AnnouncedChannel::gossip},
+     {"calendar", AnnouncedChannel::calendar},
+     {"changes", AnnouncedChannel::changes}}};
 
 /// Whether a router that announces `reads` may run the release: the versions that it reads are the same.
 bool matches(const compat::Release& release, std::uint64_t reads) {
@@ -25,7 +26,7 @@
   return std::ranges::all_of(kComparedChannels, [&](const auto& compared) {
     const auto channel = release.channels.find(compared.first);
     return channel == release.channels.end() ||
-           channel->second.version == compat::version_of(reads, compared.second);
+           channel->second.version == compat::announced_version(reads, compared.second);
   });
 }
 
@@ -44,7 +45,8 @@
   for (std::size_t peer = 0; peer < setup_.peers.size(); ++peer) {
     const auto& member = members_.peers()[peer];
     const bool is_alive = member.state == State::alive || member.state == State::suspect;
-    if (is_alive && compat::says_nothing_of(member.reads, ChannelOf::changes)) return setup_.peers[peer];
+    if (is_alive && compat::announces_nothing(member.reads, AnnouncedChannel::changes))
+      return setup_.peers[peer];
   }
   return std::nullopt;
 }
@@ -52,16 +54,16 @@
 std::string ReleaseCheck::refusal_of_release(const std::string& generation) const try {
   const auto next = setup_.release_of(generation);
   const auto kept = setup_.kept_releases();
-  const auto verdict = compat::verdict(next, routers_running(kept));
-  return verdict.may_start() ? std::string() : verdict.reasons.front().text();
+  const auto report = compat::check_compatibility(next, routers_running(kept));
+  return report.may_start() ? std::string() : report.findings.front().text();
 } catch (const InputError& e) {
   return "what generation " + generation + " publishes cannot be read: " + e.what();
 }
 
 /// Each router of the fleet with every kept release that it may run, or with none.
-std::vector<compat::Router> ReleaseCheck::routers_running(
+std::vector<compat::FleetRouter> ReleaseCheck::routers_running(
     const std::vector<compat::Release>& releases) const {
-  std::vector<compat::Router> routers;
+  std::vector<compat::FleetRouter> routers;
   for (std::size_t peer = 0; peer < setup_.peers.size(); ++peer) {
     const auto& member = members_.peers()[peer];
     if (member.state == State::unheard) continue;
--- a/src/rollout/release_check.h
+++ b/src/rollout/release_check.h
@@ -11,7 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "compat/verdict.h"
+#include "compat/compatibility.h"
+#include "compat/release.h"
 #include "fleet/members.h"
 #include "rollout/plan.h"
 
@@ -41,7 +42,7 @@
  private:
   std::optional<std::string> router_without_part() const;
   std::string refusal_of_release(const std::string& generation) const;
-  std::vector<compat::Router> routers_running(const std::vector<compat::Release>& releases) const;
+  std::vector<compat::FleetRouter> routers_running(const std::vector<compat::Release>& releases) const;
 
   const Setup setup_;
   const fleet::Members& members_;
--- a/src/rollout/replicated_state.cpp
+++ b/src/rollout/replicated_state.cpp
@@ -17,7 +17,7 @@
 
 bool RolloutState::propose(const RolloutPlan& plan, Seconds now) {
   if (const auto why = refusal_of_proposal(plan)) {
-    context_.log.say(plan.name, "refused, " + *why);
+    context_.log.add(plan.name, "refused, " + *why);
     return false;
   }
   if (const auto* record = find(plan.name); record != nullptr && record->plan == plan) return false;
@@ -62,8 +62,8 @@
     if (record->plan != plan) resolve_conflict(*record, plan, now);
     return;
   }
-  if (!make_room()) {
-    context_.log.say(plan.name, "refused, there are too many changes");
+  if (!evict_dispensable()) {
+    context_.log.add(plan.name, "refused, there are too many changes");
     return;
   }
   add(plan, now);
@@ -79,7 +79,7 @@
 }
 
 /// The first that is over and whose generations nobody needs any more makes room. False: there is none.
-bool RolloutState::make_room() {
+bool RolloutState::evict_dispensable() {
   if (records_.size() < context_.limits.rollouts) return true;
   const auto dispensable = std::ranges::find_if(records_, [this](const auto& entry) {
     const auto& record = entry.second;
@@ -103,7 +103,7 @@
   auto& record = records_[plan.name] = std::move(fresh);
   host_.publish({ItemKey::Kind::plan, plan.name}, encode(plan));
   if (const auto early = early_stops_.extract(plan.name)) set_stop(record, early.mapped(), now);
-  context_.log.say(plan.name, "proposed by " + plan.author + ", from " + plan.before + " to " + plan.after +
+  context_.log.add(plan.name, "proposed by " + plan.author + ", from " + plan.before + " to " + plan.after +
                                   " in " + std::to_string(record.stages()) + " stages");
 }
 
@@ -116,10 +116,10 @@
                              known.done || (decision.done && decision.stage >= stages)};
   if (joined.stage == known.stage && joined.done == known.done && joined.term == known.term) return false;
   if (joined.stage > known.stage)
-    context_.log.say(name, "stage " + std::to_string(joined.stage) + " of " + std::to_string(stages) + ", " +
+    context_.log.add(name, "stage " + std::to_string(joined.stage) + " of " + std::to_string(stages) + ", " +
                                std::to_string(record.stage_sizes[joined.stage - 1]) + " of " +
                                std::to_string(context_.fleet.size()) + " routers");
-  if (joined.done && !known.done) context_.log.say(name, "done, the fleet is at " + record.plan.after);
+  if (joined.done && !known.done) context_.log.add(name, "done, the fleet is at " + record.plan.after);
   known = joined;
   host_.publish({ItemKey::Kind::decision, name}, encode(DecisionItem{name, joined}));
   return true;
@@ -132,7 +132,7 @@
   const bool first = !record.stop.has_value();
   if (first) {
     record.stop_heard = now;
-    context_.log.say(name, "STOPPED, " + stop.why);
+    context_.log.add(name, "STOPPED, " + stop.why);
   }
   record.stop = stop;
   if (first) host_.stopped(name);
--- a/src/rollout/replicated_state.h
+++ b/src/rollout/replicated_state.h
@@ -31,7 +31,7 @@
 
 /// A rollout as this router knows it.
 struct RolloutRecord {
-  RolloutPlan plan;
+  RolloutPlan plan;                        ///< as it was proposed
   std::vector<std::size_t> order{};        ///< numbers of the fleet's routers, see rollout_order()
   std::vector<std::size_t> stage_sizes{};  ///< see stage_sizes()
   std::size_t place = 0;                   ///< of this router in the order
@@ -53,8 +53,8 @@
   /// What it says; the order in which a start takes items, since what is said of a plan that is not known is
   /// passed over.
   enum class Kind : std::uint8_t { plan, decision, stop };
-  Kind kind = Kind::plan;
-  std::string rollout;  ///< its name
+  Kind kind = Kind::plan;  ///< what it says
+  std::string rollout;     ///< its name
   /// By kind, then by name.
   auto operator<=>(const ItemKey&) const = default;
 };
@@ -107,7 +107,7 @@
  private:
   void set_plan(const RolloutPlan& plan, Seconds now);
   void resolve_conflict(RolloutRecord& record, const RolloutPlan& plan, Seconds now);
-  bool make_room();
+  bool evict_dispensable();
   void add(const RolloutPlan& plan, Seconds now);
   bool set_stop(RolloutRecord& record, const RolloutStop& stop, Seconds now);
   std::optional<std::string> refusal_of_proposal(const RolloutPlan& plan) const;
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -146,7 +146,7 @@
     status.canary_requests = stages->requests(Cohort::canary);
     if (status.why.empty()) status.why = stages->waits();
   }
-  if (!record.over() && status.why.empty()) status.why = context_.calendar.not_current(now);
+  if (!record.over() && status.why.empty()) status.why = context_.calendar.why_not_current(now).value_or("");
   return status;
 }
 
--- a/src/rollout/rollout.h
+++ b/src/rollout/rollout.h
@@ -27,7 +27,7 @@
 
 /// What a router knows of a rollout, for people.
 struct RolloutStatus {
-  RolloutPlan plan;
+  RolloutPlan plan;          ///< as it was proposed
   std::uint32_t stage = 0;   ///< from 1; 0: none yet
   std::uint32_t stages = 0;  ///< how many there are
   bool done = false;         ///< the fleet has the new generation
@@ -57,6 +57,7 @@
 
   /// `calendar` outlives this.
   Rollout(const Setup& setup, freeze::Calendar& calendar, const RolloutLimits& limits, Seconds now);
+  /// Its parts refer to each other.
   Rollout(const Rollout&) = delete;
   Rollout& operator=(const Rollout&) = delete;
 
@@ -88,15 +89,15 @@
   /// The greatest term that this router promised; 0: none.
   std::uint64_t term() const { return voter_.term(); }
 
-  // As replicated state.
-  std::uint8_t number() const override { return 1; }
-  std::size_t place_of(std::uint64_t id) const override;
-  bool take(std::string_view bytes, Seconds now) override;
-  std::optional<Letter> next_letter(Seconds now) override;
-  void letter(int from, std::string_view bytes, Seconds now) override;
-  Seconds next_due() const override { return context_.wake.due(); }
-  std::string own() const override;
-  void own_back(std::string_view bytes) override;
+  // As replicated state; see replica::Kind.
+  std::uint8_t number() const override { return 1; }                    ///< on the wire
+  std::size_t place_of(std::uint64_t id) const override;                ///< plans, decisions, stops
+  bool take(std::string_view bytes, Seconds now) override;              ///< joins an item
+  std::optional<Letter> next_letter(Seconds now) override;              ///< to a driver, or from one
+  void letter(int from, std::string_view bytes, Seconds now) override;  ///< from a peer
+  Seconds next_due() const override { return context_.wake.due(); }     ///< of next_letter()
+  std::string own() const override;                                     ///< term and attempted release
+  void own_back(std::string_view bytes) override;                       ///< as own() gave it
 
  private:
   void publish(const ItemKey& key, const std::string& bytes) override;
--- a/src/rollout/stage_runner.cpp
+++ b/src/rollout/stage_runner.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-using freeze::Act;
-using May = freeze::Answer::May;
+using freeze::Action;
+using Outcome = freeze::Permission::Outcome;
 using Step = StageAction::Step;
 
 /// Of the fleet, one router at least: those who are held back in the last stage, for comparison.
@@ -54,8 +54,9 @@
   const auto fleet = context_.fleet.size();
   const auto& plan = record.plan;
   const Seconds rest = max_rollout_duration(plan, fleet) - plan.max_stage_time * record.decision.stage;
-  return context_.calendar.overtaken(planned_change(plan, rest, now), max_rollback_duration(plan, fleet),
-                                     now) == freeze::Overtaken::goes_back;
+  return context_.calendar.late_window_effect(planned_change(plan, rest, now),
+                                              max_rollback_duration(plan, fleet),
+                                              now) == freeze::LateWindowEffect::rolls_back;
 }
 
 /// What has come since the last call, of each router whose metrics are of one epoch and one generation.
@@ -117,11 +118,11 @@
   const auto& plan = record.plan;
   const auto refused = context_.refusal(plan);
   const Seconds worst = max_rollout_duration(plan, context_.fleet.size());
-  const auto answer = context_.calendar.ask(Act::propose, planned_change(plan, worst, now), now);
-  waits_ = refused.empty() ? answer.why : refused;
+  const auto permission = context_.calendar.decide(Action::propose, planned_change(plan, worst, now), now);
+  waits_ = refused.empty() ? permission.why : refused;
   if (now < stage_began_ + plan.min_stage_time) return {};
-  if (!refused.empty() || answer.may == May::never) return {Step::stop, "refused: " + waits_};
-  if (answer.may != May::now) return {};
+  if (!refused.empty() || permission.outcome == Outcome::never) return {Step::stop, "refused: " + waits_};
+  if (!permission.allowed()) return {};
   for (const auto& [number, metrics] : compared_)
     analysis_.add_baseline(context_.fleet.router(number).router, metrics);
   state_ = State::asking;
@@ -139,9 +140,9 @@
 StageAction StageRunner::ask_to_go_on(const RolloutRecord& record, Seconds now) {
   const auto& plan = record.plan;
   const Seconds worst = plan.max_stage_time + max_rollback_duration(plan, context_.fleet.size());
-  const auto answer = context_.calendar.ask(Act::go_on, planned_change(plan, worst, now), now);
-  if (answer.may != May::now) {
-    waits_ = answer.why;
+  const auto permission = context_.calendar.decide(Action::go_on, planned_change(plan, worst, now), now);
+  if (!permission.allowed()) {
+    waits_ = permission.why;
     return {};
   }
   waits_.clear();
@@ -183,13 +184,13 @@
 
 /// Asks for the sites that are not frozen now: a frozen one holds its own routers, and the others go on
 /// without it. Where all are, all are asked for.
-freeze::Calendar::Plan StageRunner::planned_change(const RolloutPlan& plan, Seconds worst,
-                                                   Seconds now) const {
+freeze::PlannedChange StageRunner::planned_change(const RolloutPlan& plan, Seconds worst, Seconds now) const {
   const auto& sites = context_.fleet.sites();
   std::vector<std::string> open;
   for (const auto& site : sites)
-    if (!context_.calendar.site_frozen(site, plan.work, now)) open.push_back(site);
-  return {.change = plan.name, .work = plan.work, .sites = open.empty() ? sites : open, .worst = worst};
+    if (!context_.calendar.is_site_frozen(site, plan.work, now)) open.push_back(site);
+  return {
+      .change = plan.name, .work = plan.work, .sites = open.empty() ? sites : open, .max_duration = worst};
 }
 
 // ---- turns -------------------------------------------------------------------------------------
--- a/src/rollout/stage_runner.h
+++ b/src/rollout/stage_runner.h
@@ -27,8 +27,8 @@
     stop,    ///< the rollout, for the reason
     finish,  ///< the whole fleet has the new generation
   };
-  Step step = Step::wait;
-  std::string reason{};  ///< of a stop
+  Step step = Step::wait;  ///< which
+  std::string reason{};    ///< of a stop
 };
 
 /// The stages of one rollout, under one driver.
@@ -80,7 +80,7 @@
   bool has_seen_enough(const RolloutPlan& plan, const RouterCounts& routers) const;
   RouterCounts count_routers() const;
   std::size_t stage_end(const RolloutRecord& record) const;
-  freeze::Calendar::Plan planned_change(const RolloutPlan& plan, Seconds worst, Seconds now) const;
+  freeze::PlannedChange planned_change(const RolloutPlan& plan, Seconds worst, Seconds now) const;
 
   const RolloutContext& context_;
   FleetProgress& progress_;
--- a/src/rollout/voter.cpp
+++ b/src/rollout/voter.cpp
@@ -39,7 +39,7 @@
   if (term != term_ || record.stop || stage == 0 || stage > record.decision.stage + 1) return false;
   const Seconds forgetful_until = context_.started + (context_.durable ? 0 : context_.limits.lease);
   if (now < forgetful_until) return false;
-  if (!context_.calendar.not_current(now).empty()) return false;
+  if (context_.calendar.why_not_current(now)) return false;
   if (!context_.refusal(record.plan).empty()) return false;
   record.own.agreed_stage = std::max(record.own.agreed_stage, stage);
   record.own.agreed_term = term;
--- a/tests/compat_kept.cpp
+++ b/tests/compat_kept.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "compat/verdict.h"
+#include "compat/compatibility.h"
 #include "fleet/wire.h"
 
 using namespace walkpaddle::compat;
@@ -35,22 +35,22 @@
   // What this program announces to read is what its rules say.
   const char* names[] = {"links", "gossip", "calendar", "changes", "store.purges"};
   bool good = true;
-  for (int n = 0; n < kChannels; ++n) {
+  for (int n = 0; n < kAnnouncedChannels; ++n) {
     const int says = walkpaddle::fleet::kReads[n], is = now.channels.at(names[n]).version;
     std::printf("%s: announced %d, by its rules %d\n", names[n], says, is);
     good = good && says == is;
   }
   for (int n = 2; n < argc; ++n) {
     const auto kept = release_in(argv[n]);
-    const auto v = verdict(now, {{"a router of " + kept.name, &kept, false}});
+    const auto v = check_compatibility(now, {{"a router of " + kept.name, &kept, false}});
     const bool given_up = now.given_up.contains(kept.name);
     std::printf("%s beside %s: %s\n", now.name.c_str(), kept.name.c_str(),
-                given_up                 ? "given up, as its rules say"
-                : v.level == Level::safe ? "safe"
-                : v.may_start()          ? "safe, as the new is written only once all read it"
-                : v.level == Level::once ? "NOT SAFE YET"
-                                         : "BREAKS");
-    for (const auto& r : v.reasons) std::printf("  %s\n", r.text().c_str());
+                given_up                                 ? "given up, as its rules say"
+                : v.compatibility == Compatibility::safe ? "safe"
+                : v.may_start()                          ? "safe, as the new is written only once all read it"
+                : v.compatibility == Compatibility::conditional ? "NOT SAFE YET"
+                                                                : "BREAKS");
+    for (const auto& r : v.findings) std::printf("  %s\n", r.text().c_str());
     good = good && (given_up || v.may_start());
   }
   return good ? 0 : 1;
--- a/tests/compat_parts.cpp
+++ b/tests/compat_parts.cpp
@@ -11,7 +11,7 @@
 #include <optional>
 #include <random>
 
-#include "compat/verdict.h"
+#include "compat/compatibility.h"
 #include "tests/schema_text.h"
 
 using namespace walkpaddle;
@@ -210,7 +210,7 @@
     ParsedText old_text(old.text()), next_text(next.text());
     const auto old_release = old_text.release(old.rules("v1", 1, nullptr));
     const auto next_release = next_text.release(next.rules("v2", 2, &old));
-    const auto v = verdict(next_release, {{"r", &old_release, false}});
+    const auto v = check_compatibility(next_release, {{"r", &old_release, false}});
     std::mt19937 chance(static_cast<unsigned>(draw(0, 1 << 30)));
     bool agree = true;
     for (int times = 0; times < 200 && agree; ++times) {
@@ -223,7 +223,7 @@
           message.getRoot<capnp::DynamicStruct>((forth ? old_text : next_text).of("Msg")).asReader();
       agree = reads(forth ? old : next, forth ? next : old, r, said, forth);
     }
-    if (v.level == Level::safe) {
+    if (v.compatibility == Compatibility::safe) {
       ++safe;
       if (!agree)
         RC_LOG() << old.text() << old.rules("v1", 1, nullptr) << "\n"
--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -54,7 +54,7 @@
           .from = {2026, 5, 28, 20 + minute / 60, minute % 60},
           .until = {2026, 5, 28, 23, 59},
           .lead = lead,
-          .by = "bo"};
+          .author = "bo"};
 }
 
 }  // namespace
@@ -686,7 +686,7 @@
       std::vector<std::uint64_t> fleet{name(n)};
       for (int p = 0; p < kRouters; ++p)
         if (p != n) r.peers.push_back(p), fleet.push_back(name(p)), s.peers.push_back({name(p), "east"});
-      r.calendar = std::make_unique<freeze::Calendar>(name(n), fleet, freeze::Calendar::Bounds{});
+      r.calendar = std::make_unique<freeze::Calendar>(name(n), fleet, freeze::Calendar::Limits{});
       r.rollout = std::make_unique<rollout::Rollout>(s, *r.calendar, rollout::RolloutLimits{}, now);
       r.metrics.epoch = 1;
     }
@@ -701,7 +701,7 @@
     now += 0.1;
     for (int n = 0; n < kRouters; ++n) {
       auto& r = routers[static_cast<std::size_t>(n)];
-      r.calendar->in_contact(now);
+      r.calendar->majority_contacted(now);
       r.metrics.requests += 5, r.metrics.latency[4] += 5, r.metrics.attempts += 5;
       r.rollout->set_metrics(r.metrics);
       if (r.rollout->next_move(now)) r.ready_at = now + 5;
--- a/tests/stories/freeze.cpp
+++ b/tests/stories/freeze.cpp
@@ -9,7 +9,7 @@
 
 using namespace walkpaddle;
 using namespace walkpaddle::freeze;
-using May = Answer::May;
+using Outcome = Permission::Outcome;
 
 namespace {
 
@@ -22,19 +22,23 @@
 }
 
 Window window(const char* name, const char* from, const char* until, const char* zone = "Europe/London") {
-  Window w{.name = name, .zone = zone, .from = *read_local(from), .until = *read_local(until), .by = "ana"};
-  REQUIRE(refusal(w).empty());
+  Window w{.name = name,
+           .zone = zone,
+           .from = *parse_local_time(from),
+           .until = *parse_local_time(until),
+           .author = "ana"};
+  REQUIRE_FALSE(refusal(w));
   return w;
 }
 
 // A fleet of one, whose calendar is current.
 Calendar alone(Seconds now) {
   Calendar c(1, {1}, {});
-  c.in_contact(now);
+  c.majority_contacted(now);
   return c;
 }
 
-const Calendar::Plan kTenMinutes{.change = "cache-ttl", .work = kSettings, .sites = {}, .worst = 600};
+const PlannedChange kTenMinutes{.change = "cache-ttl", .work = kSettings, .sites = {}, .max_duration = 600};
 
 // Routers with a calendar each.
 struct Fleet {
@@ -45,20 +49,21 @@
                     [routers](lab::Memory::Router& r, Seconds) {
                       r.kinds.push_back(std::make_unique<Calendar>(lab::Memory::Router::name(r.number),
                                                                    lab::Memory::Router::all(routers),
-                                                                   Calendar::Bounds{}));
+                                                                   Calendar::Limits{}));
                     },
                 .step =
                     [](lab::Memory::Router& r, Seconds own) {
                       auto& c = static_cast<Calendar&>(*r.kinds[0]);
-                      if (!r.gossip.catching_up() && r.members.alive() + 1 >= c.majority()) c.in_contact(own);
-                      c.clock_apart(r.gossip.clock_apart(own));
+                      if (!r.gossip.catching_up() && r.members.alive() + 1 >= c.majority())
+                        c.majority_contacted(own);
+                      c.set_clock_offset(r.gossip.clock_apart(own));
                     }},
                now) {
     memory.pace = 0.02;
   }
   Calendar& operator[](int n) { return static_cast<Calendar&>(*memory[n].kinds[0]); }
-  Answer ask(int n, Act act = Act::go_on) {
-    return (*this)[n].ask(act, kTenMinutes, memory.now + memory[n].skew);
+  Permission ask(int n, Action action = Action::go_on) {
+    return (*this)[n].decide(action, kTenMinutes, memory.now + memory[n].skew);
   }
   template <class F>
   bool all(F&& holds) {
@@ -77,14 +82,16 @@
     w.lead = kDay;
     REQUIRE(c.declare(w));
     WHEN("a change of ten minutes is proposed two days before") {
-      THEN("it goes on now") { CHECK(c.ask(Act::propose, kTenMinutes, now).may == May::now); }
+      THEN("it goes on now") {
+        CHECK(c.decide(Action::propose, kTenMinutes, now).outcome == Outcome::allowed);
+      }
     }
     WHEN("a change whose longest time is two days is proposed") {
       auto plan = kTenMinutes;
-      plan.worst = 2 * kDay;
-      const auto answer = c.ask(Act::propose, plan, now);
+      plan.max_duration = 2 * kDay;
+      const auto answer = c.decide(Action::propose, plan, now);
       THEN("it is refused until the window is over, by its name") {
-        CHECK(answer.may == May::not_before);
+        CHECK(answer.outcome == Outcome::not_before);
         CHECK(answer.window == "festive");
         CHECK(answer.at == Approx(utc(2027, 1, 2, 9) + 60));
         CHECK(answer.why.find("the way back included, would run into the freeze window festive") !=
@@ -93,26 +100,26 @@
     }
     WHEN("a stage wants to start within the lead, or within the window") {
       THEN("it does not, and the reason tells which") {
-        c.in_contact(utc(2026, 12, 28));
-        const auto lead = c.ask(Act::start_stage, kTenMinutes, utc(2026, 12, 24, 12));
-        CHECK(lead.may == May::not_before);
+        c.majority_contacted(utc(2026, 12, 28));
+        const auto lead = c.decide(Action::start_stage, kTenMinutes, utc(2026, 12, 24, 12));
+        CHECK(lead.outcome == Outcome::not_before);
         CHECK(lead.why.find("nothing starts from 2026-12-23 17:59 UTC on") != std::string::npos);
-        const auto within = c.ask(Act::go_on, kTenMinutes, utc(2026, 12, 28));
-        CHECK(within.may == May::not_before);
+        const auto within = c.decide(Action::go_on, kTenMinutes, utc(2026, 12, 28));
+        CHECK(within.outcome == Outcome::not_before);
         CHECK(within.why.find("it is within the freeze window festive until 2027-01-02 09:01 UTC") !=
               std::string::npos);
       }
     }
     WHEN("somebody wants to stop, or to go back, on Boxing Day") {
       THEN("nothing is in their way") {
-        CHECK(c.ask(Act::stop, kTenMinutes, utc(2026, 12, 26)) == Answer{});
-        CHECK(c.ask(Act::go_back, kTenMinutes, utc(2026, 12, 26)) == Answer{});
+        CHECK(c.decide(Action::stop, kTenMinutes, utc(2026, 12, 26)) == Permission{});
+        CHECK(c.decide(Action::roll_back, kTenMinutes, utc(2026, 12, 26)) == Permission{});
       }
     }
     WHEN("the window is over") {
-      c.in_contact(utc(2027, 1, 2, 9, 2));
+      c.majority_contacted(utc(2027, 1, 2, 9, 2));
       THEN("changes go on") {
-        CHECK(c.ask(Act::propose, kTenMinutes, utc(2027, 1, 2, 9, 2)).may == May::now);
+        CHECK(c.decide(Action::propose, kTenMinutes, utc(2027, 1, 2, 9, 2)).outcome == Outcome::allowed);
       }
     }
   }
@@ -128,23 +135,24 @@
     west.sites = {"west"}, west.blocks = kSettings;
     REQUIRE((c.declare(east) && c.declare(west)));
     const auto ask = [&](std::uint8_t work, std::vector<std::string> sites) {
-      return c.ask(Act::propose, {.change = "c", .work = work, .sites = sites, .worst = 60}, now).may;
+      return c.decide(Action::propose, {.change = "c", .work = work, .sites = sites, .max_duration = 60}, now)
+          .outcome;
     };
     THEN("a release waits in the east and goes on in the west") {
-      CHECK(ask(kRelease, {"east"}) == May::not_before);
-      CHECK(ask(kRelease, {"west"}) == May::now);
-      CHECK(ask(kRelease, {"east", "west"}) == May::not_before);
-      CHECK(ask(kRelease, {}) == May::not_before);
+      CHECK(ask(kRelease, {"east"}) == Outcome::not_before);
+      CHECK(ask(kRelease, {"west"}) == Outcome::allowed);
+      CHECK(ask(kRelease, {"east", "west"}) == Outcome::not_before);
+      CHECK(ask(kRelease, {}) == Outcome::not_before);
     }
-    THEN("settings go on in the east") { CHECK(ask(kSettings, {"east"}) == May::now); }
+    THEN("settings go on in the east") { CHECK(ask(kSettings, {"east"}) == Outcome::allowed); }
     THEN("a change of both everywhere waits until the overlapping windows have all ended") {
       const auto answer =
-          c.ask(Act::propose, {.change = "c", .work = kAnyWork, .sites = {}, .worst = 60}, now);
+          c.decide(Action::propose, {.change = "c", .work = kAnyWork, .sites = {}, .max_duration = 60}, now);
       CHECK(answer.at == Approx(utc(2026, 12, 8) + 60));
     }
     THEN("each site knows by itself whether it is frozen") {
-      CHECK(c.site_frozen("east", kRelease, now));
-      CHECK_FALSE(c.site_frozen("west", kRelease, now));
+      CHECK(c.is_site_frozen("east", kRelease, now));
+      CHECK_FALSE(c.is_site_frozen("west", kRelease, now));
     }
   }
 }
@@ -203,13 +211,13 @@
   const auto why = [&](auto&& spoil) {
     auto w = good;
     spoil(w);
-    return refusal(w);
+    return refusal(w).value_or("");
   };
   CHECK(why([](Window& w) { w.zone = "Europe/Atlantis"; }) == "no time zone is named 'Europe/Atlantis'");
   CHECK(why([](Window& w) { w.until = w.from; }) == "it ends before it begins");
   CHECK(why([](Window& w) { w.until.year = 0; }) == "one end has a year and the other has none");
   CHECK(why([](Window& w) { w.until = {2026, 11, 31, 0, 0}; }) == "a day or time that no calendar has");
-  CHECK(why([](Window& w) { w.by = ""; }) == "by is missing: who declares it");
+  CHECK(why([](Window& w) { w.author = ""; }) == "by is missing: who declares it");
   CHECK(why([](Window& w) { w.blocks = 0; }) == "it blocks nothing that is known here");
   CHECK(why([](Window& w) { w.lead = 40 * kDay; }) == "lead is over 30 days");
   CHECK(why([](Window& w) { w.lead = std::nan(""); }) == "lead is over 30 days");
@@ -217,9 +225,9 @@
         "with its lead it lasts over 330 days: nothing could ever change");
   for (const char* text : {"2026-13-01 00:00", "2026-02-30 00:00", "2026-12-24", "24:00", "2026-12-24 24:00",
                            "2026-12-24 18:60", "", "12-24-26-1 00:00", "-5-12 00:00", "2026-12-24 1e1:00"})
-    CHECK_FALSE(read_local(text).has_value());
-  CHECK(text_of(*read_local("2026-12-24 18:00")) == "2026-12-24 18:00");
-  CHECK(text_of(*read_local("2-29 7:05")) == "02-29 07:05");
+    CHECK_FALSE(parse_local_time(text).has_value());
+  CHECK(to_string(*parse_local_time("2026-12-24 18:00")) == "2026-12-24 18:00");
+  CHECK(to_string(*parse_local_time("2-29 7:05")) == "02-29 07:05");
 }
 
 SCENARIO("windows that leave no room until January, or none at all") {
@@ -230,12 +238,12 @@
     c.declare(window("b", "2026-12-10 01:00", "2026-12-20 00:00", "UTC"));
     c.declare(window("c", "2026-12-20 01:00", "2027-01-03 00:00", "UTC"));
     THEN("a change of ten minutes fits into the first gap") {
-      CHECK(c.ask(Act::propose, kTenMinutes, now).at == Approx(utc(2026, 12, 10) + 60));
+      CHECK(c.decide(Action::propose, kTenMinutes, now).at == Approx(utc(2026, 12, 10) + 60));
     }
     THEN("one of two hours waits until January") {
       auto plan = kTenMinutes;
-      plan.worst = 2 * kHour;
-      CHECK(c.ask(Act::propose, plan, now).at == Approx(utc(2027, 1, 3) + 60));
+      plan.max_duration = 2 * kHour;
+      CHECK(c.decide(Action::propose, plan, now).at == Approx(utc(2027, 1, 3) + 60));
     }
   }
   GIVEN("two yearly windows that between them leave three days") {
@@ -245,9 +253,9 @@
     c.declare(window("rest", "04-04 00:00", "10-31 23:00", "UTC"));
     THEN("a change of a week never fits, and is told so") {
       auto plan = kTenMinutes;
-      plan.worst = 7 * kDay;
-      const auto answer = c.ask(Act::propose, plan, now);
-      CHECK(answer.may == May::never);
+      plan.max_duration = 7 * kDay;
+      const auto answer = c.decide(Action::propose, plan, now);
+      CHECK(answer.outcome == Outcome::never);
       CHECK(answer.why.find("no time is free for it in 800 days") != std::string::npos);
     }
   }
@@ -263,33 +271,33 @@
               .approvers = {"ana", "bo"},
               .until = now + kHour};
   GIVEN("one that two approved") {
-    REQUIRE(refusal(e, now).empty());
-    REQUIRE(c.except(e));
+    REQUIRE_FALSE(refusal(e, now));
+    REQUIRE(c.add_exception(e));
     THEN("that change goes on, another does not") {
-      CHECK(c.ask(Act::go_on, kTenMinutes, now).may == May::now);
+      CHECK(c.decide(Action::go_on, kTenMinutes, now).outcome == Outcome::allowed);
       auto other = kTenMinutes;
       other.change = "another";
-      CHECK(c.ask(Act::go_on, other, now).may == May::not_before);
+      CHECK(c.decide(Action::go_on, other, now).outcome == Outcome::not_before);
     }
     THEN("it does not where it would last past the exception's end") {
-      CHECK(c.ask(Act::go_on, kTenMinutes, now + kHour - 300).may == May::not_before);
+      CHECK(c.decide(Action::go_on, kTenMinutes, now + kHour - 300).outcome == Outcome::not_before);
     }
     THEN("of two the one that ends earlier stands, and a later version over both") {
       auto earlier = e;
       earlier.until = now + 60;
-      CHECK(c.except(earlier));
-      CHECK_FALSE(c.except(e));
-      CHECK(c.ask(Act::go_on, kTenMinutes, now).may == May::not_before);
+      CHECK(c.add_exception(earlier));
+      CHECK_FALSE(c.add_exception(e));
+      CHECK(c.decide(Action::go_on, kTenMinutes, now).outcome == Outcome::not_before);
       e.version = 2;
-      CHECK(c.except(e));
-      CHECK(c.ask(Act::go_on, kTenMinutes, now).may == May::now);
+      CHECK(c.add_exception(e));
+      CHECK(c.decide(Action::go_on, kTenMinutes, now).outcome == Outcome::allowed);
     }
   }
   GIVEN("ones that are not in order") {
     const auto why = [&](auto&& spoil) {
       auto bad = e;
       spoil(bad);
-      return refusal(bad, now);
+      return refusal(bad, now).value_or("");
     };
     CHECK(why([](Exception& x) { x.approvers[1] = " Ana"; }) == "the two who approve it are one person");
     CHECK(why([](Exception& x) { x.approvers[1] = "  "; }) == "two people have to approve it");
@@ -303,12 +311,12 @@
   GIVEN("twenty routers, a tenth of whose datagrams are lost") {
     Fleet fleet(20, 3, {.lost = 0.1, .twice = 0.1, .delay = 0.05});
     fleet.memory.go(5);
-    REQUIRE(fleet.ask(7).may == May::now);
+    REQUIRE(fleet.ask(7).outcome == Outcome::allowed);
     WHEN("one declares a window that has begun") {
       fleet[0].declare(window("now", "2026-12-01 00:00", "2026-12-05 00:00", "UTC"));
       fleet.memory.go(2);
       THEN("none goes on") {
-        for (int n = 0; n < 20; ++n) CHECK(fleet.ask(n).may == May::not_before);
+        for (int n = 0; n < 20; ++n) CHECK(fleet.ask(n).outcome == Outcome::not_before);
         CHECK(fleet.memory.equal());
       }
     }
@@ -330,7 +338,7 @@
       fleet.memory.go(30);
       THEN("after the cut all heed the longer") {
         CHECK(fleet.memory.equal());
-        CHECK(fleet.all([&](Calendar& c) { return c.site_frozen("east", kSettings, utc(2026, 12, 15)); }));
+        CHECK(fleet.all([&](Calendar& c) { return c.is_site_frozen("east", kSettings, utc(2026, 12, 15)); }));
       }
       AND_WHEN("a later version says the shorter") {
         short_one.version = 2;
@@ -339,7 +347,7 @@
         THEN("that one stands, also where an old copy comes again") {
           CHECK_FALSE(fleet[2].declare(long_one));
           CHECK(fleet.all([&](Calendar& c) {
-            return !c.site_frozen("east", kSettings, utc(2026, 12, 15)) && c.standing().size() == 1;
+            return !c.is_site_frozen("east", kSettings, utc(2026, 12, 15)) && c.status().size() == 1;
           }));
         }
       }
@@ -357,21 +365,23 @@
       fleet[1].withdraw("sale", 1);
       fleet.memory.go(20);
       THEN("it stands for all") {
-        CHECK(fleet.all([](Calendar& c) { return c.site_frozen("east", kSettings, utc(2026, 12, 15)); }));
+        CHECK(fleet.all([](Calendar& c) { return c.is_site_frozen("east", kSettings, utc(2026, 12, 15)); }));
       }
       AND_WHEN("the cut heals") {
         fleet.memory.cuts.clear();
         fleet.memory.go(30);
         THEN("all hold the withdrawal, and changes go on") {
-          CHECK(fleet.all([](Calendar& c) { return !c.site_frozen("east", kSettings, utc(2026, 12, 15)); }));
-          CHECK(fleet.ask(8).may == May::now);
+          CHECK(
+              fleet.all([](Calendar& c) { return !c.is_site_frozen("east", kSettings, utc(2026, 12, 15)); }));
+          CHECK(fleet.ask(8).outcome == Outcome::allowed);
         }
         AND_THEN("a later version of the window freezes again") {
           auto again = window("sale", "2026-12-01 00:00", "2026-12-20 00:00", "UTC");
           again.version = 2;
           fleet[4].declare(again);
           fleet.memory.go(3);
-          CHECK(fleet.all([](Calendar& c) { return c.site_frozen("east", kSettings, utc(2026, 12, 15)); }));
+          CHECK(
+              fleet.all([](Calendar& c) { return c.is_site_frozen("east", kSettings, utc(2026, 12, 15)); }));
         }
       }
     }
@@ -380,7 +390,7 @@
       c.declare(window("sale", "2026-12-01 00:00", "2026-12-20 00:00", "UTC"));
       CHECK(c.withdraw("sale", 1));
       CHECK_FALSE(c.withdraw("sale", 1));
-      THEN("it stands") { CHECK(c.site_frozen("east", kSettings, utc(2026, 12, 15))); }
+      THEN("it stands") { CHECK(c.is_site_frozen("east", kSettings, utc(2026, 12, 15))); }
     }
   }
 }
@@ -394,14 +404,14 @@
       fleet[5].declare(window("now", "2026-12-01 00:00", "2026-12-05 00:00", "UTC"));
       fleet.memory.go(60);
       THEN("the two do not know it, and go on with nothing all the same") {
-        CHECK(fleet[0].standing().empty());
+        CHECK(fleet[0].status().empty());
         const auto answer = fleet.ask(0);
-        CHECK(answer.may == May::not_before);
+        CHECK(answer.outcome == Outcome::not_before);
         CHECK(answer.at == 0);
         CHECK(answer.why ==
               "this router's calendar may lack a window: no contact with a majority for over 30 s");
-        CHECK(fleet.ask(0, Act::stop) == Answer{});
-        CHECK(fleet.ask(0, Act::go_back) == Answer{});
+        CHECK(fleet.ask(0, Action::stop) == Permission{});
+        CHECK(fleet.ask(0, Action::roll_back) == Permission{});
       }
       AND_WHEN("the cut heals") {
         fleet.memory.cuts.clear();
@@ -418,7 +428,7 @@
     fleet.memory.go(30);
     fleet.memory.start(2);
     THEN("it goes on with nothing before it has caught up, and knows the window then") {
-      CHECK(fleet.ask(2).may == May::not_before);
+      CHECK(fleet.ask(2).outcome == Outcome::not_before);
       fleet.memory.go(3);
       CHECK(fleet.ask(2).window == "now");
     }
@@ -434,7 +444,7 @@
     fleet[0].declare(window("festive", "2026-12-24 18:00", "2027-01-02 09:00"));
     fleet.memory.go(30);
     THEN("the others know that they may not; so does that one, since its clock is apart from theirs") {
-      CHECK(fleet.ask(0, Act::start_stage).may == May::now);  // 17:30: ten minutes fit
+      CHECK(fleet.ask(0, Action::start_stage).outcome == Outcome::allowed);  // 17:30: ten minutes fit
       CHECK(fleet.ask(3).why == "this router's clock is 3600 s apart from the others'");
     }
   }
@@ -446,10 +456,10 @@
     fleet[0].declare(window("festive", "2026-12-24 18:00", "2027-01-02 09:00"));
     fleet.memory.go(105);  // 08:59:45 for the others, 09:00:15 for that one
     THEN("it is still frozen: windows are wider by a minute than they were said") {
-      CHECK(fleet.ask(3).may == May::not_before);
+      CHECK(fleet.ask(3).outcome == Outcome::not_before);
       CHECK(fleet.ask(3).window == "festive");
       fleet.memory.go(90);
-      CHECK(fleet.ask(0).may == May::now);
+      CHECK(fleet.ask(0).outcome == Outcome::allowed);
     }
   }
 }
@@ -461,41 +471,41 @@
   w.lead = kDay;
   GIVEN("a change with an hour to go and ten minutes of way back") {
     auto plan = kTenMinutes;
-    plan.worst = kHour;
-    REQUIRE(c.overtaken(plan, 600, now) == Overtaken::no);
+    plan.max_duration = kHour;
+    REQUIRE(c.late_window_effect(plan, 600, now) == LateWindowEffect::none);
     WHEN("the window is declared within its own lead") {
       c.declare(w);
-      THEN("it goes back") { CHECK(c.overtaken(plan, 600, now) == Overtaken::goes_back); }
+      THEN("it goes back") { CHECK(c.late_window_effect(plan, 600, now) == LateWindowEffect::rolls_back); }
       THEN("it stays where it stands when the way back would end within the window") {
-        CHECK(c.overtaken(plan, 600, utc(2026, 12, 24, 17, 55)) == Overtaken::holds);
-        CHECK(c.overtaken(plan, 600, utc(2026, 12, 26)) == Overtaken::holds);
+        CHECK(c.late_window_effect(plan, 600, utc(2026, 12, 24, 17, 55)) == LateWindowEffect::holds);
+        CHECK(c.late_window_effect(plan, 600, utc(2026, 12, 26)) == LateWindowEffect::holds);
       }
     }
     WHEN("the window is excepted for it") {
       c.declare(w);
-      c.except({.change = "cache-ttl",
-                .window = "festive",
-                .reason = "r",
-                .approvers = {"ana", "bo"},
-                .until = now + kDay});
-      THEN("it goes on") { CHECK(c.overtaken(plan, 600, now) == Overtaken::no); }
+      c.add_exception({.change = "cache-ttl",
+                       .window = "festive",
+                       .reason = "r",
+                       .approvers = {"ana", "bo"},
+                       .until = now + kDay});
+      THEN("it goes on") { CHECK(c.late_window_effect(plan, 600, now) == LateWindowEffect::none); }
     }
   }
 }
 
 SCENARIO("a calendar that is full or told nonsense goes on with nothing") {
   const Seconds now = utc(2026, 12, 2);
-  Calendar::Bounds bounds;
+  Calendar::Limits bounds;
   bounds.windows = 2;
   Calendar c(1, {1}, bounds);
-  c.in_contact(now);
+  c.majority_contacted(now);
   c.declare(window("a", "2027-06-01 00:00", "2027-06-02 00:00"));
   c.declare(window("b", "2027-06-01 00:00", "2027-06-02 00:00"));
-  REQUIRE(c.ask(Act::go_on, kTenMinutes, now).may == May::now);
+  REQUIRE(c.decide(Action::go_on, kTenMinutes, now).outcome == Outcome::allowed);
   WHEN("a third window has no room") {
     CHECK_FALSE(c.declare(window("c", "2027-07-01 00:00", "2027-07-02 00:00")));
     THEN("it says so and goes on with nothing") {
-      CHECK(c.ask(Act::go_on, kTenMinutes, now).why ==
+      CHECK(c.decide(Action::go_on, kTenMinutes, now).why ==
             "a window is not heeded here: past 256, a fifth copy of one version, or without sense; withdraw "
             "some, restart");
     }
@@ -529,12 +539,12 @@
           c.withdraw(name, 1 + static_cast<unsigned>(chance() % 3));
           break;
         case 3:
-          c.except({.change = "c",
-                    .window = name,
-                    .reason = "r",
-                    .approvers = {"ana", "bo"},
-                    .version = 1 + static_cast<unsigned>(chance() % 2),
-                    .until = utc(2026, 12, 2) + static_cast<Seconds>(chance() % 3)});
+          c.add_exception({.change = "c",
+                           .window = name,
+                           .reason = "r",
+                           .approvers = {"ana", "bo"},
+                           .version = 1 + static_cast<unsigned>(chance() % 2),
+                           .until = utc(2026, 12, 2) + static_cast<Seconds>(chance() % 3)});
       }
     }
     // Each hears all of the others, in an order of its own, some twice; as often as it takes to say what
@@ -556,6 +566,6 @@
       REQUIRE(a.digest(range) == third.digest(range));
     }
     REQUIRE(a.exceptions() == b.exceptions());
-    REQUIRE(a.refused() + b.refused() + third.refused() == 0);
+    REQUIRE(a.refused_windows() + b.refused_windows() + third.refused_windows() == 0);
   }
 }
