--- a/src/compat/announcement.h
+++ b/src/compat/announcement.h
@@ -15,10 +15,10 @@
 
 /// The announcement of one version a channel; 0 announces nothing of it.
 constexpr std::uint64_t announcement(const int (&versions)[kAnnouncedChannels]) {
-  std::uint64_t word = 0;
+  std::uint64_t reads = 0;
   for (int n = 0; n < kAnnouncedChannels; ++n)
-    word |= static_cast<std::uint64_t>(versions[n] & 255) << (8 * n);
-  return word;
+    reads |= static_cast<std::uint64_t>(versions[n] & 255) << (8 * n);
+  return reads;
 }
 
 /// The byte of the channel; 0: an older program, or one that takes no part.
--- a/src/compat/channel_comparison.cpp
+++ b/src/compat/channel_comparison.cpp
@@ -7,7 +7,9 @@
 namespace {
 
 /// No value makes its reader refuse the message.
-bool takes_all(const Field& field) { return !field.min && !field.max && field.words == 0 && !field.required; }
+bool accepts_any(const Field& field) {
+  return !field.min && !field.max && field.words == 0 && !field.required;
+}
 
 std::string unit_of(const Field& field) { return field.unit.empty() ? "none" : field.unit; }
 
@@ -119,7 +121,7 @@
   /// What no decision uses may change its meaning; a reader that refuses it refuses the whole message.
   void compare_meaning(const std::string& path, const Field& was, const Field& now) {
     const bool informational = was.informational && now.informational;
-    if (now.absent_value != was.absent_value && !(informational && takes_all(was) && takes_all(now)))
+    if (now.absent_value != was.absent_value && !(informational && accepts_any(was) && accepts_any(now)))
       breaks(path, "what it means when absent was " + was.absent_value + " and is " + now.absent_value);
     if (now.unit != was.unit && !informational)
       breaks(path, "its unit was " + unit_of(was) + " and is " + unit_of(now) + " under the same type");
--- a/src/compat/rules.cpp
+++ b/src/compat/rules.cpp
@@ -45,9 +45,12 @@
 }
 
 void read_field(const std::string& path, const json& rule, Field& field) {
-  for (const auto& [key, value] : rule.items())
-    if (std::ranges::find(kFieldKeys, key) == kFieldKeys.end())
-      throw InputError("rule for " + path + ": unknown word " + key);
+  for (const auto& [key, value] : rule.items()) {
+    if (std::ranges::find(kFieldKeys, key) != kFieldKeys.end()) continue;
+    std::string message = "rule for " + path;
+    message += ": unknown word " + key;
+    throw InputError(message);
+  }
   field.unit = rule.value("unit", "");
   field.former_name = rule.value("was", "");
   field.alters = rule.value("alters", "");
--- a/src/freeze/calendar.cpp
+++ b/src/freeze/calendar.cpp
@@ -173,7 +173,7 @@
                                                         : LateWindowEffect::holds;
 }
 
-bool Calendar::is_site_frozen(std::string_view site, std::uint8_t work, Seconds now) const {
+bool Calendar::is_site_frozen(std::string_view site, Work work, Seconds now) const {
   const PlannedChange anything{.change = {}, .work = work, .sites = {std::string(site)}};
   return first_conflict(anything, now, now).has_value();
 }
--- a/src/freeze/calendar.h
+++ b/src/freeze/calendar.h
@@ -60,7 +60,7 @@
 /// A change that somebody wants to carry out.
 struct PlannedChange {
   std::string change;                ///< its name
-  std::uint8_t work = kSettings;     ///< bits of Work
+  Work work = kSettings;             ///< what it changes
   std::vector<std::string> sites{};  ///< whose routers it concerns; empty: all
   Seconds max_duration = 0;          ///< its longest time from here on, the way back included
 };
@@ -110,7 +110,7 @@
   LateWindowEffect late_window_effect(const PlannedChange& change, Seconds rollback_duration,
                                       Seconds now) const;
   /// Whether a window or its lead holds the site now, exceptions aside.
-  bool is_site_frozen(std::string_view site, std::uint8_t work, Seconds now) const;
+  bool is_site_frozen(std::string_view site, Work work, Seconds now) const;
   /// Why this calendar cannot be relied on; nullopt: it can.
   std::optional<std::string> why_not_current(Seconds now) const;
 
--- a/src/freeze/window.h
+++ b/src/freeze/window.h
@@ -20,11 +20,10 @@
 namespace walkpaddle::freeze {
 
 /// What a change changes, as bits: a window blocks some of them.
-enum Work : std::uint8_t {
-  kSettings = 1,
-  kRelease = 2,
-  kAnyWork = 3,  ///< both
-};
+using Work = std::uint8_t;
+constexpr Work kSettings = 1;                    ///< settings that change while a router serves
+constexpr Work kRelease = 2;                     ///< the program
+constexpr Work kAnyWork = kSettings | kRelease;  ///< both
 
 /// A local time, to the minute.
 struct LocalTime {
@@ -45,7 +44,7 @@
   std::string zone;                  ///< as the time-zone database names it: "Europe/London"
   LocalTime from;                    ///< its begin
   LocalTime until;                   ///< its end
-  std::uint8_t blocks = kAnyWork;    ///< bits of Work
+  Work blocks = kAnyWork;            ///< what does not go on in it
   Seconds lead = 0;                  ///< before it begins nothing is started that could run into it
   std::string author;                ///< who declared it
   /// Field by field, in the order of the declarations.
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -21,7 +21,7 @@
 /// routers.
 struct RolloutPlan {
   std::string name;                       ///< 1 to 64 bytes
-  std::uint8_t work = freeze::kSettings;  ///< or freeze::kRelease
+  freeze::Work work = freeze::kSettings;  ///< or freeze::kRelease
   std::string before;  ///< the generation that the fleet has; it stands for one thing for ever
   std::string after;   ///< the generation that the fleet is to have
   std::string author;  ///< who proposes it
--- a/src/rollout/stage_runner.cpp
+++ b/src/rollout/stage_runner.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <string_view>
+#include <utility>
 
 namespace walkpaddle::rollout {
 
@@ -189,8 +190,8 @@
   std::vector<std::string> open;
   for (const auto& site : sites)
     if (!context_.calendar.is_site_frozen(site, plan.work, now)) open.push_back(site);
-  return {
-      .change = plan.name, .work = plan.work, .sites = open.empty() ? sites : open, .max_duration = worst};
+  if (open.empty()) open = sites;
+  return {.change = plan.name, .work = plan.work, .sites = std::move(open), .max_duration = worst};
 }
 
 // ---- turns -------------------------------------------------------------------------------------
