--- a/lab/memory.cpp
+++ b/lab/memory.cpp
@@ -16,7 +16,7 @@
       members(name(n), others(n, routers), static_cast<std::uint64_t>(now * 1e3), {}, seed + 1, now),
       snapshot_replicas(members, {}, now),
       gossip(members, tracker, snapshot_replicas, {}, seed + 2, now) {
-  members.announce(compat::announced(gossip::kChannelVersions));
+  members.announce(compat::announcement(gossip::kChannelVersions));
   tracker.discovery_heard(now);
   for (int s = 0; s < 4; ++s)
     tracker.update_listing(s, {.hash = kServer + static_cast<std::uint64_t>(s)}, now);
--- a/src/admin/admin_replies.cpp
+++ b/src/admin/admin_replies.cpp
@@ -39,47 +39,47 @@
 // Seconds since `time`, null where it never was.
 json age_or_null(Seconds now, Seconds time) { return time > 0 ? json(now - time) : json(nullptr); }
 
-std::string_view state_text(const change::Rollout::Standing& rollout) {
+std::string_view state_text(const rollout::RolloutStatus& rollout) {
   if (rollout.stopped) return "STOPPED";
   if (rollout.done) return "done";
   return rollout.stage == 0 ? "proposed" : "under way";
 }
 
-json rollouts_json(const fleet::Changes& changes, Seconds now) {
+json rollouts_json(const rollout::RolloutCoordinator& changes, Seconds now) {
   json all = json::array();
-  for (const auto& rollout : changes.rollout().standing(now))
-    all.push_back({{"name", rollout.document.name},
-                   {"from", rollout.document.before},
-                   {"to", rollout.document.after},
-                   {"by", rollout.document.by},
+  for (const auto& rollout : changes.rollout().status(now))
+    all.push_back({{"name", rollout.plan.name},
+                   {"from", rollout.plan.before},
+                   {"to", rollout.plan.after},
+                   {"by", rollout.plan.author},
                    {"state", state_text(rollout)},
                    {"stage", rollout.stage},
                    {"stages", rollout.stages},
-                   {"through", rollout.through},
+                   {"through", rollout.turns},
                    {"routers", rollout.fleet},
                    {"drives", rollout.drives},
-                   {"txns_old", rollout.txns[0]},
-                   {"txns_new", rollout.txns[1]},
+                   {"txns_old", rollout.control_requests},
+                   {"txns_new", rollout.canary_requests},
                    {"why", rollout.why}});
   return all;
 }
 
-json windows_json(const fleet::Changes& changes) {
+json windows_json(const rollout::RolloutCoordinator& changes) {
   json all = json::array();
-  for (const auto& standing : changes.calendar().standing())
-    all.push_back({{"name", standing.window.name},
-                   {"version", standing.window.version},
-                   {"zone", standing.window.zone},
-                   {"from", freeze::text_of(standing.window.from)},
-                   {"until", freeze::text_of(standing.window.until)},
-                   {"by", standing.window.by},
-                   {"withdrawn", standing.withdrawn},
-                   {"withdrawn_by", standing.withdrawn_by}});
+  for (const auto& status : changes.calendar().status())
+    all.push_back({{"name", status.window.name},
+                   {"version", status.window.version},
+                   {"zone", status.window.zone},
+                   {"from", freeze::to_string(status.window.from)},
+                   {"until", freeze::to_string(status.window.until)},
+                   {"by", status.window.author},
+                   {"withdrawn", status.withdrawn},
+                   {"withdrawn_by", status.withdrawn_by}});
   return all;
 }
 
 // The fields of rollouts, null or empty where there are none.
-void add_rollouts(json& reply, const fleet::Changes* changes, Seconds now) {
+void add_rollouts(json& reply, const rollout::RolloutCoordinator* changes, Seconds now) {
   reply["generation"] = nullptr;
   reply["fleets_generation"] = nullptr;
   reply["calendar"] = nullptr;
@@ -87,8 +87,8 @@
   reply["windows"] = json::array();
   if (changes == nullptr) return;
   reply["generation"] = changes->rollout().running();
-  reply["fleets_generation"] = changes->rollout().fleets_generation();
-  reply["calendar"] = changes->calendar().not_current(now);
+  reply["fleets_generation"] = changes->rollout().fleet_generation();
+  reply["calendar"] = changes->calendar().why_not_current(now).value_or("");
   reply["changes"] = rollouts_json(*changes, now);
   reply["windows"] = windows_json(*changes);
 }
--- a/src/admin/change_documents.cpp
+++ b/src/admin/change_documents.cpp
@@ -29,9 +29,9 @@
   section.refuse("'" + word + "', expected settings or release");
 }
 
-freeze::Local read_local_time(const Section& section, const char* key) {
+freeze::LocalTime read_local_time(const Section& section, const char* key) {
   const auto text = section.text(key);
-  const auto local = freeze::read_local(text);
+  const auto local = freeze::parse_local_time(text);
   if (!local)
     section.refuse(
         std::string(key) + " is '" + text + "', expected YEAR-MM-DD HH:MM, or MM-DD HH:MM for each year",
@@ -48,10 +48,10 @@
                         .until = read_local_time(section, "until"),
                         .blocks = 0,
                         .lead = static_cast<Seconds>(section.integer("lead")),
-                        .by = section.text("by")};
+                        .author = section.text("by")};
   std::ranges::sort(window.sites);
   for (const auto& word : section.texts("blocks")) window.blocks |= read_work(section, word);
-  if (const auto why = refusal(window); !why.empty()) section.refuse("window " + window.name + ": " + why);
+  if (const auto why = refusal(window)) section.refuse("window " + window.name + ": " + *why);
   return window;
 }
 
@@ -62,9 +62,9 @@
 }
 
 // The end of an exception is given in UTC; 0 where there is no such time.
-Seconds utc_seconds(const freeze::Local& until) {
+Seconds utc_seconds(const freeze::LocalTime& until) {
   const freeze::Window window{
-      .name = "e", .zone = "UTC", .from = {1970, 1, 1, 0, 0}, .until = until, .by = "e"};
+      .name = "e", .zone = "UTC", .from = {1970, 1, 1, 0, 0}, .until = until, .author = "e"};
   const auto spans = freeze::spans(window, 0, kEndOfTime, 0);
   return spans.empty() ? 0 : spans.front().until;
 }
@@ -80,8 +80,7 @@
                               .approvers = {approvers[0], approvers[1]},
                               .version = static_cast<std::uint32_t>(section.integer("version")),
                               .until = utc_seconds(until)};
-  if (const auto why = refusal(exception, now); !why.empty())
-    section.refuse("exception " + section.title() + ": " + why);
+  if (const auto why = refusal(exception, now)) section.refuse("exception " + section.title() + ": " + *why);
   return exception;
 }
 
@@ -120,24 +119,24 @@
   return read_settings_lines(section, settings);
 }
 
-change::Document read_change(const Section& section) {
-  change::Document document{.name = section.title(),
-                            .work = read_work(section, section.text("work")),
-                            .before = section.text("before"),
-                            .after = section.text("after"),
-                            .by = section.text("by"),
-                            .body = {}};
+rollout::RolloutPlan read_change(const Section& section) {
+  rollout::RolloutPlan document{.name = section.title(),
+                                .work = read_work(section, section.text("work")),
+                                .before = section.text("before"),
+                                .after = section.text("after"),
+                                .author = section.text("by"),
+                                .body = {}};
   document.body = read_body(section, document.work);
   if (auto stages = section.numbers("stages"); !stages.empty()) document.stages = std::move(stages);
-  document.txns = static_cast<std::uint64_t>(std::max(0L, section.integer("txns")));
-  document.least = section.number("least");
-  document.longest = section.number("longest");
+  document.min_requests = static_cast<std::uint64_t>(std::max(0L, section.integer("txns")));
+  document.min_stage_time = section.number("least");
+  document.max_stage_time = section.number("longest");
   document.warm_up = section.number("warm_up");
-  document.ready_in = section.number("ready_in");
-  document.at_once = section.number("at_once");
-  document.harm = section.number("harm");
-  document.ratio = section.number("ratio");
-  if (const auto why = refusal(document); !why.empty()) refuse_change(section, why);
+  document.ready_within = section.number("ready_in");
+  document.max_moving_share = section.number("at_once");
+  document.harm_threshold = section.number("harm");
+  document.tolerated_ratio = section.number("ratio");
+  if (const auto why = refusal(document)) refuse_change(section, *why);
   return document;
 }
 
@@ -172,7 +171,7 @@
 }
 
 cfg_opt_t* change_options() {
-  const change::Document defaults;
+  const rollout::RolloutPlan defaults;
   static cfg_opt_t options[] = {CFG_STR("work", "settings", CFGF_NONE),
                                 CFG_STR("before", nullptr, CFGF_NODEFAULT),
                                 CFG_STR("after", nullptr, CFGF_NODEFAULT),
@@ -180,14 +179,14 @@
                                 CFG_STR_LIST("settings", nullptr, CFGF_NONE),
                                 CFG_STR("program", nullptr, CFGF_NODEFAULT),
                                 CFG_FLOAT_LIST("stages", nullptr, CFGF_NONE),
-                                CFG_INT("txns", static_cast<long>(defaults.txns), CFGF_NONE),
-                                CFG_FLOAT("least", defaults.least, CFGF_NONE),
-                                CFG_FLOAT("longest", defaults.longest, CFGF_NONE),
+                                CFG_INT("txns", static_cast<long>(defaults.min_requests), CFGF_NONE),
+                                CFG_FLOAT("least", defaults.min_stage_time, CFGF_NONE),
+                                CFG_FLOAT("longest", defaults.max_stage_time, CFGF_NONE),
                                 CFG_FLOAT("warm_up", defaults.warm_up, CFGF_NONE),
-                                CFG_FLOAT("ready_in", defaults.ready_in, CFGF_NONE),
-                                CFG_FLOAT("at_once", defaults.at_once, CFGF_NONE),
-                                CFG_FLOAT("harm", defaults.harm, CFGF_NONE),
-                                CFG_FLOAT("ratio", defaults.ratio, CFGF_NONE),
+                                CFG_FLOAT("ready_in", defaults.ready_within, CFGF_NONE),
+                                CFG_FLOAT("at_once", defaults.max_moving_share, CFGF_NONE),
+                                CFG_FLOAT("harm", defaults.harm_threshold, CFGF_NONE),
+                                CFG_FLOAT("ratio", defaults.tolerated_ratio, CFGF_NONE),
                                 CFG_END()};
   return options;
 }
--- a/src/admin/change_documents.h
+++ b/src/admin/change_documents.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "base/time.h"
-#include "change/document.h"
 #include "freeze/calendar.h"
+#include "rollout/plan.h"
 
 namespace walkpaddle::admin {
 
@@ -20,7 +20,7 @@
   std::vector<freeze::Window> windows;                             ///< declared
   std::vector<std::pair<std::string, std::uint32_t>> withdrawals;  ///< window, version
   std::vector<freeze::Exception> exceptions;                       ///< from windows
-  std::vector<change::Document> changes;                           ///< proposed
+  std::vector<rollout::RolloutPlan> changes;                       ///< proposed
   std::vector<std::pair<std::string, std::string>> stops;          ///< change, why
 };
 
--- a/src/cli/check_command.cpp
+++ b/src/cli/check_command.cpp
@@ -8,9 +8,9 @@
 #include "admin/change_documents.h"
 #include "base/error.h"
 #include "base/time.h"
-#include "change/document.h"
 #include "config/operator_config.h"
 #include "freeze/calendar.h"
+#include "rollout/plan.h"
 
 namespace walkpaddle::cli {
 
@@ -27,23 +27,25 @@
 freeze::Calendar calendar_of(const admin::ChangeDocuments& documents, Seconds now) {
   freeze::Calendar calendar(0, {0}, {});
   for (const auto& window : documents.windows) calendar.declare(window);
-  for (const auto& exception : documents.exceptions) calendar.except(exception);
-  calendar.in_contact(now);
+  for (const auto& exception : documents.exceptions) calendar.add_exception(exception);
+  calendar.majority_contacted(now);
   return calendar;
 }
 
 // Whether a change fits before the next freeze.
-void check_change(const change::Document& change, const freeze::Calendar& calendar, std::size_t routers,
+void check_change(const rollout::RolloutPlan& change, const freeze::Calendar& calendar, std::size_t routers,
                   Seconds now) {
-  const Seconds longest = change::worst(change, routers);
-  const auto answer = calendar.ask(
-      freeze::Act::propose, {.change = change.name, .work = change.work, .sites = {}, .worst = longest}, now);
-  if (answer.may == freeze::Answer::May::never) throw InputError("change " + change.name + ": " + answer.why);
-  const std::string begin = answer.may == freeze::Answer::May::now
+  const Seconds longest = rollout::max_rollout_duration(change, routers);
+  const auto answer = calendar.decide(
+      freeze::Action::propose,
+      {.change = change.name, .work = change.work, .sites = {}, .max_duration = longest}, now);
+  if (answer.outcome == freeze::Permission::Outcome::never)
+    throw InputError("change " + change.name + ": " + answer.why);
+  const std::string begin = answer.outcome == freeze::Permission::Outcome::allowed
                                 ? "it may begin now"
-                                : "not before " + freeze::text_of_moment(answer.at) + ", as " + answer.why;
+                                : "not before " + freeze::format_utc(answer.at) + ", as " + answer.why;
   fmt::print("change {}: {} routers in stages of {}, {:.0f} minutes at most, the way back included; {}\n",
-             change.name, routers, fmt::join(change::stage_sizes(change, routers), ", "),
+             change.name, routers, fmt::join(rollout::stage_sizes(change, routers), ", "),
              longest / kSecondsPerMinute, begin);
 }
 
--- a/src/cli/successor.cpp
+++ b/src/cli/successor.cpp
@@ -60,7 +60,7 @@
   const auto argument_pointers = pointers(arguments);
   constexpr int kKeptOverExec = 0;  // no FD_CLOEXEC
   ::fcntl(successor.listener.get(), F_SETFD, kKeptOverExec);
-  ::alarm(static_cast<unsigned>(std::ceil(successor.move.document.ready_in)));
+  ::alarm(static_cast<unsigned>(std::ceil(successor.move.plan.ready_within)));
   ::execve(successor.program.c_str(), argument_pointers.data(), environment_pointers.data());
   const int error_number = errno;
   throw SystemError("cannot run " + successor.program, error_number);
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "base/error.h"
-#include "compat/verdict.h"
+#include "compat/announcement.h"
 #include "gossip/digest.h"
 
 namespace walkpaddle::gossip {
@@ -84,7 +84,7 @@
 bool Gossip::reads_items(int peer) const {
   constexpr int kItemsVersion = 2;  // of the gossip channel, from which on datagrams have items
   const auto versions = shared_.members.peers()[static_cast<std::size_t>(peer)].channel_versions;
-  const int reads = compat::version_of(versions, compat::ChannelOf::gossip);
+  const int reads = compat::announced_version(versions, compat::AnnouncedChannel::gossip);
   return compat::version_to_write(kItemsVersion, {reads}) >= kItemsVersion;
 }
 
--- a/src/gossip/protocol_version.h
+++ b/src/gossip/protocol_version.h
@@ -3,12 +3,12 @@
 /// together.
 #pragma once
 
-#include "compat/verdict.h"
+#include "compat/announcement.h"
 
 namespace walkpaddle::gossip {
 
 constexpr int kProtocolVersion = 1;  ///< as every message and datagram names it
-/// What this program reads of each channel, in the order of compat::ChannelOf.
-constexpr int kChannelVersions[compat::kChannels] = {1, 2, 1, 1, 1};
+/// What this program reads of each channel, in the order of compat::AnnouncedChannel.
+constexpr int kChannelVersions[compat::kAnnouncedChannels] = {1, 2, 1, 1, 1};
 
 }  // namespace walkpaddle::gossip
--- a/src/replication/replication_service.cpp
+++ b/src/replication/replication_service.cpp
@@ -41,7 +41,7 @@
   return static_cast<std::uint64_t>(std::llround(started * 1e3));
 }
 
-std::uint64_t without_channel(std::uint64_t versions, compat::ChannelOf channel) {
+std::uint64_t without_channel(std::uint64_t versions, compat::AnnouncedChannel channel) {
   constexpr std::uint64_t kChannelMask = 255;
   return versions & ~(kChannelMask << (8 * static_cast<int>(channel)));
 }
@@ -61,8 +61,8 @@
                seed_of(setup) + 1, started_),
       snapshots_(members_, {}, started_),
       gossip_(members_, tracker_, snapshots_, {}, seed_of(setup) + 2, started_),
-      changes_(setup.changes ? std::make_unique<fleet::Changes>(log, *setup.changes, members_, gossip_,
-                                                                setup.store, started_)
+      changes_(setup.changes ? std::make_unique<rollout::RolloutCoordinator>(log, *setup.changes, members_,
+                                                                             gossip_, setup.store, started_)
                              : nullptr),
       transport_(scheduler, log, members_, gossip_, setup.listen, addresses_of(setup.peers),
                  [this] { observations_may_have_changed(); }),
@@ -76,10 +76,10 @@
 
 // Calendar and changes are read only where they are switched on.
 void ReplicationService::announce_channels() {
-  auto versions = compat::announced(gossip::kChannelVersions);
+  auto versions = compat::announcement(gossip::kChannelVersions);
   if (!changes_) {
-    versions = without_channel(versions, compat::ChannelOf::calendar);
-    versions = without_channel(versions, compat::ChannelOf::changes);
+    versions = without_channel(versions, compat::AnnouncedChannel::calendar);
+    versions = without_channel(versions, compat::AnnouncedChannel::changes);
   }
   members_.announce(versions);
 }
@@ -102,7 +102,7 @@
 void ReplicationService::restore() {
   try {
     setup_.store->for_each([&](std::string_view key, std::string_view value) {
-      if (changes_ && fleet::Changes::owns(key)) changes_->restore(key, value, started_);
+      if (changes_ && rollout::RolloutCoordinator::owns(key)) changes_->restore(key, value, started_);
       if (key == kSnapshotKey) snapshots_.restore(gossip::decode_snapshot(value));
       if (ObservationPersister::owns(key)) persister_->restore(value, started_);
     });
@@ -149,7 +149,7 @@
   constexpr Seconds kSaveInterval = 2;  // a crash costs what the peers know anyway
   const Seconds now = scheduler_.now();
   exchange_snapshots();
-  if (changes_) changes_->pull(now);
+  if (changes_) changes_->poll(now);
   transport_.pull();
   log_changes();
   if (now >= check_at_) {
--- a/src/replication/replication_service.h
+++ b/src/replication/replication_service.h
@@ -12,11 +12,11 @@
 #include <string>
 #include <vector>
 
-#include "fleet/changes.h"
 #include "gossip/gossip.h"
 #include "replication/datagram_transport.h"
 #include "replication/observation_persister.h"
 #include "replication/peer.h"
+#include "rollout/coordinator.h"
 #include "store/store.h"
 
 namespace walkpaddle::replication {
@@ -36,7 +36,7 @@
     std::function<gossip::ReplicatedSnapshot()> take_snapshot;
     /// What it had learnt before this start.
     std::function<void(const gossip::ReplicatedSnapshot&)> restore_snapshot;
-    std::optional<fleet::Changes::Setup> changes{};  ///< nullopt: no rollouts are made
+    std::optional<rollout::RolloutCoordinator::Setup> changes{};  ///< nullopt: no rollouts are made
   };
   /// `scheduler` and `log` must outlive the service. Throws SystemError if the address cannot be had,
   /// StoreError if what is stored cannot be read.
@@ -51,9 +51,11 @@
   const replica::ObservationTracker& tracker() const { return tracker_; }  ///< for reading
   const membership::Membership& members() const { return members_; }       ///< for reading
   const gossip::Gossip& gossip() const { return gossip_; }                 ///< for reading
-  fleet::Changes* changes() { return changes_.get(); }                     ///< null: no rollouts are made
-  const fleet::Changes* changes() const { return changes_.get(); }         ///< null: no rollouts are made
-  const DatagramCounts& counts() const { return transport_.counts(); }     ///< since the start
+  rollout::RolloutCoordinator* changes() { return changes_.get(); }        ///< null: no rollouts are made
+  const rollout::RolloutCoordinator* changes() const {
+    return changes_.get();
+  }                                                                     ///< null: no rollouts are made
+  const DatagramCounts& counts() const { return transport_.counts(); }  ///< since the start
   /// The name of a router by its hash; "?" for a stranger.
   const std::string& name_of(std::uint64_t hash) const;
   Seconds started() const { return started_; }  ///< on the scheduler's clock
@@ -76,7 +78,7 @@
   gossip::SnapshotReplicas snapshots_;
   gossip::Gossip gossip_;
   std::uint64_t received_before_ = 0;  // observations, when the host was last told
-  std::unique_ptr<fleet::Changes> changes_;
+  std::unique_ptr<rollout::RolloutCoordinator> changes_;
   DatagramTransport transport_;
   std::optional<ObservationPersister> persister_;  // none: nothing lasts
   std::vector<membership::MemberState> logged_;    // by peer
--- a/src/server/metrics.cpp
+++ b/src/server/metrics.cpp
@@ -58,13 +58,13 @@
   log("counters", "{}", text);
 }
 
-change::Counters Metrics::rollout_counters() {
+rollout::RolloutMetrics Metrics::rollout_counters() {
   const Seconds now = scheduler_.now();
   if (now >= next_load_sample_) {
     next_load_sample_ = now + kLoadSampleInterval;
     sample_process_load();
   }
-  return dispatcher_.tally()->counters();
+  return dispatcher_.metrics()->metrics();
 }
 
 void Metrics::sample_process_load() {
@@ -76,7 +76,7 @@
   const auto page_size = static_cast<double>(::sysconf(_SC_PAGESIZE));
   const double memory_mb = static_cast<double>(resident_pages) * page_size / kBytesPerMegabyte;
   const double cpu_seconds = static_cast<double>(cpu.tv_sec) + static_cast<double>(cpu.tv_nsec) * 1e-9;
-  dispatcher_.tally()->load(memory_mb, cpu_seconds, scheduler_.now());
+  dispatcher_.metrics()->load_measured(memory_mb, cpu_seconds, scheduler_.now());
 }
 
 }  // namespace walkpaddle::server
--- a/src/server/metrics.h
+++ b/src/server/metrics.h
@@ -7,10 +7,10 @@
 #include <utility>
 #include <vector>
 
-#include "change/evidence.h"
 #include "io/log.h"
 #include "io/scheduler.h"
 #include "net/request_dispatcher.h"
+#include "rollout/metrics.h"
 
 namespace walkpaddle::server {
 
@@ -27,7 +27,7 @@
   void log_counters(Log& log) const;
   /// What the judge of rollouts compares, the process's memory and CPU time included. Only where rollouts are
   /// switched on.
-  change::Counters rollout_counters();
+  rollout::RolloutMetrics rollout_counters();
 
  private:
   void sample_process_load();
--- a/src/server/rollout_agent.cpp
+++ b/src/server/rollout_agent.cpp
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-std::optional<fleet::Changes::Setup> RolloutAgent::changes_setup() {
+std::optional<rollout::RolloutCoordinator::Setup> RolloutAgent::changes_setup() {
   const auto& rollouts = parts_.operators.rollouts;
   if (!rollouts.enabled) return std::nullopt;
   const char* handed_generation = std::getenv(kGenerationVariable);
@@ -65,20 +65,22 @@
   // What a predecessor handed on stands in the configuration already.
   if (const char* lines = std::getenv(kSettingsVariable)) settings_lines_ = lines;
   generations_[generation] = settings_lines_;
-  fleet::Changes::Setup setup{
+  rollout::RolloutCoordinator::Setup setup{
       .name = parts_.operators.fleet.name,
       .site = rollouts.site,
       .generation = generation,
       .peers = {},
       .seed = fold_seed(parts_.config.seed),
-      .kept = [folder = rollouts.protocol_folder] { return read_releases(folder); },
-      .release = [folder = rollouts.protocol_folder](
-                     const std::string& generation_name) { return read_release_of(folder, generation_name); },
-      .carry_out = [this](const change::Rollout::Move& move) { carry_out(move); },
-      .counted = [this] { return parts_.metrics.rollout_counters(); }};
+      .kept_releases = [folder = rollouts.protocol_folder] { return read_releases(folder); },
+      .release_of =
+          [folder = rollouts.protocol_folder](const std::string& generation_name) {
+            return read_release_of(folder, generation_name);
+          },
+      .carry_out = [this](const rollout::GenerationMove& move) { carry_out(move); },
+      .metrics = [this] { return parts_.metrics.rollout_counters(); }};
   for (const auto& peer : parts_.operators.fleet.peers) setup.peers.push_back({peer.name, peer.site});
   const Seconds now = parts_.scheduler.now();
-  parts_.dispatcher.begin_tally(epoch_of(now), now + kStartWarmUp);
+  parts_.dispatcher.begin_metrics(epoch_of(now), now + kStartWarmUp);
   return setup;
 }
 
@@ -107,7 +109,7 @@
     auto& rollout = replication_->changes()->rollout();
     for (const auto& window : documents.windows) calendar.declare(window);
     for (const auto& [window, version] : documents.withdrawals) calendar.withdraw(window, version);
-    for (const auto& exception : documents.exceptions) calendar.except(exception);
+    for (const auto& exception : documents.exceptions) calendar.add_exception(exception);
     for (const auto& document : documents.changes) rollout.propose(document, now);
     for (const auto& [change, reason] : documents.stops) rollout.stop(change, reason, now);
     parts_.log("change", "{}: {} windows, {} changes", folder, documents.windows.size(),
@@ -117,24 +119,24 @@
   }
 }
 
-void RolloutAgent::carry_out(const change::Rollout::Move& move) {
+void RolloutAgent::carry_out(const rollout::GenerationMove& move) {
   if (parts_.lifecycle.phase() != Phase::serving) return;  // it ends, and no other program begins for it
-  if (move.document.work == freeze::kRelease)
+  if (move.plan.work == freeze::kRelease)
     request_successor(move);
   else
     apply_generation(move);
 }
 
-void RolloutAgent::request_successor(const change::Rollout::Move& move) {
+void RolloutAgent::request_successor(const rollout::GenerationMove& move) {
   const char* predecessor = std::getenv(kPredecessorVariable);
   std::string program;
-  if (!move.back)
-    program = move.document.body;
+  if (!move.is_rollback)
+    program = move.plan.body;
   else if (predecessor != nullptr)
     program = predecessor;
   if (program.empty() || ::access(program.c_str(), X_OK) != 0) {
     auto& rollout = replication_->changes()->rollout();
-    return rollout.move_failed("'" + program + "' is no program here", parts_.scheduler.now());
+    return rollout.move_failed("'" + program + "' is no program here");
   }
   successor_ = Successor{move, program, settings_lines_, Fd()};
   parts_.signals.wake();
@@ -142,7 +144,7 @@
 
 // The policy takes settings between two turns: no request notices. What the platform configured stays under
 // them, so that going back is handing over what was before.
-void RolloutAgent::apply_generation(const change::Rollout::Move& move) {
+void RolloutAgent::apply_generation(const rollout::GenerationMove& move) {
   auto& rollout = replication_->changes()->rollout();
   const Seconds now = parts_.scheduler.now();
   const auto& lines = settings_of(move);
@@ -152,18 +154,18 @@
     config::check_settings(settings);
     parts_.dispatcher.settings_changed(settings);
   } catch (const InputError& e) {
-    return rollout.move_failed(e.what(), now);
+    return rollout.move_failed(e.what());
   }
   settings_lines_ = lines;
-  parts_.dispatcher.begin_tally(epoch_of(now), now + move.document.warm_up);
-  rollout.moved(now);
+  parts_.dispatcher.begin_metrics(epoch_of(now), now + move.plan.warm_up);
+  rollout.moved();
 }
 
-const std::string& RolloutAgent::settings_of(const change::Rollout::Move& move) {
+const std::string& RolloutAgent::settings_of(const rollout::GenerationMove& move) {
   auto& lines = generations_[move.to];
-  if (!move.back) {
-    lines = generations_[move.document.before];
-    lines += (lines.empty() ? "" : "\n") + move.document.body;
+  if (!move.is_rollback) {
+    lines = generations_[move.plan.before];
+    lines += (lines.empty() ? "" : "\n") + move.plan.body;
   }
   return lines;
 }
--- a/src/server/rollout_agent.h
+++ b/src/server/rollout_agent.h
@@ -8,15 +8,15 @@
 #include <string>
 #include <utility>
 
-#include "change/rollout.h"
 #include "config/operator_config.h"
 #include "config/platform_config.h"
-#include "fleet/changes.h"
 #include "io/fd.h"
 #include "io/log.h"
 #include "io/scheduler.h"
 #include "net/request_dispatcher.h"
 #include "replication/replication_service.h"
+#include "rollout/coordinator.h"
+#include "rollout/rollout.h"
 #include "server/lifecycle.h"
 #include "server/metrics.h"
 #include "server/signals.h"
@@ -33,10 +33,10 @@
 
 /// The program that is to run in this process next.
 struct Successor {
-  change::Rollout::Move move;  ///< the step of the rollout that it is
-  std::string program;         ///< its path
-  std::string settings_lines;  ///< settings beyond the platform's, "path=value" each
-  Fd listener;                 ///< on which it serves; open once the scheduler has stopped
+  rollout::GenerationMove move;  ///< the step of the rollout that it is
+  std::string program;           ///< its path
+  std::string settings_lines;    ///< settings beyond the platform's, "path=value" each
+  Fd listener;                   ///< on which it serves; open once the scheduler has stopped
 };
 
 /// One router's hand of the rollouts. All that it is given must outlive it.
@@ -58,7 +58,7 @@
 
   /// What the fleet's rollouts call here; nullopt: the operator's file switches them off. The agent must
   /// outlive whom it is given to. Called once, before connect().
-  std::optional<fleet::Changes::Setup> changes_setup();
+  std::optional<rollout::RolloutCoordinator::Setup> changes_setup();
   /// The replication service that holds the rollouts; it must live until the scheduler's last turn.
   void connect(replication::ReplicationService& replication) { replication_ = &replication; }
   /// At a turn's end: whether a started program is ready.
@@ -73,10 +73,10 @@
 
  private:
   bool rollouts_on() const { return replication_ != nullptr && replication_->changes() != nullptr; }
-  void carry_out(const change::Rollout::Move& move);
-  void request_successor(const change::Rollout::Move& move);
-  void apply_generation(const change::Rollout::Move& move);
-  const std::string& settings_of(const change::Rollout::Move& move);
+  void carry_out(const rollout::GenerationMove& move);
+  void request_successor(const rollout::GenerationMove& move);
+  void apply_generation(const rollout::GenerationMove& move);
+  const std::string& settings_of(const rollout::GenerationMove& move);
   void started_program_ready();
 
   const Parts parts_;
--- a/tests/purge_parts.cpp
+++ b/tests/purge_parts.cpp
@@ -191,7 +191,8 @@
   PurgeReplication replication(log, 2, LogStorage::memory, {}, 1000);
   log.issue(5, PurgeKind::tag, "contract7", 1000);
   const auto& e = log.issue(5, PurgeKind::pattern, "0*1.", 1001);
-  const std::string texts[] = {replication::encode_hello("r1"), replication::encode_heartbeat(log, replication, 1002, 999),
+  const std::string texts[] = {replication::encode_hello("r1"),
+                               replication::encode_heartbeat(log, replication, 1002, 999),
                                replication::encode_purge(e), replication::encode_request(5, 2)};
   const std::string wanted[] = {"hello 1 r1;", "beat 1002 999 false;head 5 2 0 0;end;",
                                 "entry 1001 5 2 3 0*1.;", "want 5 2;"};
