--- a/src/dns/front.cpp
+++ b/src/dns/front.cpp
@@ -136,8 +136,8 @@
   if (meaning.stands == Stands::apex) return say(zone_.apex(q.type));
   if (meaning.stands == Stands::member) {
     // A member's own name lives while it takes work.
-    const int m = upstream_.known(meaning.text);
-    if (m < 0 || !upstream_.listed_ready(m)) return say(zone_.none(Code::no_name));
+    const int m = upstream_.find_endpoint(meaning.text);
+    if (m < 0 || !upstream_.is_ready(m)) return say(zone_.none(Code::no_name));
     return say(zone_.member(q, meaning.text, upstream_.address(m).ip, upstream_.address(m).port));
   }
   if (q.type != Type::a && q.type != Type::srv) return say(zone_.member(q, "", 0, 0));
@@ -168,7 +168,7 @@
     }
     // A client brings no age bound: a member that has not confirmed what covers the object is not named.
     const bool purged = handle.since() > 0 && dispatcher_.purges().replication() != nullptr;
-    if (!upstream_.listed_ready(d->endpoint) ||
+    if (!upstream_.is_ready(d->endpoint) ||
         (purged && !dispatcher_.purges().delivered_to(d->endpoint, handle.since()))) {
       handle.attempt_ended(AttemptOutcome::not_cached, FillOutcome::none, 0, 0, 0, false);
       continue;
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -19,9 +19,9 @@
 
 void DiscoveryClient::update_endpoint(std::string_view id, const Address& address, int location, int kind,
                                       int cell, EndpointState state, double weight, Seconds started) {
-  const int m = upstream_.member(id);
+  const int m = upstream_.endpoint_index(id);
   if (whole_) in_list_.insert(m);
-  upstream_.told(m, address, state);
+  upstream_.update_endpoint(m, address, state);
   dispatcher_.purges().delivery().set_listed(m, state != EndpointState::gone);
   dispatcher_.input().update_endpoint(m, stable_hash(id), location, kind, cell, state, weight,
                                       clock_.started_at(m, started, scheduler_.now()));
@@ -31,9 +31,9 @@
 
 // Who is not in a whole list is gone, for hops that wait as for the module.
 void DiscoveryClient::end_endpoint_list() {
-  for (int m = 0; whole_ && m < upstream_.members(); ++m) {
+  for (int m = 0; whole_ && m < upstream_.endpoint_count(); ++m) {
     if (in_list_.contains(m)) continue;
-    upstream_.told(m, upstream_.address(m), EndpointState::gone);
+    upstream_.update_endpoint(m, upstream_.address(m), EndpointState::gone);
     dispatcher_.purges().delivery().set_listed(m, false);
   }
   dispatcher_.input().end_endpoint_list();
--- a/src/net/purge_notifier.cpp
+++ b/src/net/purge_notifier.cpp
@@ -12,7 +12,7 @@
 PurgeNotifier::PurgeNotifier(Scheduler& scheduler, Log& log, purge::PurgeRegistry& purges,
                              UpstreamPool& upstream, std::string run)
     : scheduler_(scheduler), log_(log), purges_(purges), upstream_(upstream), run_(std::move(run)) {
-  upstream_.set_commands(*this);
+  upstream_.set_command_listener(*this);
   scheduler_.start(notify_all());
 }
 
@@ -22,7 +22,7 @@
   for (;;) {
     const Seconds now = scheduler_.now();
     while (const auto message = purges_.delivery().next(now))
-      if (!upstream_.command(message->server, command_text(*message, now)))
+      if (!upstream_.send_command(message->server, command_text(*message, now)))
         purges_.delivery().postpone(message->server, now);
     co_await pause.wait(now + kPollInterval);
   }
--- a/src/net/purge_notifier.h
+++ b/src/net/purge_notifier.h
@@ -19,7 +19,7 @@
 ///
 /// Lifetime: all that the constructor takes outlives it; the pool calls it for as long as the pool lives, and
 /// the scheduler's tasks are dropped (Scheduler::drop_tasks) before it goes. Threads: the scheduler's.
-class PurgeNotifier final : UpstreamPool::Commands {
+class PurgeNotifier final : CommandListener {
  public:
   /// `run` names this run of log positions: cursors of another run mean nothing.
   PurgeNotifier(Scheduler& scheduler, Log& log, purge::PurgeRegistry& purges, UpstreamPool& upstream,
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -39,7 +39,7 @@
   since_ = since;
   record_.purged(since);
   dispatcher_.input().copies_made_since(slot_, since);
-  if (hop_ != nullptr) hop_->drop_unsent();  // decided before the purge
+  if (hop_ != nullptr) hop_->abandon_if_unsent();  // decided before the purge
 }
 
 RequestHandle::~RequestHandle() {
@@ -63,7 +63,7 @@
   if (std::exchange(left_, true)) return;
   record_.client_left();
   dispatcher_.input().client_left(slot_);
-  if (hop_ != nullptr) hop_->drop();
+  if (hop_ != nullptr) hop_->abandon();
   event_.set();
 }
 
@@ -153,7 +153,7 @@
     auto* handle = d->request >= 0 ? handles_[d->request] : nullptr;
     if (handle == nullptr) continue;  // subscribe: the bus tells of itself
     if (d->kind == Kind::cancel) {
-      if (handle->hop_ != nullptr && d->attempt == handle->hops_ - 1) handle->hop_->call_off();
+      if (handle->hop_ != nullptr && d->attempt == handle->hops_ - 1) handle->hop_->cancel();
       continue;
     }
     if (d->kind == Kind::forward) handle->out_ = true, ++handle->hops_;
--- a/src/net/request_handler.cpp
+++ b/src/net/request_handler.cpp
@@ -27,8 +27,8 @@
 
 void give(ClientConnection& client, const Request& o, const AttemptResult& end) {
   std::string fields = end.etag.empty() ? "" : "etag=" + end.etag;
-  if (end.still_good) fields += fields.empty() ? "notmod=1" : ",notmod=1";
-  client.answer(o.tag, "RESULT", fields, end.still_good ? std::string_view() : end.body);
+  if (end.not_modified) fields += fields.empty() ? "notmod=1" : ",notmod=1";
+  client.answer(o.tag, "RESULT", fields, end.not_modified ? std::string_view() : end.body);
 }
 
 constexpr std::string_view kVerdicts[] = {"completed",     "error",  "not_taken",  "timed_out",
@@ -41,8 +41,10 @@
 AttemptOutcome checked(purge::PurgeRegistry& purges, const Request& o, std::uint64_t object,
                        const Attempt& hop, const AttemptResult& end, Seconds allowed, Seconds now) {
   constexpr Seconds kRounding = 0.002;  // whole milliseconds, up at one side and down at the other
-  if (end.tags_told) purges.learn_tags(object, end.tags, now);
-  const Seconds made = end.age >= 0 ? hop.started() - end.age : allowed > 0 ? hop.started() - allowed : 0;
+  if (end.tags_reported) purges.learn_tags(object, end.tags, now);
+  const Seconds made = end.age >= 0  ? hop.started_at() - end.age
+                       : allowed > 0 ? hop.started_at() - allowed
+                                     : 0;
   if (end.age >= 0 && allowed > 0 && end.age > allowed + kRounding) return AttemptOutcome::stale;
   return purges.is_stale(object, o.group, o.object_text, end.tags, made, now) ? AttemptOutcome::cancelled
                                                                               : AttemptOutcome::served;
@@ -111,37 +113,37 @@
     if (++hops > 1) ++counters.retries;
     while (!hop.ended()) {
       const bool told = co_await hop.wait();
-      if (!told) hop.time_came();
+      if (!told) hop.on_timer();
     }
-    auto& end = hop.end();
+    auto& end = hop.result();
     // Guards against a copy that is called current though the server named another, or the client has none.
-    if (end.still_good &&
+    if (end.not_modified &&
         guard.may_call_current(handle.record(), order.etag, end.etag) != guard::Invariant::none) {
       log("answer", "{}: still_good for '{}' where the client has '{}'", caches.id(d->endpoint), end.etag,
           order.etag);
-      end.verdict = AttemptOutcome::error, end.still_good = false;
+      end.outcome = AttemptOutcome::error, end.not_modified = false;
     }
     // A hop under way when a purge came, or a cache that confirmed and answers old all the same: not this
     // answer.
-    if (end.verdict == AttemptOutcome::served && dispatcher.purges().replication() != nullptr &&
+    if (end.outcome == AttemptOutcome::served && dispatcher.purges().replication() != nullptr &&
         !order.uncacheable) {
-      end.verdict = checked(dispatcher.purges(), order, object, hop, end, d->max_age, scheduler.now());
-      if (end.verdict == AttemptOutcome::stale)
+      end.outcome = checked(dispatcher.purges(), order, object, hop, end, d->max_age, scheduler.now());
+      if (end.outcome == AttemptOutcome::stale)
         log("old", "{}: a copy of {:.3f} s where {:.3f} s were allowed; set aside", caches.id(d->endpoint),
             end.age, d->max_age);
     }
-    const bool completed = end.verdict == AttemptOutcome::served && !handle.left();
+    const bool completed = end.outcome == AttemptOutcome::served && !handle.left();
     const auto size = end.body.size();
     if (completed && guard.may_answer(handle.record()) == guard::Invariant::none) give(*client, order, end);
     if (!completed && !handle.left())
       log("attempt", "{}: {} of {:.3f} s at {} ended {}", order.id_text, hops,
-          scheduler.now() - hop.started(), caches.id(d->endpoint),
-          kVerdicts[static_cast<std::size_t>(end.verdict)]);
+          scheduler.now() - hop.started_at(), caches.id(d->endpoint),
+          kVerdicts[static_cast<std::size_t>(end.outcome)]);
     const Seconds sending = bytes_a_second > 0 ? static_cast<double>(size) / bytes_a_second : 0;
-    dispatcher.load_reported(d->endpoint, end.told.busy);
-    dispatcher.hop_counted(end.verdict, end.note);
-    handle.attempt_ended(end.verdict, end.note, scheduler.now() - hop.started(), end.told.waited, sending,
-                         completed || handle.left());
+    dispatcher.load_reported(d->endpoint, end.report.load);
+    dispatcher.hop_counted(end.outcome, end.fill);
+    handle.attempt_ended(end.outcome, end.fill, scheduler.now() - hop.started_at(), end.report.fill_wait,
+                         sending, completed || handle.left());
     if (handle.left()) {
       ++counters.left;
       co_return;
--- a/src/net/resp_parser.cpp
+++ b/src/net/resp_parser.cpp
@@ -70,12 +70,12 @@
   return std::nullopt;
 }
 
-Told told_by(std::string_view fields) {
-  Told told;
-  told.waited = std::max(0.0, parse_or(field(fields, "ttfb").value_or(""), 0.0) / 1e3);
+AnswerReport parse_answer_report(std::string_view fields) {
+  AnswerReport told;
+  told.fill_wait = std::max(0.0, parse_or(field(fields, "ttfb").value_or(""), 0.0) / 1e3);
   for (auto meter = field(fields, "meter").value_or(""); !meter.empty();) {
     auto value = take_field(meter, ';');
-    if (take_field(value, ':') == "util") told.busy = parse_or(value, -1.0);
+    if (take_field(value, ':') == "util") told.load = parse_or(value, -1.0);
   }
   return told;
 }
--- a/src/net/resp_parser.h
+++ b/src/net/resp_parser.h
@@ -27,10 +27,10 @@
 std::optional<std::string_view> field(std::string_view fields, std::string_view name);
 
 // What the fields of an answer tell beside it; nonsense reads as not told.
-struct Told {
-  Seconds waited = 0;  // until its source's first byte or failure, 0 where it is not told
-  double busy = -1;    // the share of its capacity in use that it reports, -1 where it does not
+struct AnswerReport {
+  Seconds fill_wait = 0;  // until its source's first byte or failure, 0 where it is not told
+  double load = -1;       // the share of its capacity in use that it reports, -1 where it does not
 };
-Told told_by(std::string_view fields);
+AnswerReport parse_answer_report(std::string_view fields);
 
 }  // namespace walkpaddle::net
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -121,10 +121,12 @@
                   }),
       fleet_at_turns_end_(scheduler_, [this] { pull_fleet(); }),
       outbox_(scheduler_, bytes_to_hold(config_.memory_mb)),
-      upstream_(scheduler_, outbox_, log, share_.caches,
-                config_.settings.whole("allowed.streams_per_conn", 32),
-                config_.settings.ms("allowed.dial_timeout"), config_.settings.ms("allowed.idle_close"),
-                config_.settings.flag("allowed.cancel")),
+      upstream_(scheduler_, outbox_, log,
+                {.max_connections = share_.caches,
+                 .max_attempts_per_connection = config_.settings.whole("allowed.streams_per_conn", 32),
+                 .dial_timeout = config_.settings.ms("allowed.dial_timeout"),
+                 .endpoint_idle_close = config_.settings.ms("allowed.idle_close"),
+                 .can_cancel = config_.settings.flag("allowed.cancel")}),
       list_(scheduler_, outbox_, log, dispatcher_, upstream_),
       client_listener_(
           scheduler_, outbox_, log,
@@ -174,7 +176,7 @@
     control::Operators::Names names{f.name,
                                     {},
                                     [this](int box) { return std::string(upstream_.id(box)); },
-                                    [this] { return upstream_.members(); },
+                                    [this] { return upstream_.endpoint_count(); },
                                     [this] { return counts(); }};
     for (const auto& p : f.peers) names.peers.push_back(p.name);
     operators_ = std::make_unique<control::Operators>(scheduler_, outbox_, log_, purges_, file_.socket, names,
@@ -199,7 +201,7 @@
   for (const auto& o : b.objects) learnt.objects.push_back({o.object, o.count});
   for (const auto& r : b.rules) learnt.service_times.push_back({r.sending, r.answers});
   std::map<std::uint64_t, int> members;
-  for (int m = 0; m < upstream_.members(); ++m) members[stable_hash(upstream_.id(m))] = m;
+  for (int m = 0; m < upstream_.endpoint_count(); ++m) members[stable_hash(upstream_.id(m))] = m;
   for (const auto& r : b.rooms)
     if (const auto it = members.find(r.server); it != members.end())
       learnt.limits.push_back({it->second, r.hops, r.fills});
@@ -458,7 +460,7 @@
     }
     // Only members that the list names; one that started since is as the list tells.
     for (const auto& u : snapshot.unreachable)
-      for (int m = 0; m < upstream_.members(); ++m)
+      for (int m = 0; m < upstream_.endpoint_count(); ++m)
         if (upstream_.id(m) == u.id) learnt.unreachable.push_back({m, u.failed_at}), ++members;
     dispatcher_.input().restore_snapshot(learnt);
     log_("learnt", "from {}, {:.0f} s old: {} sending times, {} members last not reached", file_.learnt,
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -90,17 +90,17 @@
 
 struct CachesStand : Stand {
   explicit CachesStand(std::size_t most = 64, int hops_a_connection = 32, Seconds dial_within = 5)
-      : caches(scheduler, outbox, log, most, hops_a_connection, dial_within, 60, true) {}
+      : caches(scheduler, outbox, log, {most, hops_a_connection, dial_within, 60, true}) {}
   int member(const std::string& name, const Address& at, EndpointState state = EndpointState::ready) {
-    const int m = caches.member(name);
-    caches.told(m, at, state);
+    const int m = caches.endpoint_index(name);
+    caches.update_endpoint(m, at, state);
     return m;
   }
   std::unique_ptr<Attempt> hop(int m, int n, Seconds by = kNoTime, std::string_view body = {}) {
     ids.push_back(id_of(n));
     return std::make_unique<Attempt>(
         scheduler, caches,
-        Attempt::What{m, m, static_cast<std::uint64_t>(0xa0 + n), ids.back(), body,
+        Attempt::Spec{m, m, static_cast<std::uint64_t>(0xa0 + n), ids.back(), body,
                       "cls=page,item=7f3a9c21e0b4d655,chunk=0", scheduler.now() + 30, by, true, true});
   }
   UpstreamPool caches;
@@ -168,8 +168,8 @@
     s.fill();
     UNTIL(s.peer = s.ear.accept());
     co_await s.look.wait(s.scheduler.now() + 0.2);
-    s.hops.back()->drop();
-    CHECK(s.hops.back()->end().verdict == AttemptOutcome::not_sent);
+    s.hops.back()->abandon();
+    CHECK(s.hops.back()->result().outcome == AttemptOutcome::not_sent);
     std::string all;
     for (const Seconds since = s.scheduler.now(); s.going(since) && !s.asked(all, s.kHops - 2);) {
       all += s.reads();
@@ -191,7 +191,7 @@
     co_await s.look.wait(s.scheduler.now() + 0.2);
     s.member("s-1", s.ear.address, EndpointState::draining);
     int unsent = 0;
-    for (const auto& h : s.hops) unsent += h->ended() && h->end().verdict == AttemptOutcome::not_sent;
+    for (const auto& h : s.hops) unsent += h->ended() && h->result().outcome == AttemptOutcome::not_sent;
     CHECK(unsent > 0);
     std::string all;
     for (const Seconds since = s.scheduler.now(); s.scheduler.now() < since + 1;) {
@@ -200,7 +200,7 @@
     }
     for (int n = 0; n < s.kHops; ++n) {
       auto& h = *s.hops[static_cast<std::size_t>(n)];
-      if (s.asked(all, n) == (h.ended() && h.end().verdict == AttemptOutcome::not_sent)) FAIL("hop " << n);
+      if (s.asked(all, n) == (h.ended() && h.result().outcome == AttemptOutcome::not_sent)) FAIL("hop " << n);
     }
     s.scheduler.stop();
   });
@@ -218,10 +218,10 @@
     const auto hop = s.hop(m, 1, by);
     while (!hop->ended() && s.scheduler.now() < by + 0.2) {
       const bool told = co_await hop->wait();
-      if (!told) hop->time_came();
+      if (!told) hop->on_timer();
     }
     CHECK(hop->ended());
-    CHECK(hop->end().verdict == AttemptOutcome::not_sent);
+    CHECK(hop->result().outcome == AttemptOutcome::not_sent);
     std::string all;
     std::vector<Fd> accepted;
     for (const Seconds since = s.scheduler.now(); s.scheduler.now() < since + 2;) {
@@ -249,7 +249,7 @@
     UNTIL(!(asked = taken(first)).empty());
     say(first, overload);
     UNTIL(hop->ended());
-    CHECK(hop->end().verdict == AttemptOutcome::rejected);
+    CHECK(hop->result().outcome == AttemptOutcome::rejected);
     hop = s.hop(m, 1);
     co_await s.look.wait(s.scheduler.now() + 0.05);
     say(first, overload);
@@ -260,7 +260,7 @@
     if (!second) co_return s.scheduler.stop();
     say(second, words_text({id_of(1), "served", "etag=1", "one"}));
     UNTIL(hop->ended());
-    CHECK(hop->end().verdict == AttemptOutcome::served);
+    CHECK(hop->result().outcome == AttemptOutcome::served);
     s.scheduler.stop();
   });
 }
@@ -279,7 +279,7 @@
     say(first, words_text({id_of(1), "served", "etag=1", "one"}));
     first = Fd();
     UNTIL(second = ear.accept());
-    CHECK(hop->end().verdict == AttemptOutcome::served);
+    CHECK(hop->result().outcome == AttemptOutcome::served);
     CHECK_FALSE(next->ended());
     CHECK(second);
     if (!second) co_return s.scheduler.stop();
@@ -347,7 +347,7 @@
       co_await s.look.wait(s.scheduler.now() + 0.05);
     }
     CHECK(hop->ended());
-    CHECK(hop->end().verdict == AttemptOutcome::connection_broken);
+    CHECK(hop->result().outcome == AttemptOutcome::connection_broken);
     s.scheduler.stop();
   });
 }
@@ -377,7 +377,7 @@
     UNTIL(ears[0].called() && ears[1].called());
     co_await s.look.wait(s.scheduler.now() + 0.2);
     CHECK_FALSE(ears[2].called());
-    hops[0]->drop();  // its connection is idle now, and makes room
+    hops[0]->abandon();  // its connection is idle now, and makes room
     UNTIL(ears[2].called());
     CHECK(ears[2].called());
     s.scheduler.stop();
@@ -407,7 +407,7 @@
   const auto config = parse_config(config_text("n0", 1, bus.address.port, "", "{}"));
   purge::PurgeRegistry purges({}, s.scheduler.now());
   RequestDispatcher dispatcher(s.scheduler, 7, config.settings, purges);
-  UpstreamPool caches(s.scheduler, s.outbox, s.log, 8, 32, 1, 60, true);
+  UpstreamPool caches(s.scheduler, s.outbox, s.log, {8, 32, 1, 60, true});
   DiscoveryClient list(s.scheduler, s.outbox, s.log, dispatcher, caches);
   rlimit before{};
   ::getrlimit(RLIMIT_NOFILE, &before);
@@ -537,11 +537,11 @@
     list.begin_endpoint_list(true);
     list.update_endpoint("s-1", full.address, 1, 0, 0, EndpointState::ready, 1, 0);
     list.end_endpoint_list();
-    const auto hop = s.hop(s.caches.member("s-1"), 1);
+    const auto hop = s.hop(s.caches.endpoint_index("s-1"), 1);
     list.begin_endpoint_list(true);
     list.end_endpoint_list();
     CHECK(hop->ended());
-    CHECK(hop->end().verdict == AttemptOutcome::not_sent);
+    CHECK(hop->result().outcome == AttemptOutcome::not_sent);
     s.scheduler.stop();
   });
 }
@@ -706,7 +706,7 @@
 
 // A list that follows what the story says as a bus.
 struct BusStand : Stand {
-  bool ready(int id) { return caches.listed_ready(caches.member(fmt::format("s-{:08x}", id))); }
+  bool ready(int id) { return caches.is_ready(caches.endpoint_index(fmt::format("s-{:08x}", id))); }
   // The number in the hello of a connection; -1 while it has not come.
   static int hello(const Fd& fd) {
     const auto got = taken(fd);
@@ -716,7 +716,7 @@
   Config config = parse_config(config_text("n0", 1, 1, "", "{}"));
   purge::PurgeRegistry purges{{}, scheduler.now()};
   RequestDispatcher dispatcher{scheduler, 7, config.settings, purges};
-  UpstreamPool caches{scheduler, outbox, log, 8, 32, 1, 60, true};
+  UpstreamPool caches{scheduler, outbox, log, {8, 32, 1, 60, true}};
   DiscoveryClient list{scheduler, outbox, log, dispatcher, caches};
 };
 
--- a/tests/hunt.cpp
+++ b/tests/hunt.cpp
@@ -141,23 +141,23 @@
   Scheduler scheduler;
   Outbox outbox(scheduler, 64 << 20);
   const Fd ear = listen_on(Address{0x7f000001, 0});
-  net::UpstreamPool caches(scheduler, outbox, log, 8, 1000, 5, 60, true);
-  const int server = caches.member("s-1");
-  caches.told(server, {0x7f000001, static_cast<std::uint16_t>(standins::port_of(ear.get()))},
-              EndpointState::ready);
+  net::UpstreamPool caches(scheduler, outbox, log, {8, 1000, 5, 60, true});
+  const int server = caches.endpoint_index("s-1");
+  caches.update_endpoint(server, {0x7f000001, static_cast<std::uint16_t>(standins::port_of(ear.get()))},
+                         EndpointState::ready);
   const std::string body(kBody, 'x'), id = "00000000000000a0";
   std::vector<std::unique_ptr<net::Attempt>> attempts;
   const auto follow = [&](net::Attempt& attempt) -> Task {
     while (!attempt.ended()) {
       const bool told = co_await attempt.wait();
-      if (!told) attempt.time_came();
+      if (!told) attempt.on_timer();
     }
   };
   const auto story = [&]() -> Task {
     for (int n = 0; n < kAttempts; ++n) {
       attempts.push_back(std::make_unique<net::Attempt>(
           scheduler, caches,
-          net::Attempt::What{server, server, static_cast<std::uint64_t>(n), id, body, "cls=page",
+          net::Attempt::Spec{server, server, static_cast<std::uint64_t>(n), id, body, "cls=page",
                              scheduler.now() + 30, kNoTime, true, true}));
       scheduler.start(follow(*attempts.back()));
     }
@@ -168,7 +168,7 @@
   scheduler.start(story());
   scheduler.run();
   const auto unsent = std::ranges::count_if(
-      attempts, [](auto& a) { return a->ended() && a->end().verdict == AttemptOutcome::not_sent; });
+      attempts, [](auto& a) { return a->ended() && a->result().outcome == AttemptOutcome::not_sent; });
   // The kernel takes some megabytes of the 14; what it took may still be answered.
   CHECK(unsent > kAttempts / 4);
   CHECK(unsent < kAttempts);
@@ -225,7 +225,7 @@
   const auto config = net::parse_config(config_text("n0", 1, address.port, "", "{}"));
   purge::PurgeRegistry purges({}, scheduler.now());
   net::RequestDispatcher dispatcher(scheduler, 7, config.settings, purges);
-  net::UpstreamPool caches(scheduler, outbox, log, 8, 32, 1, 60, true);
+  net::UpstreamPool caches(scheduler, outbox, log, {8, 32, 1, 60, true});
   net::DiscoveryClient list(scheduler, outbox, log, dispatcher, caches);
   std::string records;
   for (int n = 0; n < kMembers; ++n)
@@ -238,7 +238,7 @@
     Fd watch;
     std::size_t told = 0;
     const Seconds began = scheduler.now();
-    while (caches.members() < kMembers && scheduler.now() < began + 9) {
+    while (caches.endpoint_count() < kMembers && scheduler.now() < began + 9) {
       if (Fd fd{::accept4(ear.get(), nullptr, nullptr, SOCK_NONBLOCK)})
         watch = std::move(fd), told = 0, ++watches;
       if (watch && told < frame.size()) {
@@ -251,7 +251,7 @@
   };
   scheduler.start(story());
   scheduler.run();
-  CHECK(caches.members() == kMembers);
+  CHECK(caches.endpoint_count() == kMembers);
   CHECK(watches == 1);
   scheduler.drop_tasks();
 }
@@ -262,23 +262,23 @@
   Scheduler scheduler;
   Outbox outbox(scheduler, 64 << 20);
   const Fd ear = listen_on(Address{0x7f000001, 0});
-  net::UpstreamPool caches(scheduler, outbox, log, 8, 32, 5, 60, true);
-  const int server = caches.member("s-1");
-  caches.told(server, {0x7f000001, static_cast<std::uint16_t>(standins::port_of(ear.get()))},
-              EndpointState::ready);
+  net::UpstreamPool caches(scheduler, outbox, log, {8, 32, 5, 60, true});
+  const int server = caches.endpoint_index("s-1");
+  caches.update_endpoint(server, {0x7f000001, static_cast<std::uint16_t>(standins::port_of(ear.get()))},
+                         EndpointState::ready);
   const std::string id = "00000000000000a0";
   bool ended = false;
   const auto story = [&]() -> Task {
     Event pause(scheduler);
     net::Attempt attempt(scheduler, caches,
-                         net::Attempt::What{server, server, 0xa0, id, "", "cls=page", scheduler.now() + 30,
+                         net::Attempt::Spec{server, server, 0xa0, id, "", "cls=page", scheduler.now() + 30,
                                             kNoTime, true, true});
     co_await pause.wait(scheduler.now() + 0.2);
     const Fd accepted(::accept4(ear.get(), nullptr, nullptr, SOCK_NONBLOCK));
-    attempt.call_off();
+    attempt.cancel();
     while (!attempt.ended()) {
       const bool told = co_await attempt.wait();
-      if (!told) attempt.time_came();
+      if (!told) attempt.on_timer();
     }
     co_await pause.wait(scheduler.now() + 0.1);
     char room[4096];
--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -645,8 +645,8 @@
     if (what == "#") {
       std::printf("%s\n", text.c_str());
     } else if (what == "told") {
-      const auto told = net::told_by(text.substr(5));
-      std::printf(" waited %.3f, busy %.2f\n", told.waited, told.busy);
+      const auto told = net::parse_answer_report(text.substr(5));
+      std::printf(" waited %.3f, busy %.2f\n", told.fill_wait, told.load);
       continue;
     } else if (what == "resp" || what == "frames") {
       play_bytes(what, unescaped(text.substr(what.size() + 1)));
