--- a/src/dns/front.cpp
+++ b/src/dns/front.cpp
@@ -158,8 +158,8 @@
   // In flight: as many at a time as follow within the use, each for a good part of it at most.
   handle.set_represented_requests(std::max(1.0, setup.txns / std::max(1.0, setup.use)), setup.txns);
   for (;;) {
-    co_await handle.timer_fired();
-    const auto d = handle.decision();
+    co_await handle.decision_made();
+    const auto d = handle.take_decision();
     if (!d) continue;
     if (d->kind == Decision::Kind::fail || d->kind == Decision::Kind::reject) {
       const auto code = d->kind == Decision::Kind::fail ? Code::failed : Code::refused;
@@ -167,9 +167,9 @@
       co_return;
     }
     // A client brings no age bound: a member that has not confirmed what covers the object is not named.
-    const bool purged = handle.since() > 0 && dispatcher_.purges().replication() != nullptr;
+    const bool purged = handle.valid_since() > 0 && dispatcher_.purges().replication() != nullptr;
     if (!upstream_.is_ready(d->endpoint) ||
-        (purged && !dispatcher_.purges().delivered_to(d->endpoint, handle.since()))) {
+        (purged && !dispatcher_.purges().delivered_to(d->endpoint, handle.valid_since()))) {
       handle.attempt_ended(AttemptOutcome::not_cached, FillOutcome::none, 0, 0, 0, false);
       continue;
     }
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -96,11 +96,11 @@
   tally_->begin(epoch, quiet_until);
 }
 
-void RequestDispatcher::txn_ended(change::Tally::End end, int rule, Seconds took, int hops) {
+void RequestDispatcher::request_ended(change::Tally::End end, int rule, Seconds took, int hops) {
   if (tally_) tally_->txn(end, took, sla_[static_cast<std::size_t>(rule)], hops, scheduler_.now());
 }
 
-void RequestDispatcher::hop_counted(AttemptOutcome verdict, FillOutcome note) {
+void RequestDispatcher::attempt_counted(AttemptOutcome verdict, FillOutcome note) {
   if (tally_)
     tally_->hop(note == FillOutcome::filled || note == FillOutcome::from_origin,
                 verdict == AttemptOutcome::rejected, scheduler_.now());
--- a/src/net/request_dispatcher.h
+++ b/src/net/request_dispatcher.h
@@ -27,15 +27,15 @@
   RequestHandle& operator=(const RequestHandle&) = delete;
   ~RequestHandle();
 
-  Event::Awaiter timer_fired() { return event_.wait(); }
-  std::optional<Decision> decision() { return std::exchange(decision_, std::nullopt); }
-  void hop_out(Attempt* hop) { hop_ = hop; }
+  Event::Awaiter decision_made() { return event_.wait(); }
+  std::optional<Decision> take_decision() { return std::exchange(decision_, std::nullopt); }
+  void set_attempt(Attempt* hop) { hop_ = hop; }
   void attempt_ended(AttemptOutcome verdict, FillOutcome note, Seconds took, Seconds waited, Seconds sending,
                      bool txn_over);
   void set_represented_requests(double in_flight, double txns);  // it is a lookup; at once after the making
   void leave();                                                  // the client waits no more
   bool left() const { return left_; }
-  Seconds since() const { return since_; }  // copies made before are purged, as the module knows it
+  Seconds valid_since() const { return since_; }  // copies made before are purged, as the module knows it
   guard::RequestRecord& record() { return record_; }
 
  private:
@@ -68,8 +68,8 @@
   guard::Guard& guard() { return guard_; }
   // What the txns come to, for the judge of changes; only where changes are made.
   void begin_tally(std::uint64_t epoch, Seconds quiet_until);
-  void txn_ended(change::Tally::End end, int rule, Seconds took, int hops);
-  void hop_counted(AttemptOutcome verdict, FillOutcome note);
+  void request_ended(change::Tally::End end, int rule, Seconds took, int hops);
+  void attempt_counted(AttemptOutcome verdict, FillOutcome note);
   change::Tally* tally() { return tally_ ? &*tally_ : nullptr; }  // null: nothing is counted
   void settings_changed(const Settings& settings) { apply_live_settings(settings, input()); }
   std::size_t txns_open() const { return handles_.size() - free_.size(); }
--- a/src/net/request_handler.cpp
+++ b/src/net/request_handler.cpp
@@ -3,159 +3,261 @@
 #include <algorithm>
 #include <cmath>
 #include <new>
+#include <string>
+
+#include "base/hash.h"
 
 namespace walkpaddle::net {
 
 namespace {
 
+using RequestEnd = change::Tally::End;
+
 // Down to whole milliseconds; never 0, which means something else.
 std::string whole_ms(Seconds time) {
   return std::to_string(std::max(1L, static_cast<long>(std::floor(time * 1e3))));
 }
 
-std::string fields_of(const Request& o, const Decision& d, const UpstreamPool& caches) {
-  std::string f = "cls=" + o.rule_name + ",item=" + o.object_text + ",chunk=" + o.part_text;
-  if (!o.key.empty()) f += ",nonce=" + o.key;
-  if (d.source >= 0 && d.source != d.endpoint) f.append(",src=").append(caches.id(d.source));
-  if (d.retention_rank > 0) f += ",keep=" + std::to_string(d.retention_rank);
-  if (d.max_age > 0) f += ",maxage=" + whole_ms(d.max_age);
-  if (d.join_fill || d.cached_only)
-    f.append(",flags=").append(d.join_fill ? d.cached_only ? "join+held" : "join" : "held");
-  if (!o.etag.empty()) f += ",have=" + o.etag;
-  return f;
+std::string_view flags_of(const Decision& decision) {
+  if (decision.join_fill) return decision.cached_only ? "join+held" : "join";
+  return decision.cached_only ? "held" : "";
+}
+
+std::string attempt_fields(const Request& request, const Decision& decision, const UpstreamPool& upstream) {
+  std::string fields =
+      "cls=" + request.rule_name + ",item=" + request.object_text + ",chunk=" + request.part_text;
+  if (!request.key.empty()) fields += ",nonce=" + request.key;
+  if (decision.source >= 0 && decision.source != decision.endpoint)
+    fields.append(",src=").append(upstream.id(decision.source));
+  if (decision.retention_rank > 0) fields += ",keep=" + std::to_string(decision.retention_rank);
+  if (decision.max_age > 0) fields += ",maxage=" + whole_ms(decision.max_age);
+  if (const auto flags = flags_of(decision); !flags.empty()) fields.append(",flags=").append(flags);
+  if (!request.etag.empty()) fields += ",have=" + request.etag;
+  return fields;
 }
 
-void give(ClientConnection& client, const Request& o, const AttemptResult& end) {
-  std::string fields = end.etag.empty() ? "" : "etag=" + end.etag;
-  if (end.not_modified) fields += fields.empty() ? "notmod=1" : ",notmod=1";
-  client.answer(o.tag, "RESULT", fields, end.not_modified ? std::string_view() : end.body);
+bool is_shed(const Decision& decision) {
+  return decision.kind == Decision::Kind::reject || decision.kind == Decision::Kind::fail;
 }
 
-constexpr std::string_view kVerdicts[] = {"completed",     "error",  "not_taken",  "timed_out",
-                                          "no_connection", "broken", "called_off", "not_sent",
-                                          "lacking",       "too_old"};
-constexpr std::string_view kSheds[] = {"none", "no_time", "attempts_used", "may_not_repeat", "no_room"};
+// One request in its task. Destroyed before it was answered, it is answered as failed: also where memory runs
+// out midway.
+class RequestTask {
+ public:
+  RequestTask(Scheduler& scheduler, Log& log, RequestDispatcher& dispatcher, UpstreamPool& upstream,
+              ClientConnection& client, const Request& request, double transfer_rate);
+  RequestTask(const RequestTask&) = delete;
+  RequestTask& operator=(const RequestTask&) = delete;
+  ~RequestTask();
+
+  RequestHandle& handle() { return handle_; }
+  bool count_if_left();
+  void shed(const Decision& decision);
+  Attempt::Spec attempt_spec(const Decision& decision);
+  void attempt_started(Attempt& attempt);
+  bool attempt_ended(const Decision& decision, Attempt& attempt);  // true: it is answered
+  void close();                                                    // after its answer
+
+ private:
+  void check_not_modified(int endpoint, AttemptResult& result);
+  void check_copy(const Decision& decision, const Attempt& attempt, AttemptResult& result);
+  AttemptOutcome judge_copy(const Attempt& attempt, const AttemptResult& result, Seconds max_age);
+  void answer(const AttemptResult& result);
+  bool may_answer() { return guard_.may_answer(handle_.record()) == guard::Invariant::none; }
+  void count_end(RequestEnd end);
+
+  Scheduler& scheduler_;
+  Log& log_;
+  RequestDispatcher& dispatcher_;
+  UpstreamPool& upstream_;
+  ClientConnection& client_;
+  const Request& request_;
+  const double transfer_rate_;
+  const std::uint64_t object_;
+  guard::Guard& guard_;
+  RequestHandle handle_;
+  const Seconds received_at_;
+  int attempts_ = 0;
+  bool closed_ = false;
+};
+
+RequestTask::RequestTask(Scheduler& scheduler, Log& log, RequestDispatcher& dispatcher,
+                         UpstreamPool& upstream, ClientConnection& client, const Request& request,
+                         double transfer_rate)
+    : scheduler_(scheduler),
+      log_(log),
+      dispatcher_(dispatcher),
+      upstream_(upstream),
+      client_(client),
+      request_(request),
+      transfer_rate_(transfer_rate),
+      object_(stable_hash(request.object_text)),
+      guard_(dispatcher.guard()),
+      handle_(dispatcher, request.rule, object_, request.object_text, request.part, request.group,
+              request.expires, request.id),
+      received_at_(scheduler.now()) {
+  client_.opened(request_.tag, handle_);
+}
+
+RequestTask::~RequestTask() {
+  if (closed_ || handle_.left()) return;
+  try {
+    if (may_answer()) client_.answer(request_.tag, "ABORTED");
+  } catch (const std::bad_alloc&) {
+    // Not even memory for one word: the client sees its connection's end or its own limit.
+  }
+  client_.over(request_.tag);
+}
+
+void RequestTask::close() {
+  client_.over(request_.tag);
+  closed_ = true;
+}
+
+bool RequestTask::count_if_left() {
+  if (handle_.left()) ++guard_.counters().left;
+  return handle_.left();
+}
+
+void RequestTask::count_end(RequestEnd end) {
+  dispatcher_.request_ended(end, request_.rule, scheduler_.now() - received_at_, attempts_);
+}
+
+void RequestTask::shed(const Decision& decision) {
+  const bool rejected = decision.kind == Decision::Kind::reject &&
+                        guard_.may_refuse(handle_.record()) == guard::Invariant::none;
+  log_("shed", "{}: {} after {} attempts: {}", request_.id_text, rejected ? "refused" : "failed", attempts_,
+       to_string(decision.reason));
+  auto& counters = guard_.counters();
+  ++(rejected ? counters.shed : counters.failed);
+  if (may_answer()) {
+    if (rejected)
+      client_.answer(request_.tag, "REJECT", decision.time > 0 ? "later=" + whole_ms(decision.time) : "");
+    else
+      client_.answer(request_.tag, "ABORTED");
+  }
+  count_end(rejected ? RequestEnd::rejected : RequestEnd::aborted);
+}
 
-// What a completed hop comes to once the purges of now are held against its copy. Where the age is told it is
-// the sending that it is counted back from: a copy is taken for as old as it may be.
-AttemptOutcome checked(purge::PurgeRegistry& purges, const Request& o, std::uint64_t object,
-                       const Attempt& hop, const AttemptResult& end, Seconds allowed, Seconds now) {
+// ---- Attempts. -----------------------------------------------------------------------------------------
+
+Attempt::Spec RequestTask::attempt_spec(const Decision& decision) {
+  const Seconds timeout_at =
+      decision.time > 0 ? std::min(request_.expires, scheduler_.now() + decision.time) : request_.expires;
+  return {.endpoint = decision.endpoint,
+          .source = decision.source,
+          .id = request_.id,
+          .id_text = request_.id_text,
+          .body = request_.body,
+          .fields = attempt_fields(request_, decision, upstream_),
+          .timeout_at = timeout_at,
+          .start_by = decision.start_by > 0 ? decision.start_by : kNoTime,
+          .is_final = timeout_at >= request_.expires,
+          .has_effect = request_.effect,
+          .record = &handle_.record(),
+          .copies_valid_since = handle_.valid_since()};
+}
+
+void RequestTask::attempt_started(Attempt& attempt) {
+  handle_.set_attempt(&attempt);
+  ++attempts_;
+  if (attempts_ > 1) ++guard_.counters().retries;
+}
+
+// Prevents a copy from being called current though the server named another, or the client has none.
+void RequestTask::check_not_modified(int endpoint, AttemptResult& result) {
+  if (!result.not_modified) return;
+  if (guard_.may_call_current(handle_.record(), request_.etag, result.etag) == guard::Invariant::none) return;
+  log_("answer", "{}: still_good for '{}' where the client has '{}'", upstream_.id(endpoint), result.etag,
+       request_.etag);
+  result.outcome = AttemptOutcome::error;
+  result.not_modified = false;
+}
+
+// Prevents an answer from before a purge: of an attempt that was under way as it came, or of a cache that
+// confirmed it and answers old all the same.
+void RequestTask::check_copy(const Decision& decision, const Attempt& attempt, AttemptResult& result) {
+  if (result.outcome != AttemptOutcome::served || dispatcher_.purges().replication() == nullptr ||
+      request_.uncacheable)
+    return;
+  result.outcome = judge_copy(attempt, result, decision.max_age);
+  if (result.outcome == AttemptOutcome::stale)
+    log_("old", "{}: a copy of {:.3f} s where {:.3f} s were allowed; set aside",
+         upstream_.id(decision.endpoint), result.age, decision.max_age);
+}
+
+// Where the age is told it is the sending that it is counted back from: a copy is taken for as old as it may
+// be.
+AttemptOutcome RequestTask::judge_copy(const Attempt& attempt, const AttemptResult& result, Seconds max_age) {
   constexpr Seconds kRounding = 0.002;  // whole milliseconds, up at one side and down at the other
-  if (end.tags_reported) purges.learn_tags(object, end.tags, now);
-  const Seconds made = end.age >= 0  ? hop.started_at() - end.age
-                       : allowed > 0 ? hop.started_at() - allowed
-                                     : 0;
-  if (end.age >= 0 && allowed > 0 && end.age > allowed + kRounding) return AttemptOutcome::stale;
-  return purges.is_stale(object, o.group, o.object_text, end.tags, made, now) ? AttemptOutcome::cancelled
-                                                                              : AttemptOutcome::served;
+  auto& purges = dispatcher_.purges();
+  const Seconds now = scheduler_.now();
+  const bool age_told = result.age >= 0;
+  if (result.tags_reported) purges.learn_tags(object_, result.tags, now);
+  if (age_told && max_age > 0 && result.age > max_age + kRounding) return AttemptOutcome::stale;
+  Seconds made_at = 0;
+  if (age_told)
+    made_at = attempt.started_at() - result.age;
+  else if (max_age > 0)
+    made_at = attempt.started_at() - max_age;
+  const bool purged =
+      purges.is_stale(object_, request_.group, request_.object_text, result.tags, made_at, now);
+  return purged ? AttemptOutcome::cancelled : AttemptOutcome::served;
+}
+
+void RequestTask::answer(const AttemptResult& result) {
+  std::string fields;
+  if (!result.etag.empty()) fields = "etag=" + result.etag;
+  if (result.not_modified) fields += fields.empty() ? "notmod=1" : ",notmod=1";
+  client_.answer(request_.tag, "RESULT", fields, result.not_modified ? std::string_view() : result.body);
+}
+
+bool RequestTask::attempt_ended(const Decision& decision, Attempt& attempt) {
+  auto& result = attempt.result();
+  check_not_modified(decision.endpoint, result);
+  check_copy(decision, attempt, result);
+  const bool served = result.outcome == AttemptOutcome::served && !handle_.left();
+  const Seconds took = scheduler_.now() - attempt.started_at();
+  const auto size = static_cast<double>(result.body.size());
+  if (served && may_answer()) answer(result);
+  if (!served && !handle_.left())
+    log_("attempt", "{}: {} of {:.3f} s at {} ended {}", request_.id_text, attempts_, took,
+         upstream_.id(decision.endpoint), to_string(result.outcome));
+  const Seconds transfer_time = transfer_rate_ > 0 ? size / transfer_rate_ : 0;
+  dispatcher_.load_reported(decision.endpoint, result.report.load);
+  dispatcher_.attempt_counted(result.outcome, result.fill);
+  handle_.attempt_ended(result.outcome, result.fill, took, result.report.fill_wait, transfer_time,
+                        served || handle_.left());
+  if (!served) return false;
+  ++guard_.counters().served;
+  count_end(RequestEnd::completed);
+  return true;
 }
 
 }  // namespace
 
-Task serve(Scheduler& scheduler, Log& log, RequestDispatcher& dispatcher, UpstreamPool& caches,
-           std::shared_ptr<ClientConnection> client, Request order, double bytes_a_second) {
-  const auto object = stable_hash(order.object_text);
-  RequestHandle handle(dispatcher, order.rule, object, order.object_text, order.part, order.group,
-                       order.expires, order.id);
-  auto& guard = dispatcher.guard();
-  auto& counters = guard.counters();
-  client->opened(order.tag, handle);
-  // However this task ends, its request gets its answer: also where memory runs out midway.
-  struct Owed {
-    ClientConnection& client;
-    const Request& order;
-    RequestHandle& handle;
-    guard::Guard& guard;
-    bool answered = false;
-    ~Owed() {
-      if (answered || handle.left()) return;
-      try {
-        if (guard.may_answer(handle.record()) == guard::Invariant::none) client.answer(order.tag, "ABORTED");
-      } catch (const std::bad_alloc&) {
-        // Not even room for a word: the client sees its connection's end or its own limit.
-      }
-      client.over(order.tag);
-    }
-  } owed{*client, order, handle, guard};
-  using End = change::Tally::End;
-  const Seconds taken = scheduler.now();
-  int hops = 0;
-  const auto ended = [&](End end) { dispatcher.txn_ended(end, order.rule, scheduler.now() - taken, hops); };
+Task serve(Scheduler& scheduler, Log& log, RequestDispatcher& dispatcher, UpstreamPool& upstream,
+           std::shared_ptr<ClientConnection> client, Request request, double transfer_rate) {
+  RequestTask task(scheduler, log, dispatcher, upstream, *client, request, transfer_rate);
   for (;;) {
-    co_await handle.timer_fired();
-    if (handle.left()) {
-      ++counters.left;
-      co_return;
-    }
-    const auto d = handle.decision();
-    if (!d) continue;
-    if (d->kind == Decision::Kind::reject || d->kind == Decision::Kind::fail) {
-      const bool refused =
-          d->kind == Decision::Kind::reject && guard.may_refuse(handle.record()) == guard::Invariant::none;
-      log("shed", "{}: {} after {} attempts: {}", order.id_text, refused ? "refused" : "failed", hops,
-          kSheds[static_cast<std::size_t>(d->reason)]);
-      ++(refused ? counters.shed : counters.failed);
-      if (guard.may_answer(handle.record()) == guard::Invariant::none) {
-        if (refused)
-          client->answer(order.tag, "REJECT", d->time > 0 ? "later=" + whole_ms(d->time) : "");
-        else
-          client->answer(order.tag, "ABORTED");
-      }
-      ended(refused ? End::rejected : End::aborted);
+    co_await task.handle().decision_made();
+    if (task.count_if_left()) co_return;
+    const auto decision = task.handle().take_decision();
+    if (!decision) continue;
+    if (is_shed(*decision)) {
+      task.shed(*decision);
       break;
     }
-    const Seconds until = d->time > 0 ? std::min(order.expires, scheduler.now() + d->time) : order.expires;
-    Attempt hop(scheduler, caches,
-                {d->endpoint, d->source, order.id, order.id_text, order.body, fields_of(order, *d, caches),
-                 until, d->start_by > 0 ? d->start_by : kNoTime, until >= order.expires, order.effect,
-                 &handle.record(), handle.since()});
-    handle.hop_out(&hop);
-    if (++hops > 1) ++counters.retries;
-    while (!hop.ended()) {
-      const bool told = co_await hop.wait();
-      if (!told) hop.on_timer();
-    }
-    auto& end = hop.result();
-    // Guards against a copy that is called current though the server named another, or the client has none.
-    if (end.not_modified &&
-        guard.may_call_current(handle.record(), order.etag, end.etag) != guard::Invariant::none) {
-      log("answer", "{}: still_good for '{}' where the client has '{}'", caches.id(d->endpoint), end.etag,
-          order.etag);
-      end.outcome = AttemptOutcome::error, end.not_modified = false;
-    }
-    // A hop under way when a purge came, or a cache that confirmed and answers old all the same: not this
-    // answer.
-    if (end.outcome == AttemptOutcome::served && dispatcher.purges().replication() != nullptr &&
-        !order.uncacheable) {
-      end.outcome = checked(dispatcher.purges(), order, object, hop, end, d->max_age, scheduler.now());
-      if (end.outcome == AttemptOutcome::stale)
-        log("old", "{}: a copy of {:.3f} s where {:.3f} s were allowed; set aside", caches.id(d->endpoint),
-            end.age, d->max_age);
-    }
-    const bool completed = end.outcome == AttemptOutcome::served && !handle.left();
-    const auto size = end.body.size();
-    if (completed && guard.may_answer(handle.record()) == guard::Invariant::none) give(*client, order, end);
-    if (!completed && !handle.left())
-      log("attempt", "{}: {} of {:.3f} s at {} ended {}", order.id_text, hops,
-          scheduler.now() - hop.started_at(), caches.id(d->endpoint),
-          kVerdicts[static_cast<std::size_t>(end.outcome)]);
-    const Seconds sending = bytes_a_second > 0 ? static_cast<double>(size) / bytes_a_second : 0;
-    dispatcher.load_reported(d->endpoint, end.report.load);
-    dispatcher.hop_counted(end.outcome, end.fill);
-    handle.attempt_ended(end.outcome, end.fill, scheduler.now() - hop.started_at(), end.report.fill_wait,
-                         sending, completed || handle.left());
-    if (handle.left()) {
-      ++counters.left;
-      co_return;
-    }
-    if (completed) {
-      ++counters.served;
-      ended(End::completed);
-      break;
+    Attempt attempt(scheduler, upstream, task.attempt_spec(*decision));
+    task.attempt_started(attempt);
+    while (!attempt.ended()) {
+      const bool woken = co_await attempt.wait();
+      if (!woken) attempt.on_timer();
     }
+    if (task.attempt_ended(*decision, attempt)) break;
+    if (task.count_if_left()) co_return;
   }
-  client->over(order.tag);
-  owed.answered = true;
+  task.close();
 }
 
 }  // namespace walkpaddle::net
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -5,6 +5,7 @@
 #pragma once
 
 #include <cstdint>
+#include <string_view>
 #include <vector>
 
 #include "base/time.h"
@@ -44,6 +45,8 @@
   not_cached,  ///< it was asked only for what it holds
   stale        ///< the copy was older than the attempt allowed
 };
+/// Its word in the log.
+std::string_view to_string(AttemptOutcome outcome);
 
 /// What an answer tells of its fill. The order is that of the simulator's wire.
 enum class FillOutcome {
@@ -151,6 +154,8 @@
 
 /// Why a request is given up without an attempt that served it.
 enum class ShedReason { none, deadline_exceeded, attempts_used, not_idempotent, no_capacity };
+/// Its word in the log.
+std::string_view to_string(ShedReason reason);
 
 /// How often endpoints were ejected, by what showed their fault.
 struct Ejections {
