--- /dev/null
+++ b/src/net/client_connection.cpp
@@ -0,0 +1,83 @@
+#include "net/client_connection.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "net/request_dispatcher.h"
+#include "net/resp_parser.h"
+
+namespace walkpaddle::net {
+
+namespace {
+
+// For what is owed to one that does not read, once its requests are over.
+constexpr Seconds kUnreadTimeout = 2;
+
+}  // namespace
+
+// Prevents clients that do not read from filling the memory while all answers together press on it.
+void ClientConnection::answer(const std::string& tag, std::string_view word, std::string_view fields,
+                              std::string_view body) {
+  // One of the largest answers waits: a client that reads has less.
+  constexpr std::size_t kSlowReaderBytes = 256UL * 1024;
+  if (outbox_.full() && stream_.unsent() > kSlowReaderBytes) {
+    slow_reader_ = true;
+    return stream_.close();
+  }
+  answered_at_ = scheduler_.now();
+  if (!body.empty())
+    stream_.write(words_text({tag, word, fields, body}));
+  else if (!fields.empty())
+    stream_.write(words_text({tag, word, fields}));
+  else
+    stream_.write(words_text({tag, word}));
+}
+
+bool ClientConnection::has_tag(const std::string& tag) const {
+  return open_.contains(tag) || std::ranges::find(held_, tag, &Request::tag) != held_.end();
+}
+
+// All ends that are not the client's own go this way. Prevents a close over unread bytes, which resets the
+// connection and takes with it what the client was last sent.
+void ClientConnection::begin_end() {
+  if (!is_open()) return;
+  phase_ = Phase::ending;
+  postpone_close();
+  stream_.wake();
+}
+
+void ClientConnection::postpone_close() { close_at_ = scheduler_.now() + kUnreadTimeout; }
+
+void ClientConnection::connected() {
+  heard_at_ = scheduler_.now();
+  message_from_ = heard_at_;
+}
+
+void ClientConnection::message_taken() {
+  has_spoken_ = true;
+  heard_at_ = scheduler_.now();
+}
+
+void ClientConnection::update_message_start() {
+  if (has_spoken_ && stream_.in().empty())
+    message_from_ = kNoTime;
+  else if (message_from_ == kNoTime)
+    message_from_ = scheduler_.now();
+  else
+    message_from_ = std::max(message_from_, heard_at_);
+}
+
+bool ClientConnection::message_is_late() const { return scheduler_.now() >= message_from_ + kMessageTimeout; }
+
+Seconds ClientConnection::read_deadline() const {
+  constexpr Seconds kPollInterval = 0.1;  // for held requests, and for the end of a late message
+  const bool late = message_is_late();
+  const Seconds poll_at = late || !held_.empty() ? scheduler_.now() + kPollInterval : kNoTime;
+  return late ? poll_at : std::min(message_from_ + kMessageTimeout, poll_at);
+}
+
+void ClientConnection::leave_all() {
+  for (const auto& [tag, handle] : std::exchange(open_, {})) handle->leave();
+}
+
+}  // namespace walkpaddle::net
--- /dev/null
+++ b/src/net/client_request.cpp
@@ -0,0 +1,81 @@
+#include "net/client_request.h"
+
+#include <algorithm>
+
+#include "base/text.h"
+#include "net/resp_parser.h"
+
+namespace walkpaddle::net {
+
+namespace {
+
+// Digits of that many places and no other bytes, which the parsers of cache servers take for hexadecimal.
+std::uint64_t parse_hex16(std::string_view text, std::string_view name) {
+  constexpr std::size_t kDigits = 16;
+  if (text.size() != kDigits) throw_bad_value(name, text);
+  return parse<std::uint64_t>(text, name, 16);
+}
+
+// A whole number between two bounds, as plain digits.
+int parse_whole(std::string_view text, std::string_view name, int least, int most) {
+  const int value = parse<int>(text, name);
+  if (value < least || value > most || text.front() == '-') throw_bad_value(name, text);
+  return value;
+}
+
+// What can stand as a value in a list of fields, and ends no message of a careless reader.
+std::string_view checked_value(std::string_view text, std::string_view name) {
+  constexpr std::size_t kMaxBytes = 64;  // twice a usual key
+  const auto is_allowed = [](char c) { return c > ' ' && c <= '~' && c != ',' && c != '='; };
+  if (text.empty() || text.size() > kMaxBytes || !std::ranges::all_of(text, is_allowed))
+    throw_bad_value(name, text);
+  return text;
+}
+
+std::string_view required_field(std::string_view fields, std::string_view name) {
+  const auto value = field(fields, name);
+  if (!value) throw_bad_value("request without", name);
+  return *value;
+}
+
+}  // namespace
+
+OpenId::OpenId(Ids& ids, std::uint64_t id) : id_(id) {
+  if (!ids.insert(id).second) throw InputError("txn that is open already");
+  ids_ = &ids;
+}
+
+Request parse_request(const std::vector<std::string_view>& words,
+                      const std::vector<RequestClassName>& classes, OpenId::Ids& open_ids, Seconds sent_at) {
+  constexpr int kMaxLimitMs = 3'600'000;         // far past any client's
+  constexpr int kMaxPart = 1'000'000;            // far past any object's
+  constexpr std::size_t kMaxBodyBytes = 48'000;  // a write
+  if (words.size() < 4 || words.size() > 5) throw_bad_value("number of words", std::to_string(words.size()));
+  Request request;
+  request.tag = words[1];
+  request.class_name = words[2];
+  const auto request_class = std::ranges::find(classes, words[2], &RequestClassName::name);
+  if (request_class == classes.end()) throw_bad_value("class", words[2]);
+  request.class_index = static_cast<int>(request_class - classes.begin());
+  request.uncacheable = request_class->uncacheable;
+  request.has_effect = request_class->effect;
+  const auto fields = words[3];
+  request.id_text = required_field(fields, "txn");
+  request.id = parse_hex16(request.id_text, "txn");
+  request.deadline = sent_at + parse_whole(required_field(fields, "limit"), "limit", 1, kMaxLimitMs) / 1e3;
+  request.object_text = required_field(fields, "item");
+  parse_hex16(request.object_text, "item");
+  request.part_text = required_field(fields, "seg");
+  request.part = parse_whole(request.part_text, "seg", 0, kMaxPart);
+  request.group = static_cast<std::uint32_t>(parse_whole(required_field(fields, "bucket"), "bucket", 0, 255));
+  if (request_class->keyed || field(fields, "unique"))
+    request.idempotency_key = checked_value(required_field(fields, "unique"), "unique");
+  if (const auto etag = field(fields, "etag")) request.etag = checked_value(*etag, "etag");
+  if (words.size() > 4) request.body = words[4];
+  if (request.body.size() > kMaxBodyBytes)
+    throw_bad_value("size of body", std::to_string(request.body.size()));
+  request.open_id = OpenId(open_ids, request.id);
+  return request;
+}
+
+}  // namespace walkpaddle::net
--- a/src/net/request_handler.cpp
+++ b/src/net/request_handler.cpp
@@ -25,8 +25,8 @@
 
 std::string attempt_fields(const Request& request, const Decision& decision, const UpstreamPool& upstream) {
   std::string fields =
-      "cls=" + request.rule_name + ",item=" + request.object_text + ",chunk=" + request.part_text;
-  if (!request.key.empty()) fields += ",nonce=" + request.key;
+      "cls=" + request.class_name + ",item=" + request.object_text + ",chunk=" + request.part_text;
+  if (!request.idempotency_key.empty()) fields += ",nonce=" + request.idempotency_key;
   if (decision.source >= 0 && decision.source != decision.endpoint)
     fields.append(",src=").append(upstream.id(decision.source));
   if (decision.retention_rank > 0) fields += ",keep=" + std::to_string(decision.retention_rank);
@@ -93,8 +93,8 @@
       transfer_rate_(transfer_rate),
       object_(stable_hash(request.object_text)),
       guard_(dispatcher.guard()),
-      handle_(dispatcher, request.rule, object_, request.object_text, request.part, request.group,
-              request.expires, request.id),
+      handle_(dispatcher, request.class_index, object_, request.object_text, request.part, request.group,
+              request.deadline, request.id),
       received_at_(scheduler.now()) {
   client_.opened(request_.tag, handle_);
 }
@@ -120,7 +120,7 @@
 }
 
 void RequestTask::count_end(RequestEnd end) {
-  dispatcher_.request_ended(end, request_.rule, scheduler_.now() - received_at_, attempts_);
+  dispatcher_.request_ended(end, request_.class_index, scheduler_.now() - received_at_, attempts_);
 }
 
 void RequestTask::shed(const Decision& decision) {
@@ -143,7 +143,7 @@
 
 Attempt::Spec RequestTask::attempt_spec(const Decision& decision) {
   const Seconds timeout_at =
-      decision.time > 0 ? std::min(request_.expires, scheduler_.now() + decision.time) : request_.expires;
+      decision.time > 0 ? std::min(request_.deadline, scheduler_.now() + decision.time) : request_.deadline;
   return {.endpoint = decision.endpoint,
           .source = decision.source,
           .id = request_.id,
@@ -152,8 +152,8 @@
           .fields = attempt_fields(request_, decision, upstream_),
           .timeout_at = timeout_at,
           .start_by = decision.start_by > 0 ? decision.start_by : kNoTime,
-          .is_final = timeout_at >= request_.expires,
-          .has_effect = request_.effect,
+          .is_final = timeout_at >= request_.deadline,
+          .has_effect = request_.has_effect,
           .record = &handle_.record(),
           .copies_valid_since = handle_.valid_since()};
 }
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -361,7 +361,7 @@
   log_("change", "makes way for {}", next_->move.to);
   Event look(scheduler_);
   const Seconds end = scheduler_.now() + std::min(longest_time_limit(config_.settings), kMost);
-  next_->listener = client_listener_.give_listener();
+  next_->listener = client_listener_.hand_over_listener();
   do {
     client_listener_.close_idle();
     co_await look.wait(scheduler_.now() + kLook);
@@ -386,7 +386,7 @@
   phase_ = phase;
   const bool says_ready = kAlive[static_cast<int>(phase)] == "READY";
   if (says_ready && dispatcher_.guard().may_say_ready(list_.read(), true) != guard::Invariant::none) return;
-  client_listener_.set_word(kAlive[static_cast<int>(phase)]);
+  client_listener_.set_alive_word(kAlive[static_cast<int>(phase)]);
   log_("phase", "{}, {} clients, {} txns open", kNames[static_cast<int>(phase)], client_listener_.count(),
        dispatcher_.txns_open());
 }
@@ -527,8 +527,8 @@
   const Seconds asked = scheduler_.now(),
                 last_end = asked + std::min(longest_time_limit(config_.settings), kMost) + kKill - kSpare;
   Event look(scheduler_);
-  while (scheduler_.now() < last_end &&
-         (scheduler_.now() < asked + kComing || dispatcher_.txns_open() > 0 || client_listener_.owing()))
+  while (scheduler_.now() < last_end && (scheduler_.now() < asked + kComing || dispatcher_.txns_open() > 0 ||
+                                         client_listener_.has_unsent_answers()))
     co_await look.wait(scheduler_.now() + kLook);
 
   enter(Phase::stopped);
