--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -40,7 +40,7 @@
   since_ = since;
   record_.purged(since);
   dispatcher_.input().copies_made_since(slot_, since);
-  if (hop_ != nullptr) hop_->drop_unsent();  // decided before the purge
+  if (hop_ != nullptr) hop_->abandon_if_unsent();  // decided before the purge
 }
 
 RequestHandle::~RequestHandle() {
@@ -64,7 +64,7 @@
   if (std::exchange(left_, true)) return;
   record_.client_left();
   dispatcher_.input().client_left(slot_);
-  if (hop_ != nullptr) hop_->drop();
+  if (hop_ != nullptr) hop_->abandon();
   event_.set();
 }
 
@@ -98,12 +98,12 @@
   metrics_->begin(epoch, quiet_until);
 }
 
-void RequestDispatcher::txn_ended(rollout::RequestOutcome end, int rule, Seconds took, int hops) {
+void RequestDispatcher::request_ended(rollout::RequestOutcome end, int rule, Seconds took, int hops) {
   if (metrics_)
     metrics_->request_ended(end, took, sla_[static_cast<std::size_t>(rule)], hops, scheduler_.now());
 }
 
-void RequestDispatcher::hop_counted(AttemptOutcome verdict, FillOutcome note) {
+void RequestDispatcher::attempt_counted(AttemptOutcome verdict, FillOutcome note) {
   if (metrics_)
     metrics_->attempt_ended({.filled = note == FillOutcome::filled || note == FillOutcome::from_origin,
                              .rejected = verdict == AttemptOutcome::rejected},
@@ -157,7 +157,7 @@
     auto* handle = d->request >= 0 ? handles_[d->request] : nullptr;
     if (handle == nullptr) continue;  // subscribe: the bus tells of itself
     if (d->kind == Kind::cancel) {
-      if (handle->hop_ != nullptr && d->attempt == handle->hops_ - 1) handle->hop_->call_off();
+      if (handle->hop_ != nullptr && d->attempt == handle->hops_ - 1) handle->hop_->cancel();
       continue;
     }
     if (d->kind == Kind::forward) handle->out_ = true, ++handle->hops_;
--- a/src/server/admin_view.h
+++ b/src/server/admin_view.h
@@ -20,7 +20,7 @@
   AdminView(const net::UpstreamPool& upstream, const Metrics& metrics)
       : upstream_(upstream), metrics_(metrics) {}
 
-  int endpoints() const override { return upstream_.members(); }
+  int endpoints() const override { return upstream_.endpoint_count(); }
   std::string endpoint_id(int endpoint) const override { return std::string(upstream_.id(endpoint)); }
   std::vector<std::pair<std::string, std::uint64_t>> counters() const override { return metrics_.by_name(); }
 
--- a/src/server/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -86,7 +86,7 @@
 }
 
 bool Lifecycle::answers_pending() const {
-  return parts_.dispatcher.txns_open() > 0 || parts_.client_listener.owing();
+  return parts_.dispatcher.txns_open() > 0 || parts_.client_listener.has_unsent_answers();
 }
 
 Seconds Lifecycle::drain_limit() const {
@@ -108,7 +108,7 @@
   auto& clients = parts_.client_listener;
   Event poll(scheduler);
   const Seconds end = scheduler.now() + longest_deadline(parts_.config.settings);
-  rollouts.take_listener(clients.give_listener());
+  rollouts.take_listener(clients.hand_over_listener());
   do {
     clients.close_idle();
     co_await poll.wait(scheduler.now() + kHandOverPollInterval);
@@ -128,7 +128,7 @@
     const bool list_known = parts_.discovery.read();
     if (parts_.dispatcher.guard().may_say_ready(list_known, true) != guard::Invariant::none) return;
   }
-  parts_.client_listener.set_word(health);
+  parts_.client_listener.set_alive_word(health);
   parts_.log("phase", "{}, {} clients, {} txns open", to_string(phase), parts_.client_listener.count(),
              parts_.dispatcher.txns_open());
 }
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -51,10 +51,13 @@
       dispatcher_(scheduler_, fold_seed(config_.seed), config_.settings, purges_, report_violations(log)),
       fleet_at_turns_end_(scheduler_, [this] { fleet_turn_ends(); }),
       outbox_(scheduler_, outbox_bytes(config_.memory_mb)),
-      upstream_(scheduler_, outbox_, log, descriptors_.upstream_connections,
-                config_.settings.whole("allowed.streams_per_conn", kDefaultStreamsPerConnection),
-                config_.settings.ms("allowed.dial_timeout"), config_.settings.ms("allowed.idle_close"),
-                config_.settings.flag("allowed.cancel")),
+      upstream_(scheduler_, outbox_, log,
+                {.max_connections = descriptors_.upstream_connections,
+                 .max_attempts_per_connection =
+                     config_.settings.whole("allowed.streams_per_conn", kDefaultStreamsPerConnection),
+                 .dial_timeout = config_.settings.ms("allowed.dial_timeout"),
+                 .endpoint_idle_close = config_.settings.ms("allowed.idle_close"),
+                 .can_cancel = config_.settings.flag("allowed.cancel")}),
       discovery_(scheduler_, outbox_, log, dispatcher_, upstream_),
       client_listener_(
           scheduler_, outbox_, log, client_listener_socket(config_), descriptors_.client_connections,
--- a/src/server/warm_start.cpp
+++ b/src/server/warm_start.cpp
@@ -64,7 +64,7 @@
 int WarmStart::restore_unreachable(const warm_start::SnapshotFile& kept, WarmStartSnapshot& snapshot) const {
   int restored = 0;
   for (const auto& unreached : kept.unreachable) {
-    for (int endpoint = 0; endpoint < upstream_.members(); ++endpoint) {
+    for (int endpoint = 0; endpoint < upstream_.endpoint_count(); ++endpoint) {
       if (upstream_.id(endpoint) != unreached.id) continue;
       snapshot.unreachable.push_back({endpoint, unreached.failed_at});
       ++restored;
@@ -122,7 +122,7 @@
   for (const auto& time : replicated.service_times)
     snapshot.service_times.push_back({time.mean, time.answers});
   std::map<std::uint64_t, int> endpoints;
-  for (int endpoint = 0; endpoint < upstream_.members(); ++endpoint)
+  for (int endpoint = 0; endpoint < upstream_.endpoint_count(); ++endpoint)
     endpoints[stable_hash(upstream_.id(endpoint))] = endpoint;
   for (const auto& limit : replicated.limits) {
     const auto it = endpoints.find(limit.endpoint);
