--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -21,6 +21,7 @@
 Seconds capacity_deadline(const RequestState& request, const RequestClass& request_class,
                           const ServiceTimes& service_times);
 
+/// The requests that wait. Bounded by the number of open requests.
 class AdmissionQueue {
  public:
   /// All of them must outlive it.
--- a/src/routing/attempt_accounting.h
+++ b/src/routing/attempt_accounting.h
@@ -13,21 +13,24 @@
 
 namespace walkpaddle::routing {
 
+/// Adds attempts to what they weigh on, and takes them off at their end.
 class AttemptAccounting {
  public:
   /// All of them must outlive it.
   struct Parts {
-    const PolicyContext& context;
-    EndpointTable& endpoints;
-    SlowStart& slow_start;
-    const ServiceTimes& service_times;
-    FillKnowledge& fills;
-    ReferenceCounters& counters;
+    const PolicyContext& context;       ///< settings and time
+    EndpointTable& endpoints;           ///< whose limits are used
+    SlowStart& slow_start;              ///< whose budgets are spent
+    const ServiceTimes& service_times;  ///< for the work of an attempt
+    FillKnowledge& fills;               ///< the link, and the probability of a fill
+    ReferenceCounters& counters;        ///< which cache has a copy
   };
+  /// Keeps the references.
   explicit AttemptAccounting(const Parts& parts) : parts_(parts) {}
 
   /// An attempt begins; it is the caller's to add to the request.
   AttemptState begin(RequestState& request, const Route& route);
+  /// The attempt is over; not to be called twice.
   void end(RequestState& request, AttemptState& attempt);
 
  private:
--- a/src/routing/concurrency_limit.h
+++ b/src/routing/concurrency_limit.h
@@ -15,14 +15,16 @@
   /// Share of late answers above which the limit is reduced. Sizes vary: a tenth looks late on a good day.
   static constexpr double kTooManyLate = 0.15;
 
+  /// Where a limit begins, and how far it may be reduced.
   struct Bounds {
-    double initial = 16;
-    double floor = 4;  ///< never reduced below
+    double initial = 16;  ///< attempts of mean work
+    double floor = 4;     ///< never reduced below
   };
   /// Whether an answer came without waiting in a queue, as far as its own time was known.
   enum class Queueing { possible, none };
 
   ConcurrencyLimit() = default;
+  /// One that begins at `bounds.initial`.
   explicit ConcurrencyLimit(const Bounds& bounds) : limit_(bounds.initial), floor_(bounds.floor) {}
 
   /// Takes this router's part where `routers` share the resource. Each starts with its part of a small
@@ -35,6 +37,7 @@
   /// Prevents floors of one each that sum to many times what a source can do, where hundreds of routers share
   /// it.
   bool admits(double weight, Seconds now) const;
+  /// An attempt begins.
   void reserve(double weight);
   /// `took`: how long it was in flight.
   void release(double weight, Seconds took, Seconds now);
@@ -49,14 +52,15 @@
 
   /// A cold endpoint's limit: it begins at `initial` and grows by grow() with each answer.
   void restart_at(double initial);
+  /// Grows the limit by so much, without a bound.
   void grow(double by) { limit_ += by; }
   /// Raises the limit to one reached before, unless it was reduced since.
   void raise_to(double limit);
 
-  double limit() const { return limit_; }
-  double in_flight() const { return in_flight_; }
-  double late_share() const { return late_share_; }
-  bool congested() const { return congested_; }  ///< it was reduced once, or is cold
+  double limit() const { return limit_; }            ///< in attempts of mean work
+  double in_flight() const { return in_flight_; }    ///< of that
+  double late_share() const { return late_share_; }  ///< of the answers of late, 0 to 1
+  bool congested() const { return congested_; }      ///< it was reduced once, or is cold
 
  private:
   double limit_ = Bounds{}.initial;
--- a/src/routing/context.h
+++ b/src/routing/context.h
@@ -10,16 +10,17 @@
 
 namespace walkpaddle::routing {
 
+/// Settings and time.
 struct PolicyContext {
-  Seconds now = 0;
-  RouterPlacement placement{};
-  EndpointRoles roles{};
-  RetrySettings retries{};
-  FillSettings fills{};
-  ClientSettings clients{};
-  std::vector<RequestClass> classes{};
-  bool weights_are_transfers = false;  ///< endpoints' weights are links, in transfers at a client's rate
-  bool polls_discovery = false;
+  Seconds now = 0;                      ///< the present time on the host's clock
+  RouterPlacement placement{};          ///< where this router stands
+  EndpointRoles roles{};                ///< how models map to roles
+  RetrySettings retries{};              ///< what the platform allows of retries
+  FillSettings fills{};                 ///< what the platform's caches can do
+  ClientSettings clients{};             ///< what clients do
+  std::vector<RequestClass> classes{};  ///< by the class's number
+  bool weights_are_transfers = false;   ///< endpoints' weights are links, in transfers at a client's rate
+  bool polls_discovery = false;         ///< the endpoint list comes only when it is asked for
 };
 
 }  // namespace walkpaddle::routing
--- a/src/routing/endpoint.h
+++ b/src/routing/endpoint.h
@@ -11,19 +11,22 @@
 
 namespace walkpaddle::routing {
 
+/// What an endpoint is to this router.
 enum class Role { cache, parent, origin };
+/// How many roles there are.
 constexpr std::size_t kRoles = 3;
 
+/// One endpoint, listed now or earlier.
 struct Endpoint {
   /// \name As discovery lists it (EndpointTable)
   /// @{
-  std::uint64_t hash = 0;
-  int location = -1;
-  int cell = -1;
-  Role role = Role::cache;
-  double weight = 1;
-  bool listed = false;
-  bool ready = false;
+  std::uint64_t hash = 0;         ///< stable hash of its name
+  int location = -1;              ///< index among the settings' locations
+  int cell = -1;                  ///< those of one cell share what they have seen
+  Role role = Role::cache;        ///< by its model
+  double weight = 1;              ///< its size against others, above 0
+  bool listed = false;            ///< and not gone
+  bool ready = false;             ///< and not draining
   bool seen = false;              ///< it was listed at least once
   bool named = false;             ///< in the complete list that is being read
   bool counted = false;           ///< among the ready ones here,
@@ -32,30 +35,30 @@
 
   /// \name Slow start (SlowStart)
   /// @{
-  Seconds started = kLongAgo;
-  bool may_be_cold = false;
-  double budget_spent = 0;  ///< work that still counts against its budget
-  Seconds spent_at = 0;     ///< when that was reckoned
+  Seconds started = kLongAgo;  ///< the last start that is known
+  bool may_be_cold = false;    ///< it stands among those that are looked at for warmth
+  double budget_spent = 0;     ///< work that still counts against its budget
+  Seconds spent_at = 0;        ///< when that was reckoned
   /// @}
 
   /// \name Health (OutlierDetector)
   /// @{
-  double failure_rate = 0;
-  Seconds ejected_until = kLongAgo;
-  Seconds ejection_time = 0;  ///< of the last ejection; doubled with each
-  int trials_left = 0;        ///< half-open: so many have to be served, one at a time
-  bool unreachable = false;   ///< no connection came up, and no answer since
-  Seconds heard_at = kLongAgo;
-  Seconds answer_gap = 0.1;  ///< mean time between two answers while attempts are in flight
+  double failure_rate = 0;           ///< of the last attempts, about ten
+  Seconds ejected_until = kLongAgo;  ///< no attempt goes there before
+  Seconds ejection_time = 0;         ///< of the last ejection; doubled with each
+  int trials_left = 0;               ///< half-open: so many have to be served, one at a time
+  bool unreachable = false;          ///< no connection came up, and no answer since
+  Seconds heard_at = kLongAgo;       ///< last answer of any kind
+  Seconds answer_gap = 0.1;          ///< mean time between two answers while attempts are in flight
   /// @}
 
   /// \name Load (AttemptAccounting, OutcomeEvaluator)
   /// @{
-  int in_flight = 0;  ///< attempts, and fills that it is the source of
-  Seconds busy_since = 0;
-  double reported_load = -1;  ///< share of its capacity in use, as it reports; -1 if it does not
-  ConcurrencyLimit attempts{};
-  ConcurrencyLimit fills{{.floor = 1}};
+  int in_flight = 0;                     ///< attempts, and fills that it is the source of
+  Seconds busy_since = 0;                ///< when the first of those in flight began
+  double reported_load = -1;             ///< share of its capacity in use, as it reports; -1 if it does not
+  ConcurrencyLimit attempts{};           ///< of all work
+  ConcurrencyLimit fills{{.floor = 1}};  ///< of what it fetches or supplies for misses
   /// @}
 };
 
--- a/src/routing/endpoint_order.h
+++ b/src/routing/endpoint_order.h
@@ -20,6 +20,7 @@
     double weight = 1;             ///< above 0
   };
 
+  /// Removes all.
   void clear();
   /// Replaces what is known of that index.
   void add(int index, std::uint64_t hash, double weight);
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -13,30 +13,38 @@
 
 namespace walkpaddle::routing {
 
+/// All endpoints by the host's index.
 class EndpointTable {
  public:
   /// What a list says of one endpoint.
   struct Listing {
-    std::uint64_t hash = 0;
-    int location = 0;
-    int kind = 0;
-    int cell = 0;
-    EndpointState state = EndpointState::ready;
-    double weight = 1;
+    std::uint64_t hash = 0;                      ///< stable hash of its name
+    int location = 0;                            ///< index among the settings' locations
+    int kind = 0;                                ///< its model, which gives its role
+    int cell = 0;                                ///< those of one cell share what they have seen
+    EndpointState state = EndpointState::ready;  ///< as the list says
+    double weight = 1;                           ///< its size; 0 or less reads as 1
   };
   /// What a listing changed.
   enum class Change { gone, known, returned };
 
+  /// `context` must outlive it.
   explicit EndpointTable(const PolicyContext& context) : context_(context) {}
 
   /// The endpoint of this index, made at first sight: references to others may move then.
   Endpoint& find_or_add(int index);
+  /// One that was found or added before.
   Endpoint& operator[](int index) { return endpoints_[static_cast<std::size_t>(index)]; }
+  /// One that was found or added before.
   const Endpoint& operator[](int index) const { return endpoints_[static_cast<std::size_t>(index)]; }
+  /// Of an element of this table.
   int index_of(const Endpoint& endpoint) const { return static_cast<int>(&endpoint - endpoints_.data()); }
+  /// Indices are 0 to one less.
   int size() const { return static_cast<int>(endpoints_.size()); }
 
+  /// A complete list names all endpoints that are not gone.
   void begin_list(bool complete);
+  /// One endpoint of the list.
   Change update(int index, const Listing& listing);
   /// The order for attempts follows the list only from here on.
   void end_list();
--- a/src/routing/freshness.h
+++ b/src/routing/freshness.h
@@ -6,6 +6,7 @@
 
 namespace walkpaddle::routing {
 
+/// What bounds the age of a copy.
 struct FreshnessBounds {
   Seconds class_max_age = 0;    ///< of the request's class; 0: no limit
   Seconds copies_since = 0;     ///< copies made before are purged; 0: none
--- a/src/routing/outcome_evaluation.h
+++ b/src/routing/outcome_evaluation.h
@@ -17,28 +17,31 @@
 
 /// How an attempt ended, as the host tells it.
 struct AttemptReport {
-  AttemptOutcome outcome = AttemptOutcome::not_sent;
-  FillOutcome fill = FillOutcome::none;
-  Seconds took = 0;
+  AttemptOutcome outcome = AttemptOutcome::not_sent;  ///< how it ended
+  FillOutcome fill = FillOutcome::none;               ///< what its answer says of the fill
+  Seconds took = 0;                                   ///< from its sending to its end
   Seconds waited = 0;   ///< of that, for the source's first byte or its failure; 0: not told
   Seconds sending = 0;  ///< the answer's own time at a client's rate; 0: not known
 };
 
+/// Learns from the ends of attempts.
 class OutcomeEvaluator {
  public:
   /// All of them must outlive it.
   struct Parts {
-    const PolicyContext& context;
-    EndpointTable& endpoints;
-    OutlierDetector& outliers;
-    SlowStart& slow_start;
-    ServiceTimes& service_times;
-    FillKnowledge& fills;
-    ReferenceCounters& counters;
-    std::mt19937& random;
+    const PolicyContext& context;  ///< settings and time
+    EndpointTable& endpoints;      ///< whose limits learn
+    OutlierDetector& outliers;     ///< health of endpoints
+    SlowStart& slow_start;         ///< cold endpoints
+    ServiceTimes& service_times;   ///< how long answers take
+    FillKnowledge& fills;          ///< the link, and how many attempts miss
+    ReferenceCounters& counters;   ///< sizes and copies
+    std::mt19937& random;          ///< phases of endpoints that start
   };
+  /// Keeps the references.
   explicit OutcomeEvaluator(const Parts& parts) : parts_(parts) {}
 
+  /// Once for each attempt, after AttemptAccounting::end().
   void evaluate(RequestState& request, AttemptState& attempt, const AttemptReport& report);
 
  private:
--- a/src/routing/outlier_detection.h
+++ b/src/routing/outlier_detection.h
@@ -11,6 +11,7 @@
 
 namespace walkpaddle::routing {
 
+/// Decides which endpoints are ejected.
 class OutlierDetector {
  public:
   /// What a failure proves.
@@ -25,9 +26,12 @@
 
   /// Whether an attempt may go there: listed, ready, not ejected, and no trial under way.
   bool usable(const Endpoint& endpoint) const;
+  /// No attempt goes there now.
   bool ejected(const Endpoint& endpoint) const { return context_.now < endpoint.ejected_until; }
 
+  /// An attempt at it, or a fill from it, failed.
   void record_failure(int index, Severity severity);
+  /// An attempt at it, or a fill from it, was served.
   void record_success(int index);
   /// Anything came from it.
   void record_answer(int index);
@@ -39,6 +43,7 @@
   /// A new start of an endpoint: what failed before is no sign of it.
   static void forget_failures(Endpoint& endpoint);
 
+  /// Since the start.
   const Ejections& ejections() const { return ejections_; }
 
  private:
--- a/src/routing/policy.h
+++ b/src/routing/policy.h
@@ -21,7 +21,8 @@
   /// \name Settings
   /// Before the first input; each part takes its own few. Retries, fills and client habits may be set again.
   /// @{
-  /// Where this router stands.
+
+  /// Location and number of routers.
   virtual void set_placement(const RouterPlacement& placement) = 0;
   /// Before the first list: roles are told by it.
   virtual void set_roles(const EndpointRoles& roles) = 0;
@@ -49,6 +50,7 @@
 
   /// \name Inputs
   /// @{
+
   /// The present time; before any other input.
   virtual void clock(Seconds now) = 0;
   /// `complete`: what is not named until end_endpoint_list() is gone.
--- a/src/routing/reference_counter.h
+++ b/src/routing/reference_counter.h
@@ -34,7 +34,9 @@
 
     /// A client that got no answer may come again; that is no new demand.
     void expect_retry(Seconds now);
+    /// Whether a request that comes now may be such a retry.
     bool retry_expected(Seconds now) const;
+    /// It was: one less is expected.
     void count_retry();
     /// `cache` still has it, as far as caches keep things.
     bool recently_cached(Seconds now) const { return cache >= 0 && now - cached_at < kCachesKeep; }
--- a/src/routing/route_selection.h
+++ b/src/routing/route_selection.h
@@ -16,9 +16,9 @@
 
 /// Where one attempt goes.
 struct Route {
-  int endpoint = -1;  ///< -1: none can take it now
-  int source = -1;    ///< who supplies a miss; the endpoint itself for none
-  bool cached_only = false;
+  int endpoint = -1;         ///< -1: none can take it now
+  int source = -1;           ///< who supplies a miss; the endpoint itself for none
+  bool cached_only = false;  ///< the source gives only what it holds
 };
 
 /// What is known of misses, and of the link that fills come over.
@@ -29,20 +29,23 @@
   QuietMean parent_misses{0.5};       ///< share of fills that a parent fetches from the origin
 };
 
+/// Chooses the endpoint and the source of an attempt.
 class RouteSelector {
  public:
   /// All of them must outlive it.
   struct Parts {
-    const PolicyContext& context;
-    const EndpointTable& endpoints;
-    const OutlierDetector& outliers;
-    const SlowStart& slow_start;
-    const ServiceTimes& service_times;
-    const FillKnowledge& fills;
-    ReferenceCounters& counters;
+    const PolicyContext& context;       ///< settings and time
+    const EndpointTable& endpoints;     ///< in their order for each object
+    const OutlierDetector& outliers;    ///< which of them are usable
+    const SlowStart& slow_start;        ///< what cold ones may be sent
+    const ServiceTimes& service_times;  ///< the weight of an attempt
+    const FillKnowledge& fills;         ///< whether the link has capacity
+    ReferenceCounters& counters;        ///< which cache lately had an object
   };
+  /// Keeps the references.
   explicit RouteSelector(const Parts& parts) : parts_(parts) {}
 
+  /// Of a class that is cached.
   Route select(const RequestState& request) const;
   /// Of a class that is not cached: straight to the origin, or through a cache where the origin takes no
   /// attempts.
--- a/src/routing/service_time.h
+++ b/src/routing/service_time.h
@@ -23,16 +23,18 @@
   /// stand for all.
   enum class Evidence { reported, guessed };
 
+  /// `initial` stands until samples come.
   explicit QuietMean(double initial) : mean_(initial) {}
   /// One that an earlier start left; `unproved`: samples to come before it counts fully.
   static QuietMean restored(double mean, int samples, int unproved = 0);
 
+  /// One more sample; `quiet`: it did not wait in a queue.
   void add(double value, bool quiet, Evidence evidence = Evidence::reported);
-  double mean() const { return mean_; }
-  double quiet_mean() const { return quiet_mean_; }
-  int samples() const { return samples_; }
-  int quiet_samples() const { return quiet_samples_; }
-  bool proved() const { return unproved_ <= 0; }
+  double mean() const { return mean_; }                 ///< what to go by
+  double quiet_mean() const { return quiet_mean_; }     ///< of samples without a queue
+  int samples() const { return samples_; }              ///< that came before enough were quiet
+  int quiet_samples() const { return quiet_samples_; }  ///< without a queue
+  bool proved() const { return unproved_ <= 0; }        ///< enough samples of this start confirm it
 
  private:
   double mean_ = 0;
@@ -42,13 +44,17 @@
   int unproved_ = 0;
 };
 
+/// Means by class.
 class ServiceTimes {
  public:
+  /// `context` must outlive it.
   explicit ServiceTimes(const PolicyContext& context) : context_(context) {}
 
+  /// The next class; until answers come, its latency objective stands for its sending time.
   void add_class(const RequestClass& request_class);
   /// From an earlier start, by class. Against slow-start budgets it counts only once it is proved.
   void restore(int request_class, double mean, int samples);
+  /// Sending times, by class.
   const std::vector<QuietMean>& by_class() const { return sending_; }
 
   /// Seconds of sending to the client: by the size where that is known, else the mean of the class.
@@ -68,8 +74,11 @@
   /// How long an attempt may take before it is held for lost: well past what those of its class lately took.
   Seconds patience(const RequestState& request) const;
 
+  /// A request of a class that is cached came.
   void record_request(const RequestState& request);
+  /// An attempt was served after `took` seconds.
   void record_latency(const RequestState& request, Seconds took);
+  /// The sending time of one answer, known or estimated.
   void record_sending(int request_class, Seconds sending, bool quiet = true,
                       QuietMean::Evidence evidence = QuietMean::Evidence::reported);
 
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -14,14 +14,17 @@
 
 namespace walkpaddle::routing {
 
+/// Budgets of cold endpoints.
 class SlowStart {
  public:
   /// `context` and `endpoints` must outlive it.
   SlowStart(const PolicyContext& context, EndpointTable& endpoints)
       : context_(context), endpoints_(endpoints) {}
 
+  /// Before the first endpoint.
   void set(const SlowStartSettings& caches, const SlowStartSettings& parents);
 
+  /// Its last start is less than the settings' duration ago.
   bool is_cold(const Endpoint& endpoint) const;
   /// The endpoint started at `started`. `mean_request`: seconds of work. The first attempts of many routers
   /// must not meet, so each begins at a random phase.
@@ -30,6 +33,7 @@
   /// Whether the budget admits so much work. A request alone may overdraw it; a lookup, which may represent
   /// thousands, may not.
   bool admits(const Endpoint& endpoint, Seconds work, double represented_requests = 0) const;
+  /// An attempt goes to it; nothing happens at a warm one.
   void spend(Endpoint& endpoint, Seconds work);
   /// A warm endpoint served so much.
   void record_served(const Endpoint& endpoint, Seconds work);
--- a/src/routing/stuck_attempts.h
+++ b/src/routing/stuck_attempts.h
@@ -12,16 +12,18 @@
 
 namespace walkpaddle::routing {
 
+/// Finds attempts that wait in vain, once a tick.
 class StuckAttempts {
  public:
   /// All of them must outlive it.
   struct Parts {
-    const PolicyContext& context;
-    EndpointTable& endpoints;
-    OutlierDetector& outliers;
-    const ServiceTimes& service_times;
-    std::vector<RequestState>& requests;
+    const PolicyContext& context;         ///< settings and time
+    EndpointTable& endpoints;             ///< whose limits learn of lost attempts
+    OutlierDetector& outliers;            ///< which endpoints are silent
+    const ServiceTimes& service_times;    ///< how long attempts take
+    std::vector<RequestState>& requests;  ///< open and over
   };
+  /// Keeps the references.
   explicit StuckAttempts(const Parts& parts) : parts_(parts) {}
 
   /// Ejects the endpoints that several attempts wait for and nothing is heard of.
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -111,7 +111,7 @@
   double initial_share = 1;  ///< of its capacity, at its start
   double multiple = 1;       ///< of that capacity which it bears within `window`
   Seconds duration = 0;      ///< from its start until it is warm
-  Seconds window = 1;
+  Seconds window = 1;        ///< in which the multiple of its capacity counts
 };
 
 /// What clients do.
--- a/src/routing/warm_start.h
+++ b/src/routing/warm_start.h
@@ -14,14 +14,15 @@
 
 /// The parts that have learnt something; all of them must outlive it.
 struct LearntState {
-  const PolicyContext& context;
-  EndpointTable& endpoints;
-  SlowStart& slow_start;
-  ServiceTimes& service_times;
-  FillKnowledge& fills;
-  ReferenceCounters& counters;
+  const PolicyContext& context;  ///< settings and time
+  EndpointTable& endpoints;      ///< limits and reachability
+  SlowStart& slow_start;         ///< which endpoints are cold
+  ServiceTimes& service_times;   ///< means by class
+  FillKnowledge& fills;          ///< the link and the miss ratio
+  ReferenceCounters& counters;   ///< of objects
 };
 
+/// What the next start may go on with.
 WarmStartSnapshot take_snapshot(const LearntState& state);
 /// After the settings and the first endpoint list. Limits that were reached before count by their age, never
 /// at a cold endpoint, nor where one was reduced since. Prevents a router that returns from rejecting what it
--- /dev/null
+++ b/tests/unit/main.cpp
@@ -0,0 +1,3 @@
+// The runner of the unit tests.
+#define CATCH_CONFIG_MAIN
+#include <catch2/catch.hpp>
