--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -1,8 +1,11 @@
-// The event bus: the list of members and the purges, first as known at the start, then as they come.
+/// \file
+/// Follows discovery: the list of endpoints and the purges, first as known at the start, then as they come.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <string>
+#include <string_view>
 #include <unordered_set>
 
 #include "io/log.h"
@@ -14,22 +17,35 @@
 
 namespace walkpaddle::net {
 
+/// Hands the events of discovery to the pool, the purges and the routing policy, and keeps a connection to
+/// it.
+///
+/// Lifetimes: what it takes by reference or pointer outlives it; its task is dropped (Scheduler::drop_tasks)
+/// before it goes. Threads: the scheduler's one thread.
 class DiscoveryClient final : public DiscoveryEvents {
  public:
   DiscoveryClient(Scheduler& scheduler, Outbox& outbox, Log& log, RequestDispatcher& dispatcher,
-                  UpstreamPool& caches)
+                  UpstreamPool& upstream)
       : scheduler_(scheduler),
         outbox_(outbox),
         log_(log),
         dispatcher_(dispatcher),
-        upstream_(caches),
+        upstream_(upstream),
         pause_over_(scheduler) {}
 
-  void held(std::uint64_t last) { last_ = last, read_ = true; }
-  bool read() const { return read_; }                    // the list that was known at the start
-  void share(replica::Watch* watch) { watch_ = watch; }  // what the fleet knows of the servers
-  void tell_facts();                // where the fleet's facts are worse than the list: the module is told
-  void follow(const Address& bus);  // from the last event held; a second call moves to another address
+  /// The events of the configuration were handed over, up to number `last`.
+  void set_last_event(std::uint64_t last) {
+    last_ = last;
+    has_initial_list_ = true;
+  }
+  /// Whether the list that was known at the start has been handed over.
+  bool has_initial_list() const { return has_initial_list_; }
+  /// What the fleet observes of endpoints; null: nothing is shared.
+  void set_observations(replica::Watch* observations) { observations_ = observations; }
+  /// Where the fleet's observations are worse than the list, the policy goes by them.
+  void apply_observations();
+  /// Follows discovery at this address, from the last event held on; a second call moves to another address.
+  void follow(const Address& address);
 
   void known_begin(Seconds newest_stamp) override { clock_.begin_known(newest_stamp, scheduler_.now()); }
   void known_end() override { clock_.end_known(); }
@@ -41,8 +57,22 @@
   void purged_group(std::uint32_t group, Seconds at) override;
 
  private:
+  class StreamInUse;
+  enum class Input { none, frames, end };
+  // How one connection goes on.
+  struct Progress {
+    Seconds whole_at = 0;        // when a frame last came whole, or a large one moved on
+    std::size_t bytes_then = 0;  // how much of a frame was there as it last moved on
+    bool frames_came = false;    // at least one whole
+    std::string why = "closed";  // it ended
+  };
+
   Task follow_all();
+  Fd dial_with_spare();
+  void hold_spare();
+  Input read_frames(Stream& stream, Progress& progress);
   bool take_frames(Stream& stream);
+  bool accept_gap(std::uint64_t held, std::uint64_t seen);
 
   Scheduler& scheduler_;
   Outbox& outbox_;
@@ -51,17 +81,20 @@
   UpstreamPool& upstream_;
   DiscoveryClock clock_;
   static constexpr std::uint64_t kNoGap = ~std::uint64_t{};
-  std::uint64_t last_ = 0, gap_after_ = kNoGap;  // gap_after_: the last before a gap that is asked for again
-  Address bus_;
-  bool following_ = false, moved_ = false, read_ = false;
-  bool whole_ = false;               // the list that is being told
+  std::uint64_t last_ = 0;            // event held, without a gap before it
+  std::uint64_t gap_after_ = kNoGap;  // the last before a gap that is asked for again
+  Address address_;
+  bool following_ = false;
+  bool address_changed_ = false;
+  bool has_initial_list_ = false;
+  bool list_is_whole_ = false;       // the list that is being told
   std::unordered_set<int> in_list_;  // so far
   Stream* stream_ = nullptr;         // the connection in use, if there is one
-  replica::Watch* watch_ = nullptr;
+  replica::Watch* observations_ = nullptr;
   Event pause_over_;
-  // Held while there is no connection. Guards against clients and hops that take the descriptor of one that
-  // broke, and would leave the router without its list.
-  Fd spare_;
+  // Held while there is no connection. Prevents clients and attempts from taking the descriptor of one that
+  // broke, which would leave the router without its list.
+  Fd spare_descriptor_;
 };
 
 }  // namespace walkpaddle::net
--- a/src/net/discovery_clock.cpp
+++ b/src/net/discovery_clock.cpp
@@ -5,33 +5,37 @@
 namespace walkpaddle::net {
 
 void DiscoveryClock::begin_known(Seconds newest_stamp, Seconds now) {
-  known_ = true, heard_ = now;
-  if (newest_stamp > 0) ahead_ = now - newest_stamp;
+  reads_known_ = true;
+  heard_at_ = now;
+  if (newest_stamp > 0) offset_ = now - newest_stamp;
 }
 
 void DiscoveryClock::observe(Seconds stamp, Seconds now) {
-  if (!ahead_ || now - stamp < *ahead_) ahead_ = now - stamp;
+  if (!offset_ || now - stamp < *offset_) offset_ = now - stamp;
 }
 
 Seconds DiscoveryClock::purged_at(Seconds stamp, Seconds now) {
-  if (!known_) {
+  if (!reads_known_) {
     observe(stamp, now);
     return now;
   }
-  return ahead_ ? std::min(now, stamp + *ahead_) : now;
+  return offset_ ? std::min(now, stamp + *offset_) : now;
 }
 
-Seconds DiscoveryClock::started_at(int member, Seconds stamp, Seconds now) {
+Seconds DiscoveryClock::started_at(int endpoint, Seconds stamp, Seconds now) {
   // Whether or not it arrived, an event counts as told so long after it happened (the protocol page,
   // "Figures").
-  constexpr Seconds kToldAtLatest = 7;
+  constexpr Seconds kMaxEventDelay = 7;
   if (stamp <= 0) return 0;
-  auto& start = starts_[member];
+  auto& start = starts_[endpoint];
   if (start.stamp == stamp) return start.at;
-  if (!known_) observe(stamp, now);
-  Seconds at = ahead_ ? std::min(now, stamp + *ahead_) : now;
+  if (!reads_known_) observe(stamp, now);
+  Seconds at = offset_ ? std::min(now, stamp + *offset_) : now;
   // Older than it can be: discovery's clock was set back since.
-  if (!known_ && at < heard_ - kToldAtLatest) at = now, ahead_ = now - stamp;
+  if (!reads_known_ && at < heard_at_ - kMaxEventDelay) {
+    at = now;
+    offset_ = now - stamp;
+  }
   start = {stamp, at};
   return at;
 }
--- a/src/net/discovery_codec.cpp
+++ b/src/net/discovery_codec.cpp
@@ -8,75 +8,111 @@
 
 namespace {
 
-std::uint64_t take(std::string_view& rest, int bytes) {
+// The events that a frame may hold, as on the wire.
+enum class FrameKind : std::uint8_t { heartbeat, whole_list, list_change, object_purge, group_purge };
+
+constexpr std::size_t kLengthBytes = 4;
+constexpr std::size_t kHeadBytes = 9;  // number and kind
+constexpr std::size_t kEndpointBytes = 27;
+constexpr std::size_t kStateOffset = 10;  // in an endpoint
+constexpr std::size_t kObjectPurgeBytes = 16;
+constexpr std::size_t kGroupPurgeBytes = 10;
+
+// A number of so many bytes, the highest first.
+std::uint64_t take_number(std::string_view& rest, std::size_t bytes) {
   std::uint64_t value = 0;
-  for (int n = 0; n < bytes; ++n) value = value << 8 | static_cast<unsigned char>(rest[n]);
+  for (std::size_t n = 0; n < bytes; ++n) value = value << 8 | static_cast<unsigned char>(rest[n]);
   rest.remove_prefix(bytes);
   return value;
 }
 
-constexpr std::size_t kHead = 9;     // number and kind
-constexpr std::size_t kRecord = 27;  // one member
-constexpr std::size_t kStateAt = 10;
-
-void check(std::uint64_t kind, std::string_view payload) {
-  const auto wrong_size = [&](bool wrong) {
-    if (wrong) throw_bad_value("frame length", std::to_string(payload.size()));
-  };
-  if (kind > 4) throw_bad_value("frame kind", std::to_string(kind));
-  if (kind == 0) wrong_size(!payload.empty());
-  if (kind == 3) wrong_size(payload.size() != 16);
-  if (kind == 4) wrong_size(payload.size() != 10);
-  if (kind != 1 && kind != 2) return;
-  wrong_size(payload.size() % kRecord != 0);
-  for (std::size_t at = kStateAt; at < payload.size(); at += kRecord)
+Seconds take_stamp(std::string_view& rest) { return static_cast<Seconds>(take_number(rest, 8)) / 1e3; }
+
+void check_endpoints(std::string_view payload) {
+  for (std::size_t at = kStateOffset; at < payload.size(); at += kEndpointBytes)
     if (payload[at] < 0 || payload[at] > 2) throw_bad_value("member state", std::to_string(payload[at]));
 }
 
+bool has_valid_size(FrameKind kind, std::size_t size) {
+  switch (kind) {
+    case FrameKind::heartbeat:
+      return size == 0;
+    case FrameKind::whole_list:
+    case FrameKind::list_change:
+      return size % kEndpointBytes == 0;
+    case FrameKind::object_purge:
+      return size == kObjectPurgeBytes;
+    case FrameKind::group_purge:
+      return size == kGroupPurgeBytes;
+  }
+  return false;
+}
+
+FrameKind checked_kind(std::uint64_t number, std::string_view payload) {
+  if (number > static_cast<std::uint64_t>(FrameKind::group_purge))
+    throw_bad_value("frame kind", std::to_string(number));
+  const auto kind = static_cast<FrameKind>(number);
+  if (!has_valid_size(kind, payload.size())) throw_bad_value("frame length", std::to_string(payload.size()));
+  if (kind == FrameKind::whole_list || kind == FrameKind::list_change) check_endpoints(payload);
+  return kind;
+}
+
 void hand_list(bool whole, std::string_view payload, DiscoveryEvents& events) {
   constexpr EndpointState kStates[] = {EndpointState::ready, EndpointState::draining, EndpointState::gone};
   events.begin_endpoint_list(whole);
   while (!payload.empty()) {
-    const auto id = fmt::format("s-{:08x}", take(payload, 4));
+    const auto id = fmt::format("s-{:08x}", take_number(payload, 4));
     Address address;
-    address.ip = static_cast<std::uint32_t>(take(payload, 4));
-    address.port = static_cast<std::uint16_t>(take(payload, 2));
-    const auto state = kStates[take(payload, 1)];
-    const int location = static_cast<int>(take(payload, 1)), kind = static_cast<int>(take(payload, 1));
-    const int cell = static_cast<int>(take(payload, 2));
-    const double weight = static_cast<double>(take(payload, 4)) / 1e3;
-    const Seconds started = static_cast<Seconds>(take(payload, 8)) / 1e3;
+    address.ip = static_cast<std::uint32_t>(take_number(payload, 4));
+    address.port = static_cast<std::uint16_t>(take_number(payload, 2));
+    const auto state = kStates[take_number(payload, 1)];
+    const int location = static_cast<int>(take_number(payload, 1));
+    const int kind = static_cast<int>(take_number(payload, 1));
+    const int cell = static_cast<int>(take_number(payload, 2));
+    const double weight = static_cast<double>(take_number(payload, 4)) / 1e3;
+    const Seconds started = take_stamp(payload);
     events.update_endpoint(id, address, location, kind, cell, state, weight, started);
   }
   events.end_endpoint_list();
 }
 
+void hand_event(FrameKind kind, std::string_view payload, DiscoveryEvents& events) {
+  switch (kind) {
+    case FrameKind::heartbeat:
+      return;
+    case FrameKind::whole_list:
+      return hand_list(true, payload, events);
+    case FrameKind::list_change:
+      return hand_list(false, payload, events);
+    case FrameKind::object_purge: {
+      const auto object = fmt::format("{:016x}", take_number(payload, 8));
+      return events.purged(object, take_stamp(payload));
+    }
+    case FrameKind::group_purge: {
+      const auto group = static_cast<std::uint32_t>(take_number(payload, 2));
+      return events.purged_group(group, take_stamp(payload));
+    }
+  }
+}
+
 }  // namespace
 
 std::size_t read_frame(std::string_view bytes, std::uint64_t& last, DiscoveryEvents& events,
                        std::uint64_t& seen) {
-  constexpr std::size_t kMost = 4u << 20;  // a list of 150,000 members
-  if (bytes.size() < 4) return 0;
-  const auto length = take(bytes, 4);
-  if (length < kHead || length > kMost) throw_bad_value("frame length", std::to_string(length));
+  constexpr std::size_t kMaxFrameBytes = 4u << 20;  // a list of 150,000 endpoints
+  if (bytes.size() < kLengthBytes) return 0;
+  const auto length = take_number(bytes, kLengthBytes);
+  if (length < kHeadBytes || length > kMaxFrameBytes) throw_bad_value("frame length", std::to_string(length));
   if (bytes.size() < length) return 0;
   auto payload = bytes.substr(0, length);
-  const auto number = take(payload, 8), kind = take(payload, 1);
-  check(kind, payload);
-  if (kind == 0 || number <= last) return 4 + length;
+  const auto number = take_number(payload, 8);
+  const auto kind = checked_kind(take_number(payload, 1), payload);
+  if (kind == FrameKind::heartbeat || number <= last) return kLengthBytes + length;
   // Behind a gap: it counts at once, and will count again once what is missing has come before it.
-  if (kind <= 2) hand_list(kind == 1, payload, events);
-  if (kind == 3) {
-    const auto object = fmt::format("{:016x}", take(payload, 8));
-    events.purged(object, static_cast<Seconds>(take(payload, 8)) / 1e3);
-  }
-  if (kind == 4) {
-    const auto group = static_cast<std::uint32_t>(take(payload, 2));
-    events.purged_group(group, static_cast<Seconds>(take(payload, 8)) / 1e3);
-  }
+  hand_event(kind, payload, events);
   seen = number;
   if (number == last + 1) last = number;
-  return 4 + length;
+  return kLengthBytes + length;
 }
 
 std::string hello_text(std::uint64_t last) {
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -6,89 +6,100 @@
 
 std::vector<guard::RequestRecord::Rule> effect_rules(const Settings& settings) {
   std::vector<guard::RequestRecord::Rule> rules;
-  for (const auto& r : request_classes(settings)) rules.push_back({r.idempotency, r.deduplication_window});
+  for (const auto& request_class : request_classes(settings))
+    rules.push_back({request_class.idempotency, request_class.deduplication_window});
   return rules;
 }
 
 }  // namespace
 
-RequestHandle::RequestHandle(RequestDispatcher& dispatcher, int rule, std::uint64_t object,
-                             std::string_view name, int part, std::uint32_t group, Seconds expires,
+// ---- One request. --------------------------------------------------------------------------------------
+
+RequestHandle::RequestHandle(RequestDispatcher& dispatcher, int class_index, std::uint64_t object,
+                             std::string_view object_name, int part, std::uint32_t group, Seconds deadline,
                              std::uint64_t id)
     : dispatcher_(dispatcher),
       object_(object),
-      name_(name),
+      object_name_(object_name),
       group_(group),
-      record_(id, dispatcher.effects_[static_cast<std::size_t>(rule)], expires),
+      record_(id, dispatcher.effect_rules_[static_cast<std::size_t>(class_index)], deadline),
+      slot_(dispatcher.take_slot(*this)),
       event_(dispatcher.scheduler_) {
-  if (dispatcher_.free_.empty()) {
-    slot_ = static_cast<int>(dispatcher_.handles_.size());
-    dispatcher_.handles_.push_back(this);
-  } else {
-    slot_ = dispatcher_.free_.back();
-    dispatcher_.free_.pop_back();
-    dispatcher_.handles_[slot_] = this;
-  }
-  dispatcher_.input().request_received(slot_, rule, object, part, group, 0, expires, false);
-  tell_purges();
+  dispatcher_.input().request_received(slot_, class_index, object, part, group, 0, deadline, false);
+  update_purges();
 }
 
-void RequestHandle::tell_purges() {
-  const Seconds since = dispatcher_.purges_.valid_since(object_, group_, name_, dispatcher_.scheduler_.now());
-  if (since == since_) return;
-  since_ = since;
-  record_.purged(since);
-  dispatcher_.input().copies_made_since(slot_, since);
-  if (hop_ != nullptr) hop_->abandon_if_unsent();  // decided before the purge
+RequestHandle::~RequestHandle() {
+  if (attempt_out_) attempt_ended(AttemptOutcome::not_sent, FillOutcome::none, 0, 0, 0, true);
+  dispatcher_.handles_[static_cast<std::size_t>(slot_)] = nullptr;
+  dispatcher_.free_slots_.push_back(slot_);
 }
 
-RequestHandle::~RequestHandle() {
-  if (out_) attempt_ended(AttemptOutcome::not_sent, FillOutcome::none, 0, 0, 0, true);
-  dispatcher_.handles_[slot_] = nullptr;
-  dispatcher_.free_.push_back(slot_);
+void RequestHandle::update_purges() {
+  const Seconds since =
+      dispatcher_.purges_.valid_since(object_, group_, object_name_, dispatcher_.scheduler_.now());
+  if (since == valid_since_) return;
+  valid_since_ = since;
+  record_.purged(since);
+  dispatcher_.input().copies_made_since(slot_, since);
+  if (attempt_ != nullptr) attempt_->abandon_if_unsent();  // decided before the purge
 }
 
-void RequestHandle::attempt_ended(AttemptOutcome verdict, FillOutcome note, Seconds took, Seconds waited,
-                                  Seconds sending, bool txn_over) {
-  hop_ = nullptr;
-  out_ = false;
-  dispatcher_.input().attempt_ended(slot_, hops_ - 1, verdict, note, took, waited, sending, txn_over);
+void RequestHandle::attempt_ended(AttemptOutcome outcome, FillOutcome fill, Seconds duration,
+                                  Seconds fill_wait, Seconds transfer_time, bool request_over) {
+  attempt_ = nullptr;
+  attempt_out_ = false;
+  dispatcher_.input().attempt_ended(slot_, attempts_ - 1, outcome, fill, duration, fill_wait, transfer_time,
+                                    request_over);
 }
 
-void RequestHandle::set_represented_requests(double in_flight, double txns) {
-  dispatcher_.input().set_represented_requests(slot_, in_flight, txns);
+void RequestHandle::set_represented_requests(double in_flight, double requests) {
+  dispatcher_.input().set_represented_requests(slot_, in_flight, requests);
 }
 
 void RequestHandle::leave() {
   if (std::exchange(left_, true)) return;
   record_.client_left();
   dispatcher_.input().client_left(slot_);
-  if (hop_ != nullptr) hop_->abandon();
+  if (attempt_ != nullptr) attempt_->abandon();
   event_.set();
 }
 
+// ---- All requests. -------------------------------------------------------------------------------------
+
 RequestDispatcher::RequestDispatcher(Scheduler& scheduler, std::uint32_t seed, const Settings& settings,
                                      purge::PurgeRegistry& purges, guard::Guard::Report report)
     : scheduler_(scheduler),
       purges_(purges),
       guard_(std::move(report)),
-      effects_(effect_rules(settings)),
-      brain_(make_routing_policy(seed)),
-      between_pulls_(settings.ms("tick")),
-      answers_tell_load_(settings.text("report.source") == "answers"),
-      wake_(scheduler),
-      pull_(scheduler) {
+      effect_rules_(effect_rules(settings)),
+      policy_(make_routing_policy(seed)),
+      poll_interval_(settings.ms("tick")),
+      answers_report_load_(settings.text("report.source") == "answers"),
+      timer_changed_(scheduler),
+      poll_wanted_(scheduler) {
   apply_settings(settings, input());
   for (int n = 0; n < settings.whole("categories.count"); ++n)
-    sla_.push_back(settings.ms("categories." + std::to_string(n) + ".aim"));
-  scheduler_.at_turns_end([this] { turn_ends(); });
-  scheduler_.start(keep_time());
-  scheduler_.start(keep_pulling());
+    latency_objectives_.push_back(settings.ms("categories." + std::to_string(n) + ".aim"));
+  scheduler_.at_turns_end([this] { on_turn_end(); });
+  scheduler_.start(run_timer());
+  scheduler_.start(run_polls());
+}
+
+int RequestDispatcher::take_slot(RequestHandle& handle) {
+  if (free_slots_.empty()) {
+    handles_.push_back(&handle);
+    return static_cast<int>(handles_.size()) - 1;
+  }
+  const int slot = free_slots_.back();
+  free_slots_.pop_back();
+  handles_[static_cast<std::size_t>(slot)] = &handle;
+  return slot;
 }
 
 RoutingPolicy& RequestDispatcher::input() {
-  brain_->clock(scheduler_.now());
-  return *brain_;
+  policy_->clock(scheduler_.now());
+  return *policy_;
 }
 
 void RequestDispatcher::begin_tally(std::uint64_t epoch, Seconds quiet_until) {
@@ -96,70 +107,82 @@
   tally_->begin(epoch, quiet_until);
 }
 
-void RequestDispatcher::request_ended(change::Tally::End end, int rule, Seconds took, int hops) {
-  if (tally_) tally_->txn(end, took, sla_[static_cast<std::size_t>(rule)], hops, scheduler_.now());
+void RequestDispatcher::request_ended(change::Tally::End end, int class_index, Seconds duration,
+                                      int attempts) {
+  if (!tally_) return;
+  const Seconds objective = latency_objectives_[static_cast<std::size_t>(class_index)];
+  tally_->txn(end, duration, objective, attempts, scheduler_.now());
 }
 
-void RequestDispatcher::attempt_counted(AttemptOutcome verdict, FillOutcome note) {
-  if (tally_)
-    tally_->hop(note == FillOutcome::filled || note == FillOutcome::from_origin,
-                verdict == AttemptOutcome::rejected, scheduler_.now());
+void RequestDispatcher::attempt_counted(AttemptOutcome outcome, FillOutcome fill) {
+  if (!tally_) return;
+  const bool filled = fill == FillOutcome::filled || fill == FillOutcome::from_origin;
+  tally_->hop(filled, outcome == AttemptOutcome::rejected, scheduler_.now());
 }
 
-void RequestDispatcher::load_reported(int member, double busy) {
-  if (answers_tell_load_ && busy >= 0) input().load_reported(member, busy);
+void RequestDispatcher::load_reported(int endpoint, double load) {
+  if (answers_report_load_ && load >= 0) input().load_reported(endpoint, load);
 }
 
-Task RequestDispatcher::keep_time() {
+// ---- Turns. --------------------------------------------------------------------------------------------
+
+Task RequestDispatcher::run_timer() {
   for (;;) {
-    const bool asked_anew = co_await wake_.wait(wake_at_);
-    if (asked_anew) continue;
-    wake_at_ = kNoTime;
+    const bool changed = co_await timer_changed_.wait(wake_up_at_);
+    if (changed) continue;
+    wake_up_at_ = kNoTime;
     input().timer_fired();
   }
 }
 
-// A pull asks again for each txn that waits, thousands of times a second if each turn did it. So pulls keep
-// the settings' least time between two; the first after a quiet while comes at once.
-void RequestDispatcher::turn_ends() {
+// A poll asks again for each request that waits, thousands of times a second if each turn did it. So polls
+// keep the settings' least time between two; the first after a quiet while comes at once.
+void RequestDispatcher::on_turn_end() {
   // At once, before anything that was decided before them goes out.
-  if (std::exchange(purges_told_, purges_.version()) != purges_.version())
+  if (std::exchange(purges_version_, purges_.version()) != purges_.version()) {
     for (auto* handle : handles_)
-      if (handle != nullptr) handle->tell_purges();
-  if (scheduler_.now() >= pulled_at_ + between_pulls_) return pull();
-  if (!std::exchange(pull_due_, true)) pull_.set();
+      if (handle != nullptr) handle->update_purges();
+  }
+  if (scheduler_.now() >= polled_at_ + poll_interval_) return poll_policy();
+  if (!std::exchange(poll_pending_, true)) poll_wanted_.set();
 }
 
-Task RequestDispatcher::keep_pulling() {
+Task RequestDispatcher::run_polls() {
   for (;;) {
-    co_await pull_.wait();
+    co_await poll_wanted_.wait();
     Event due(scheduler_);
-    co_await due.wait(pulled_at_ + between_pulls_);  // the turn that this makes ends with the pull
-    pull_due_ = false;
+    co_await due.wait(polled_at_ + poll_interval_);  // the turn that this makes ends with the poll
+    poll_pending_ = false;
   }
 }
 
-void RequestDispatcher::pull() {
-  pulled_at_ = scheduler_.now();
-  input().copies_no_older_than(purges_.copy_age_limit(pulled_at_));
-  while (const auto d = brain_->next()) {
-    using Kind = Decision::Kind;
-    if (d->kind == Kind::wake_up) {
-      if (d->time >= wake_at_) continue;
-      wake_at_ = d->time;
-      wake_.set();
-      continue;
-    }
-    auto* handle = d->request >= 0 ? handles_[d->request] : nullptr;
-    if (handle == nullptr) continue;  // subscribe: the bus tells of itself
-    if (d->kind == Kind::cancel) {
-      if (handle->hop_ != nullptr && d->attempt == handle->hops_ - 1) handle->hop_->cancel();
-      continue;
-    }
-    if (d->kind == Kind::forward) handle->out_ = true, ++handle->hops_;
-    handle->decision_ = d;
-    handle->event_.set();
+void RequestDispatcher::poll_policy() {
+  polled_at_ = scheduler_.now();
+  input().copies_no_older_than(purges_.copy_age_limit(polled_at_));
+  while (const auto decision = policy_->next()) carry_out(*decision);
+}
+
+void RequestDispatcher::wake_up_at(Seconds time) {
+  if (time >= wake_up_at_) return;
+  wake_up_at_ = time;
+  timer_changed_.set();
+}
+
+void RequestDispatcher::carry_out(const Decision& decision) {
+  using Kind = Decision::Kind;
+  if (decision.kind == Kind::wake_up) return wake_up_at(decision.time);
+  auto* const handle = decision.request >= 0 ? handles_[static_cast<std::size_t>(decision.request)] : nullptr;
+  if (handle == nullptr) return;  // poll_discovery: discovery tells of itself
+  if (decision.kind == Kind::cancel) {
+    if (handle->attempt_ != nullptr && decision.attempt == handle->attempts_ - 1) handle->attempt_->cancel();
+    return;
+  }
+  if (decision.kind == Kind::forward) {
+    handle->attempt_out_ = true;
+    ++handle->attempts_;
   }
+  handle->decision_ = decision;
+  handle->event_.set();
 }
 
 }  // namespace walkpaddle::net
--- a/src/net/request_dispatcher.h
+++ b/src/net/request_dispatcher.h
@@ -1,8 +1,13 @@
-// The desk holds the module: inputs go in, decisions come out at the turn's end and go to each txn's task.
+/// \file
+/// Holds the routing policy: inputs go in, decisions come out at the turn's end and go to each request's
+/// task.
 #pragma once
 
+#include <cstdint>
 #include <memory>
 #include <optional>
+#include <string_view>
+#include <utility>
 #include <vector>
 
 #include "change/evidence.h"
@@ -17,86 +22,125 @@
 
 class RequestDispatcher;
 
-// A txn's place at the desk, held by its task: the module knows the txn from its making on.
+/// One request at the dispatcher, held by its task: the policy knows the request for as long as this lives.
+///
+/// Lifetimes: the dispatcher and the object's name outlive it; an attempt that it was given is unset by
+/// attempt_ended(), or goes after it has been left. Threads: the scheduler's one thread.
 class RequestHandle {
  public:
-  // The name must outlive the seat.
-  RequestHandle(RequestDispatcher& dispatcher, int rule, std::uint64_t object, std::string_view name,
-                int part, std::uint32_t group, Seconds expires, std::uint64_t id = 0);
+  /// `class_index`: among the settings' classes. `object`: the stable hash of its name. `group`: for purges.
+  /// `deadline`: the client's limit, on the scheduler's clock. `id`: for the guard's reports.
+  RequestHandle(RequestDispatcher& dispatcher, int class_index, std::uint64_t object,
+                std::string_view object_name, int part, std::uint32_t group, Seconds deadline,
+                std::uint64_t id = 0);
   RequestHandle(const RequestHandle&) = delete;
   RequestHandle& operator=(const RequestHandle&) = delete;
   ~RequestHandle();
 
+  /// Awaited: until there is a decision, or the client has left.
   Event::Awaiter decision_made() { return event_.wait(); }
+  /// The latest decision, given once; none if there is no new one.
   std::optional<Decision> take_decision() { return std::exchange(decision_, std::nullopt); }
-  void set_attempt(Attempt* hop) { hop_ = hop; }
-  void attempt_ended(AttemptOutcome verdict, FillOutcome note, Seconds took, Seconds waited, Seconds sending,
-                     bool txn_over);
-  void set_represented_requests(double in_flight, double txns);  // it is a lookup; at once after the making
-  void leave();                                                  // the client waits no more
+  /// The attempt that carries the latest decision out, so that it can be cancelled.
+  void set_attempt(Attempt* attempt) { attempt_ = attempt; }
+  /// How the attempt ended. `duration`: from its making to its end. `fill_wait`, `transfer_time`: parts of
+  /// it, 0 where not known. `request_over`: no other attempt is wanted.
+  void attempt_ended(AttemptOutcome outcome, FillOutcome fill, Seconds duration, Seconds fill_wait,
+                     Seconds transfer_time, bool request_over);
+  /// It is a lookup that stands for so many requests; to be called at once after the making.
+  void set_represented_requests(double in_flight, double requests);
+  /// The client waits no more: an attempt that is out is abandoned.
+  void leave();
+  /// Whether the client has left.
   bool left() const { return left_; }
-  Seconds valid_since() const { return since_; }  // copies made before are purged, as the module knows it
+  /// Copies made before are purged, as the policy knows it.
+  Seconds valid_since() const { return valid_since_; }
+  /// What the guard knows of the request.
   guard::RequestRecord& record() { return record_; }
 
  private:
   friend class RequestDispatcher;
+  void update_purges();
+
   RequestDispatcher& dispatcher_;
-  void tell_purges();
   const std::uint64_t object_;
-  const std::string_view name_;
+  const std::string_view object_name_;
   const std::uint32_t group_;
-  Seconds since_ = 0;
+  Seconds valid_since_ = 0;
   guard::RequestRecord record_;
-  int slot_;
+  int slot_;  // index in the dispatcher and at the policy
   Event event_;
   std::optional<Decision> decision_;
-  Attempt* hop_ = nullptr;
-  int hops_ = 0;
-  bool left_ = false, out_ = false;
+  Attempt* attempt_ = nullptr;
+  int attempts_ = 0;  // decided so far
+  bool left_ = false;
+  bool attempt_out_ = false;  // decided, and not told as ended
 };
 
+/// The policy and all requests that it knows.
+///
+/// Lifetimes: what the constructor takes by reference outlives it; handles go before it. It is made before
+/// the outbox, so that what a turn decides goes out at its end. Threads: the scheduler's one thread.
 class RequestDispatcher {
  public:
+  /// `seed`: of the policy's random draws. `report`: hears what the guard refuses.
   RequestDispatcher(Scheduler& scheduler, std::uint32_t seed, const Settings& settings,
                     purge::PurgeRegistry& purges, guard::Guard::Report report = {});
+  RequestDispatcher(const RequestDispatcher&) = delete;
+  RequestDispatcher& operator=(const RequestDispatcher&) = delete;
 
-  RoutingPolicy& input();  // the module, with the clock set
-  const RoutingPolicy& module() const { return *brain_; }
-  void load_reported(int member,
-                     double busy);  // with an answer; only where the settings say that answers tell
+  /// The policy with its clock set, for inputs.
+  RoutingPolicy& input();
+  /// The policy, to look at.
+  const RoutingPolicy& policy() const { return *policy_; }
+  /// The share of its capacity that an endpoint's answer reports as in use, under 0 for none; taken only
+  /// where the settings say that answers tell it.
+  void load_reported(int endpoint, double load);
+  /// The purges that copies are checked against.
   purge::PurgeRegistry& purges() { return purges_; }
+  /// Checks and counts what is done.
   guard::Guard& guard() { return guard_; }
-  // What the txns come to, for the judge of changes; only where changes are made.
+  /// From now on counts what requests come to, for the canary verdict; what ends before `quiet_until` is not
+  /// counted.
   void begin_tally(std::uint64_t epoch, Seconds quiet_until);
-  void request_ended(change::Tally::End end, int rule, Seconds took, int hops);
-  void attempt_counted(AttemptOutcome verdict, FillOutcome note);
-  change::Tally* tally() { return tally_ ? &*tally_ : nullptr; }  // null: nothing is counted
+  /// A request has ended. `duration`: from its receipt.
+  void request_ended(change::Tally::End end, int class_index, Seconds duration, int attempts);
+  /// An attempt has ended.
+  void attempt_counted(AttemptOutcome outcome, FillOutcome fill);
+  /// The counts; null: nothing is counted.
+  change::Tally* tally() { return tally_ ? &*tally_ : nullptr; }
+  /// Takes over the settings that may change while the program runs.
   void settings_changed(const Settings& settings) { apply_live_settings(settings, input()); }
-  std::size_t txns_open() const { return handles_.size() - free_.size(); }
+  /// How many requests the policy knows.
+  std::size_t open_requests() const { return handles_.size() - free_slots_.size(); }
 
  private:
   friend class RequestHandle;
-  void turn_ends();
-  void pull();
-  Task keep_pulling();
-  Task keep_time();
+  int take_slot(RequestHandle& handle);
+  void on_turn_end();
+  void poll_policy();
+  void carry_out(const Decision& decision);
+  void wake_up_at(Seconds time);
+  Task run_polls();
+  Task run_timer();
 
   Scheduler& scheduler_;
   purge::PurgeRegistry& purges_;
   guard::Guard guard_;
-  std::vector<guard::RequestRecord::Rule> effects_;  // by rule
-  std::unique_ptr<RoutingPolicy> brain_;
-  std::uint64_t purges_told_ = 0;
-  std::vector<RequestHandle*> handles_;
-  std::vector<int> free_;
-  const Seconds between_pulls_;
-  const bool answers_tell_load_;
-  Event wake_, pull_;
-  Seconds pulled_at_ = 0;
-  bool pull_due_ = false;
-  Seconds wake_at_ = kNoTime;
+  const std::vector<guard::RequestRecord::Rule> effect_rules_;  // by class
+  std::unique_ptr<RoutingPolicy> policy_;
+  std::uint64_t purges_version_ = 0;     // that all handles know
+  std::vector<RequestHandle*> handles_;  // by slot; null: free
+  std::vector<int> free_slots_;
+  const Seconds poll_interval_;  // least time between two polls
+  const bool answers_report_load_;
+  Event timer_changed_;
+  Event poll_wanted_;
+  Seconds polled_at_ = 0;
+  bool poll_pending_ = false;
+  Seconds wake_up_at_ = kNoTime;
   std::optional<change::Tally> tally_;
-  std::vector<Seconds> sla_;  // by rule
+  std::vector<Seconds> latency_objectives_;  // by class
 };
 
 }  // namespace walkpaddle::net
--- a/src/net/resp_parser.cpp
+++ b/src/net/resp_parser.cpp
@@ -1,5 +1,7 @@
 #include "net/resp_parser.h"
 
+#include <algorithm>
+
 #include "base/text.h"
 
 namespace walkpaddle::net {
@@ -7,33 +9,33 @@
 namespace {
 
 // The number of a "*12\r\n" or "$12\r\n" line at the front, which it takes off; false while it is not whole.
-bool take_length(std::string_view& rest, char mark, std::size_t most, std::size_t& length) {
-  constexpr std::size_t kLongest = 12;  // mark, nine digits, line end
+bool take_length(std::string_view& rest, char prefix, std::size_t max_length, std::size_t& length) {
+  constexpr std::size_t kMaxLineBytes = 12;  // prefix, nine digits, line end
   if (rest.empty()) return false;
-  if (rest.front() != mark) throw_bad_value("array", rest.substr(0, 1));
-  const auto end = rest.substr(0, kLongest).find("\r\n");
+  if (rest.front() != prefix) throw_bad_value("array", rest.substr(0, 1));
+  const auto end = rest.substr(0, kMaxLineBytes).find("\r\n");
   if (end == std::string_view::npos) {
-    if (rest.size() >= kLongest) throw_bad_value("length", rest.substr(0, kLongest));
+    if (rest.size() >= kMaxLineBytes) throw_bad_value("length", rest.substr(0, kMaxLineBytes));
     return false;
   }
   length = parse<std::size_t>(rest.substr(1, end - 1), "length");
-  if (length > most) throw_bad_value("length", rest.substr(1, end - 1));
+  if (length > max_length) throw_bad_value("length", rest.substr(1, end - 1));
   rest.remove_prefix(end + 2);
   return true;
 }
 
 }  // namespace
 
-void read_words(std::string_view bytes, std::size_t most_words, std::size_t most_bytes, Words& into) {
+void read_words(std::string_view bytes, std::size_t max_words, std::size_t max_bytes, Words& into) {
   into.words.clear();
   into.used = 0;
   auto rest = bytes;
   std::size_t count = 0;
-  if (!take_length(rest, '*', most_words, count)) return;
+  if (!take_length(rest, '*', max_words, count)) return;
   for (std::size_t n = 0; n < count; ++n) {
     std::size_t length = 0;
-    if (!take_length(rest, '$', most_bytes, length)) return;
-    most_bytes -= length;
+    if (!take_length(rest, '$', max_bytes, length)) return;
+    max_bytes -= length;
     if (rest.size() < length + 2) return;
     if (rest.substr(length, 2) != "\r\n") throw_bad_value("end of word", rest.substr(length, 2));
     into.words.push_back(rest.substr(0, length));
@@ -43,8 +45,9 @@
 }
 
 std::string words_text(std::initializer_list<std::string_view> words) {
-  std::size_t size = 16;
-  for (const auto word : words) size += word.size() + 16;
+  constexpr std::size_t kMaxLengthLineBytes = 16;
+  std::size_t size = kMaxLengthLineBytes;
+  for (const auto word : words) size += word.size() + kMaxLengthLineBytes;
   std::string text;
   text.reserve(size);
   text += '*';
@@ -71,13 +74,13 @@
 }
 
 AnswerReport parse_answer_report(std::string_view fields) {
-  AnswerReport told;
-  told.fill_wait = std::max(0.0, parse_or(field(fields, "ttfb").value_or(""), 0.0) / 1e3);
+  AnswerReport report;
+  report.fill_wait = std::max(0.0, parse_or(field(fields, "ttfb").value_or(""), 0.0) / 1e3);
   for (auto meter = field(fields, "meter").value_or(""); !meter.empty();) {
     auto value = take_field(meter, ';');
-    if (take_field(value, ':') == "util") told.load = parse_or(value, -1.0);
+    if (take_field(value, ':') == "util") report.load = parse_or(value, -1.0);
   }
-  return told;
+  return report;
 }
 
 }  // namespace walkpaddle::net
--- a/src/net/resp_parser.h
+++ b/src/net/resp_parser.h
@@ -1,4 +1,6 @@
-// RESP arrays of bulk strings, and the field lists that stand in them. No I/O.
+/// \file
+/// RESP arrays of bulk strings, and the field lists that stand in them. No I/O. Source: the Redis
+/// serialization protocol.
 #pragma once
 
 #include <cstddef>
@@ -12,25 +14,28 @@
 
 namespace walkpaddle::net {
 
-// The words of the array that `bytes` begins with, and how many bytes it took: 0 while it is not whole. What
-// cannot become one, or claims more than `most_words` words or `most_bytes` bytes in all, is InputError.
+/// One array; it views the bytes that it was read from.
 struct Words {
-  std::vector<std::string_view> words;
-  std::size_t used = 0;
+  std::vector<std::string_view> words;  ///< its strings
+  std::size_t used = 0;                 ///< bytes that it took, 0 while it is not whole
 };
-void read_words(std::string_view bytes, std::size_t most_words, std::size_t most_bytes, Words& into);
+/// Reads the array that `bytes` begins with. Throws InputError for what cannot become one, or claims more
+/// than `max_words` strings or `max_bytes` bytes in all; `into.used` is 0 then.
+void read_words(std::string_view bytes, std::size_t max_words, std::size_t max_bytes, Words& into);
 
+/// The array of these strings, as bytes.
 std::string words_text(std::initializer_list<std::string_view> words);
 
-// The value of a field in "name=value,name=value" (or "-"); nullopt if it is not there. A part without '=' is
-// InputError.
+/// The value of a field in "name=value,name=value" (or "-"); nullopt if it is not there. Throws InputError
+/// for a part without '=' before it.
 std::optional<std::string_view> field(std::string_view fields, std::string_view name);
 
-// What the fields of an answer tell beside it; nonsense reads as not told.
+/// What the fields of an answer tell beside it.
 struct AnswerReport {
-  Seconds fill_wait = 0;  // until its source's first byte or failure, 0 where it is not told
-  double load = -1;       // the share of its capacity in use that it reports, -1 where it does not
+  Seconds fill_wait = 0;  ///< until its source's first byte or failure, 0 where it is not told
+  double load = -1;       ///< the share of its capacity in use that it reports, -1 where it does not
 };
+/// Parses it; nonsense reads as not told. Throws InputError for a part without '='.
 AnswerReport parse_answer_report(std::string_view fields);
 
 }  // namespace walkpaddle::net
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -162,13 +162,13 @@
                               .peers = {},
                               .seed = fold_seed(config_.seed),
                               .store = store_.get(),
-                              .look_again = [this] { list_.tell_facts(); },
+                              .look_again = [this] { list_.apply_observations(); },
                               .learnt = [this] { return belief(); },
                               .take_learnt = [this](const fleet::Belief& b) { take_back(b); },
                               .changes = changes_setup()};
     for (const auto& p : f.peers) share.peers.push_back({p.name, parse_address(p.address)});
     shared_ = std::make_unique<fleet::Share>(scheduler_, log_, share);
-    list_.share(&shared_->watch());
+    list_.set_observations(&shared_->watch());
   }
   if (file_.tell_boxes)
     purge_notifier_ = std::make_unique<PurgeNotifier>(scheduler_, log_, purges_, upstream_, run_);
@@ -186,7 +186,7 @@
 }
 
 fleet::Belief Router::belief() const {
-  const auto learnt = dispatcher_.module().snapshot();
+  const auto learnt = dispatcher_.policy().snapshot();
   fleet::Belief b{.link = learnt.link_limit, .misses = learnt.miss_ratio};
   for (const auto& r : learnt.limits)
     b.rooms.push_back({stable_hash(upstream_.id(r.endpoint)), r.attempts, r.fills});
@@ -365,7 +365,7 @@
   do {
     client_listener_.close_idle();
     co_await look.wait(scheduler_.now() + kLook);
-  } while (scheduler_.now() < end && (client_listener_.count() > 0 || dispatcher_.txns_open() > 0));
+  } while (scheduler_.now() < end && (client_listener_.count() > 0 || dispatcher_.open_requests() > 0));
   leave_learnt();
   client_listener_.abort_open();
   co_await look.wait(scheduler_.now() + kLook);
@@ -385,10 +385,12 @@
   constexpr std::string_view kAlive[] = {"UNREADY", "READY", "DRAIN", "READY", "DRAIN"};
   phase_ = phase;
   const bool says_ready = kAlive[static_cast<int>(phase)] == "READY";
-  if (says_ready && dispatcher_.guard().may_say_ready(list_.read(), true) != guard::Invariant::none) return;
+  if (says_ready &&
+      dispatcher_.guard().may_say_ready(list_.has_initial_list(), true) != guard::Invariant::none)
+    return;
   client_listener_.set_alive_word(kAlive[static_cast<int>(phase)]);
   log_("phase", "{}, {} clients, {} txns open", kNames[static_cast<int>(phase)], client_listener_.count(),
-       dispatcher_.txns_open());
+       dispatcher_.open_requests());
 }
 
 void Router::tell_counters() {
@@ -401,7 +403,7 @@
 std::vector<std::pair<std::string, std::uint64_t>> Router::counts() {
   const auto& guard = dispatcher_.guard();
   const auto& c = guard.counters();
-  const auto ejected = dispatcher_.module().ejections();
+  const auto ejected = dispatcher_.policy().ejections();
   std::vector<std::pair<std::string, std::uint64_t>> all = {{"served", c.served},
                                                             {"shed", c.shed},
                                                             {"failed", c.failed},
@@ -496,7 +498,7 @@
 
 Task Router::live() {
   enter(Phase::starting);
-  list_.held(hand_known(config_.known, config_.settings, list_));
+  list_.set_last_event(hand_known(config_.known, config_.settings, list_));
   take_over();
   if (config_.has_bus) list_.follow(config_.bus);
 
@@ -527,8 +529,9 @@
   const Seconds asked = scheduler_.now(),
                 last_end = asked + std::min(longest_time_limit(config_.settings), kMost) + kKill - kSpare;
   Event look(scheduler_);
-  while (scheduler_.now() < last_end && (scheduler_.now() < asked + kComing || dispatcher_.txns_open() > 0 ||
-                                         client_listener_.has_unsent_answers()))
+  while (scheduler_.now() < last_end &&
+         (scheduler_.now() < asked + kComing || dispatcher_.open_requests() > 0 ||
+          client_listener_.has_unsent_answers()))
     co_await look.wait(scheduler_.now() + kLook);
 
   enter(Phase::stopped);
