--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -43,8 +43,14 @@
   auto it = kinds_.find(kind);
   if (it == kinds_.end()) it = kinds_.emplace(std::string(kind), Kind{}).first;
   auto& k = it->second;
-  if (k.second != second) k.second = second, k.lines = 0;
-  if (++k.lines > kASecond || would_block()) return ++k.left_out, -1;
+  if (k.second != second) {
+    k.second = second;
+    k.lines = 0;
+  }
+  if (++k.lines > kASecond || would_block()) {
+    ++k.left_out;
+    return -1;
+  }
   return std::exchange(k.left_out, 0);
 }
 
--- a/src/io/scheduler.cpp
+++ b/src/io/scheduler.cpp
@@ -105,7 +105,8 @@
 void Scheduler::wait_for_edges() {
   constexpr int kAtOnce = 256;  // more wait for the next turn, which comes at once
   epoll_event events[kAtOnce];
-  timespec wait{0, 0}, *until = nullptr;
+  timespec wait{0, 0};
+  timespec* until = nullptr;
   const Seconds turn_began = now_;
   read_clock();
   const Seconds waits_from = now_;
@@ -124,7 +125,10 @@
   const Seconds late = waits_from - turn_began + std::max(0.0, now_ - std::max(first, waits_from));
   late_ = last_late_ + late;
   last_late_ = got < 0 ? late_ : late;  // an interrupted wait told of no edges at all
-  if (now_ >= turn_by_) turn_by_ = kNoTime, watch_refused_again();
+  if (now_ >= turn_by_) {
+    turn_by_ = kNoTime;
+    watch_refused_again();
+  }
   told_.clear();
   for (int n = 0; n < got; ++n) told_.push_back(static_cast<Watcher*>(events[n].data.ptr));
   for (int n = 0; n < got; ++n)
--- a/src/io/stream.h
+++ b/src/io/stream.h
@@ -56,7 +56,7 @@
 
  private:
   // What one read takes: some tens of small messages or part of a large one; others get their turn between.
-  static constexpr std::size_t kRoom = 64 * 1024;
+  static constexpr std::size_t kRoom = std::size_t{64} * 1024;
   static constexpr Seconds kAskAgain = 0.005;
   Scheduler& scheduler_;
   const std::size_t most_held_;
--- a/src/io/task.h
+++ b/src/io/task.h
@@ -9,7 +9,7 @@
 
 class Task {
  public:
-  struct promise_type {
+  struct promise_type {  // NOLINT(readability-identifier-naming): the language asks for this name
     Task get_return_object() { return Task(std::coroutine_handle<promise_type>::from_promise(*this)); }
     std::suspend_always initial_suspend() noexcept { return {}; }
     std::suspend_always final_suspend() noexcept { return {}; }
--- a/src/net/client_request.cpp
+++ b/src/net/client_request.cpp
@@ -46,7 +46,8 @@
 }
 
 Request parse_request(const std::vector<std::string_view>& words,
-                      const std::vector<config::RequestClassName>& classes, OpenId::Ids& open_ids, Seconds sent_at) {
+                      const std::vector<config::RequestClassName>& classes, OpenId::Ids& open_ids,
+                      Seconds sent_at) {
   constexpr int kMaxLimitMs = 3'600'000;         // far past any client's
   constexpr int kMaxPart = 1'000'000;            // far past any object's
   constexpr std::size_t kMaxBodyBytes = 48'000;  // a write
--- a/src/net/client_request.h
+++ b/src/net/client_request.h
@@ -61,6 +61,7 @@
 /// Parses the words of an EXEC message: verb, tag, class, fields, and a body where there is one. The client's
 /// limit runs from `sent_at`. Throws InputError for what is none, and for an id that is open already.
 Request parse_request(const std::vector<std::string_view>& words,
-                      const std::vector<config::RequestClassName>& classes, OpenId::Ids& open_ids, Seconds sent_at);
+                      const std::vector<config::RequestClassName>& classes, OpenId::Ids& open_ids,
+                      Seconds sent_at);
 
 }  // namespace walkpaddle::net
--- a/src/server/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -57,7 +57,7 @@
 
 void Lifecycle::load_initial_state() {
   const auto& config = parts_.config;
-  parts_.discovery.held(
+  parts_.discovery.set_last_event(
       config::replay_initial_events(config.initial_events, config.settings, parts_.discovery));
   parts_.warm_start.restore_from_file();
   if (config.discovery) parts_.discovery.follow(*config.discovery);
@@ -86,7 +86,7 @@
 }
 
 bool Lifecycle::answers_pending() const {
-  return parts_.dispatcher.txns_open() > 0 || parts_.client_listener.has_unsent_answers();
+  return parts_.dispatcher.open_requests() > 0 || parts_.client_listener.has_unsent_answers();
 }
 
 Seconds Lifecycle::drain_limit() const {
@@ -112,7 +112,7 @@
   do {
     clients.close_idle();
     co_await poll.wait(scheduler.now() + kHandOverPollInterval);
-  } while (scheduler.now() < end && (clients.count() > 0 || parts_.dispatcher.txns_open() > 0));
+  } while (scheduler.now() < end && (clients.count() > 0 || parts_.dispatcher.open_requests() > 0));
   parts_.warm_start.write_file();
   clients.abort_open();
   co_await poll.wait(scheduler.now() + kHandOverPollInterval);
@@ -125,12 +125,12 @@
   phase_ = phase;
   const auto health = health_status(phase);
   if (health == "READY") {
-    const bool list_known = parts_.discovery.read();
+    const bool list_known = parts_.discovery.has_initial_list();
     if (parts_.dispatcher.guard().may_say_ready(list_known, true) != guard::Invariant::none) return;
   }
   parts_.client_listener.set_alive_word(health);
   parts_.log("phase", "{}, {} clients, {} txns open", to_string(phase), parts_.client_listener.count(),
-             parts_.dispatcher.txns_open());
+             parts_.dispatcher.open_requests());
 }
 
 }  // namespace walkpaddle::server
--- a/src/server/metrics.cpp
+++ b/src/server/metrics.cpp
@@ -35,7 +35,7 @@
 NamedCounters Metrics::by_name() const {
   const auto& guard = dispatcher_.guard();
   const auto& counters = guard.counters();
-  const auto ejections = dispatcher_.module().ejections();
+  const auto ejections = dispatcher_.policy().ejections();
   NamedCounters all = {{"served", counters.served},
                        {"shed", counters.shed},
                        {"failed", counters.failed},
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -113,7 +113,7 @@
   }
   if (!fleet.replicate) return;
   replication_ = std::make_unique<replication::ReplicationService>(scheduler_, log_, replication_setup());
-  discovery_.share(&replication_->tracker());
+  discovery_.set_observations(&replication_->tracker());
   rollout_agent_.connect(*replication_);
 }
 
@@ -123,7 +123,7 @@
           .peers = fleet_peers(operators_),
           .seed = fold_seed(config_.seed),
           .store = store_.get(),
-          .on_observations = [this] { discovery_.tell_facts(); },
+          .on_observations = [this] { discovery_.apply_observations(); },
           .take_snapshot = [this] { return warm_start_.replicated_snapshot(); },
           .restore_snapshot =
               [this](const gossip::ReplicatedSnapshot& kept) { warm_start_.restore_replicated(kept); },
--- a/src/server/warm_start.cpp
+++ b/src/server/warm_start.cpp
@@ -104,7 +104,7 @@
 }
 
 gossip::ReplicatedSnapshot WarmStart::replicated_snapshot() const {
-  const auto snapshot = dispatcher_.module().snapshot();
+  const auto snapshot = dispatcher_.policy().snapshot();
   gossip::ReplicatedSnapshot replicated{.link_limit = snapshot.link_limit, .miss_ratio = snapshot.miss_ratio};
   for (const auto& limit : snapshot.limits)
     replicated.limits.push_back({stable_hash(upstream_.id(limit.endpoint)), limit.attempts, limit.fills});
--- a/src/wirehost/main.cpp
+++ b/src/wirehost/main.cpp
@@ -23,7 +23,8 @@
 int main() {
   walkpaddle::wirehost::Host host;
   std::vector<char> buffer(1 << 20);
-  std::size_t begin = 0, end = 0;
+  std::size_t begin = 0;
+  std::size_t end = 0;
   long line_no = 0;
   for (;;) {
     auto* start = buffer.data() + begin;
--- a/tests/unit/stored_data_test.cpp
+++ b/tests/unit/stored_data_test.cpp
@@ -11,6 +11,7 @@
 #include <string>
 #include <vector>
 
+#include "base/error.h"
 #include "base/hash.h"
 #include "freeze/calendar.h"
 #include "purge/entry.h"
