--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -124,6 +124,7 @@
   return dial(address_);
 }
 
+// NOLINTNEXTLINE(readability-function-cognitive-complexity): one coroutine over one stream
 Task DiscoveryClient::follow_all() {
   hold_spare();
   for (Seconds pause = kFirstPause;; pause = std::min(pause * 2, kLongestPause)) {
