--- a/src/base/error.h
+++ b/src/base/error.h
@@ -35,8 +35,10 @@
  public:
   /// Where the error stands.
   struct Location {
+    /// Its path.
     std::string file{};
     int line = 0;  ///< from 1; 0 where the form of the file tells no lines
+    /// Within the file; empty where no key is at fault.
     std::string key{};
   };
   /// An error that is no single value's: a section that is missing, two that contradict each other.
@@ -46,8 +48,11 @@
   /// The same where the message has words of its own.
   ConfigError(Location where, const std::string& what, std::string value, std::string allowed);
 
+  /// File, line and key.
   const Location& where() const { return where_; }
+  /// The offending value, all of it; empty where none is at fault.
   const std::string& value() const { return value_; }
+  /// What would be allowed, as the message says it.
   const std::string& allowed() const { return allowed_; }
 
  private:
@@ -59,6 +64,7 @@
 /// Bytes of another process that are not what the protocol allows.
 class ProtocolError : public InputError {
  public:
+  /// Where it is not known.
   static constexpr std::size_t kUnknownPosition = ~std::size_t{};
 
   /// `position`: bytes from the beginning of the message.
@@ -66,6 +72,7 @@
                          std::size_t position = kUnknownPosition);
 
   const std::string& peer() const { return peer_; }  ///< its address or name; empty where it is not known
+  /// Bytes from the beginning of the message.
   std::size_t position() const { return position_; }
 
  private:
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -9,6 +9,7 @@
 
 /// Later than any time that occurs, and earlier. Finite, so that differences of them stay ordinary numbers.
 constexpr Seconds kNever = 1e15;
+/// Earlier than any time that occurs.
 constexpr Seconds kLongAgo = -kNever;
 
 }  // namespace walkpaddle
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -30,6 +30,7 @@
 /// or a bound.
 class ClientConnection {
  public:
+  /// On a socket that was accepted; what is taken by reference outlives it.
   ClientConnection(Scheduler& scheduler, Outbox& outbox, Fd socket)
       : scheduler_(scheduler), outbox_(outbox), stream_(scheduler, outbox, std::move(socket)) {}
   /// Writes one answer. A client that does not read while all answers press on the memory is closed instead.
--- a/src/net/client_messages.h
+++ b/src/net/client_messages.h
@@ -25,6 +25,7 @@
   /// Starts a request, whose task holds its connection until it is answered.
   using Serve = std::function<void(std::shared_ptr<ClientConnection>, Request)>;
 
+  /// `classes`: by their number; `serve` starts a request.
   ClientMessages(Scheduler& scheduler, Log& log, std::vector<config::RequestClassName> classes, Serve serve)
       : scheduler_(scheduler), log_(log), classes_(std::move(classes)), serve_(std::move(serve)) {}
 
--- a/src/net/client_request.h
+++ b/src/net/client_request.h
@@ -21,7 +21,9 @@
   OpenId() = default;
   /// Throws InputError if the id is open already.
   OpenId(Ids& ids, std::uint64_t id);
+  /// Takes the id over.
   OpenId(OpenId&& other) noexcept : ids_(std::exchange(other.ids_, nullptr)), id_(other.id_) {}
+  /// Takes the id over; its own goes with `other`.
   OpenId& operator=(OpenId&& other) noexcept {
     std::swap(ids_, other.ids_);
     std::swap(id_, other.id_);
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -24,6 +24,7 @@
 /// before it goes. Threads: the scheduler's one thread.
 class DiscoveryClient final : public DiscoveryEvents {
  public:
+  /// What is taken by reference outlives it.
   DiscoveryClient(Scheduler& scheduler, Outbox& outbox, Log& log, RequestDispatcher& dispatcher,
                   UpstreamPool& upstream)
       : scheduler_(scheduler),
--- a/src/net/upstream_connection.h
+++ b/src/net/upstream_connection.h
@@ -68,6 +68,7 @@
     end       ///< the connection has ended, why() says why
   };
 
+  /// On a socket whose dial has begun; what is taken by reference outlives it.
   UpstreamConnection(Scheduler& scheduler, Outbox& outbox, Log& log, Fd socket, UpstreamEndpoint& endpoint);
   UpstreamConnection(const UpstreamConnection&) = delete;
   UpstreamConnection& operator=(const UpstreamConnection&) = delete;
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -35,6 +35,7 @@
 /// The connections, by endpoint. Endpoints are small indices, given at first sight and never taken back.
 class UpstreamPool {
  public:
+  /// What is taken by reference outlives it.
   UpstreamPool(Scheduler& scheduler, Outbox& outbox, Log& log, const UpstreamSettings& settings);
   UpstreamPool(const UpstreamPool&) = delete;
   UpstreamPool& operator=(const UpstreamPool&) = delete;
