--- a/src/guard/guard.cpp
+++ b/src/guard/guard.cpp
@@ -26,20 +26,20 @@
   return std::accumulate(violations_.begin(), violations_.end(), std::uint64_t{0});
 }
 
-Invariant Guard::check(const RequestRecord& r, const AttemptFacts& a, Seconds now) const {
+Invariant Guard::check(const RequestRecord& r, const PlannedAttempt& a, Seconds now) const {
   if (r.left_) return Invariant::attempt_after_leave;
   if (r.answered_) return Invariant::answer_once;
   if (r.out_ > 0) return Invariant::one_attempt_out;
   if (a.deadline > r.expires_ - now + kDeadlineSlack) return Invariant::deadline_passed;
   if (a.endpoint != EndpointState::ready || a.source != EndpointState::ready) return Invariant::drain_kept;
-  if (a.copies_made_since < r.copies_since_) return Invariant::purge_kept;
+  if (a.valid_since < r.copies_since_) return Invariant::purge_kept;
   if (a.connection_ended) return Invariant::attempt_after_end;
   if (r.ran_at_ < 0 || r.rule_.effect == Idempotency::idempotent) return Invariant::none;
   const bool repeat_is_dropped = r.rule_.effect == Idempotency::with_key && now < r.ran_at_ + r.rule_.window;
   return repeat_is_dropped ? Invariant::none : Invariant::effect_once;
 }
 
-Invariant Guard::may_begin(RequestRecord& r, const AttemptFacts& a, Seconds now) {
+Invariant Guard::may_begin(RequestRecord& r, const PlannedAttempt& a, Seconds now) {
   if (const auto broken = check(r, a, now); broken != Invariant::none) return refused(broken, r.id_);
   ++counters_.attempts;
   ++r.out_;
@@ -57,24 +57,25 @@
   return Invariant::none;
 }
 
-Invariant Guard::may_refuse(const RequestRecord& r) {
+Invariant Guard::may_reject(const RequestRecord& r) {
   const bool harmless = r.rule_.effect != Idempotency::non_idempotent || r.ran_at_ < 0;
   return harmless ? Invariant::none : refused(Invariant::refusal_harmless, r.id_);
 }
 
-Invariant Guard::may_call_current(const RequestRecord& r, std::string_view held, std::string_view named) {
+Invariant Guard::may_answer_not_modified(const RequestRecord& r, std::string_view held,
+                                         std::string_view named) {
   return !held.empty() && held == named ? Invariant::none : refused(Invariant::copy_named, r.id_);
 }
 
-Invariant Guard::may_take(bool connection_open) {
+Invariant Guard::may_accept_request(bool connection_open) {
   return connection_open ? Invariant::none : refused(Invariant::attempt_after_end, 0);
 }
 
-Invariant Guard::may_end_answers(std::size_t requests_open, std::size_t bytes_unsent) {
+Invariant Guard::may_half_close(std::size_t requests_open, std::size_t bytes_unsent) {
   return requests_open == 0 && bytes_unsent == 0 ? Invariant::none : refused(Invariant::close_idle_only, 0);
 }
 
-Invariant Guard::may_say_ready(bool list_read, bool serving) {
+Invariant Guard::may_report_ready(bool list_read, bool serving) {
   return list_read && serving ? Invariant::none : refused(Invariant::ready_when_serving, 0);
 }
 
--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -187,7 +187,7 @@
   constexpr Seconds kCrossingTime = 0.06;
   if (client.phase_ == ClientConnection::Phase::shut) return;
   if (guard_ != nullptr &&
-      guard_->may_end_answers(client.requests(), client.stream_.unsent()) != guard::Invariant::none)
+      guard_->may_half_close(client.requests(), client.stream_.unsent()) != guard::Invariant::none)
     return;
   client.phase_ = ClientConnection::Phase::shut;
   ++leaving_;
--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -51,10 +51,10 @@
   void set_slow_start(const SlowStartSettings& caches, const SlowStartSettings& parents) override {
     slow_start_.set(caches, parents);
   }
-  void set_weight_meaning(bool weights_are_transfers) override {
+  void set_weights_are_transfers(bool weights_are_transfers) override {
     context_.weights_are_transfers = weights_are_transfers;
   }
-  void set_client_habits(const ClientSettings& clients) override { context_.clients = clients; }
+  void set_client_settings(const ClientSettings& clients) override { context_.clients = clients; }
   void set_discovery_polling(bool must_poll) override { context_.polls_discovery = must_poll; }
 
   WarmStartSnapshot snapshot() const override { return take_snapshot(learnt_); }
@@ -76,8 +76,8 @@
   void load_reported(int endpoint, double busy) override;
   void attempt_ended(int request, int attempt, AttemptOutcome outcome, FillOutcome fill, Seconds took,
                      Seconds waited, Seconds sending, bool request_over) override;
-  void copies_made_since(int request, Seconds made) override { at(request).copies_since = made; }
-  void copies_no_older_than(Seconds age) override { oldest_copy_ = age; }
+  void set_valid_since(int request, Seconds made) override { at(request).copies_since = made; }
+  void set_max_copy_age(Seconds age) override { oldest_copy_ = age; }
   void timer_fired() override;
 
   std::optional<Decision> next() override;
