--- a/src/guard/counters.h
+++ b/src/guard/counters.h
@@ -48,7 +48,7 @@
   std::array<std::uint64_t, kEndpointCloseNames.size()> endpoint_closes{};
   std::array<std::uint64_t, 10> attempts_ended{};  // by Verdict
   std::uint64_t served = 0, shed = 0, failed = 0, left = 0;
-  std::uint64_t attempts = 0, retries = 0, not_followed = 0;  // not_followed: times that the watch was lost
+  std::uint64_t attempts = 0, retries = 0, lost_watches = 0;  // lost_watches: times that the watch was lost
 
   void closed(ClientClose why) { ++client_closes[static_cast<std::size_t>(why)]; }
   void closed(EndpointClose why) { ++endpoint_closes[static_cast<std::size_t>(why)]; }
