--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -1,5 +1,6 @@
 /// \file
-/// Requests that wait: for their turn to be decided, for capacity, or for a time. And when load is shed.
+/// The queue of requests that wait for a decision, for capacity or for a point in time, and the times at
+/// which load is shed.
 #pragma once
 
 #include <set>
@@ -12,36 +13,37 @@
 
 namespace walkpaddle::routing {
 
-/// No attempt ends well in less.
+/// Shortest time in which an attempt can be served.
 constexpr Seconds kMinAttemptDuration = 0.015;
 
-/// How long the client of a shed request is told to wait (Retry-After), in seconds; 0: it is told nothing.
+/// Retry-After for the client of a rejected request, in seconds; 0: none is sent.
 Seconds retry_after(const ClientSettings& clients);
-/// Until when a request may wait for capacity: later it would end too late to be worth it.
+/// Time until which a request may wait for capacity; an attempt that started later would end too late to be
+/// of use.
 Seconds capacity_deadline(const RequestState& request, const RequestClass& request_class,
                           const ServiceTimes& service_times);
 
-/// The requests that wait. Bounded by the number of open requests.
+/// The requests that wait. Its size is bounded by the number of open requests.
 class AdmissionQueue {
  public:
-  /// All of them must outlive it.
+  /// All arguments must outlive the queue.
   AdmissionQueue(const PolicyContext& context, std::vector<RequestState>& requests,
                  const ServiceTimes& service_times)
       : context_(context), requests_(requests), service_times_(service_times) {}
 
-  /// The request is to be decided in this turn.
+  /// Queues a request for a decision in the current turn.
   void request_decision(int index);
-  /// ... once so much time has passed, but before it expires.
+  /// Queues a request for a decision after a pause, at the latest shortly before it expires.
   void request_decision_after(int index, Seconds pause);
-  /// ... whenever capacity may have come free, and at `deadline` at the latest.
+  /// Queues a request that found no capacity: it is decided again in the next turn, and at `deadline`.
   void wait_for_capacity(int index, Seconds deadline);
 
-  /// Requests whose time has come are to be decided.
+  /// Queues the requests whose time has come.
   void wake_due();
-  /// All that are to be decided now, those that wait for capacity included: first by priority for the work
-  /// they ask, then by age.
+  /// Takes the requests to be decided now, including those that wait for capacity: highest priority per unit
+  /// of work first, ties with the latest received first.
   std::vector<int> take_ready();
-  /// When wake_due() is to be called next; kNever if nothing waits for a time.
+  /// Time at which wake_due() must be called next; kNever if no request waits for a time.
   Seconds next_due() const { return due_.empty() ? kNever : due_.begin()->first; }
 
  private:
--- a/src/routing/attempt_accounting.cpp
+++ b/src/routing/attempt_accounting.cpp
@@ -5,8 +5,7 @@
 
 namespace walkpaddle::routing {
 
-// Hands every limit that the attempt weighs on to `limits`, with its weight there, and every endpoint to
-// `count`.
+// Calls `limits` with each limit that the attempt uses and its weight there, and `count` with each endpoint.
 template <class Limits, class Count>
 void AttemptAccounting::apply(AttemptState& attempt, const Limits& limits, const Count& count) {
   const double fill = attempt.weight * attempt.fill_probability;
@@ -46,7 +45,7 @@
   return attempt;
 }
 
-// Attempts count at the mean of their class, fills at a parent at their own work.
+// Caches are charged the mean work of the request's class, other endpoints the work of the request itself.
 void AttemptAccounting::spend_slow_start_budgets(const RequestState& request, const Route& route) {
   const Seconds work = parts_.service_times.work(request);
   const Seconds cold_work = parts_.service_times.cold_work(request.request_class);
--- a/src/routing/attempt_accounting.h
+++ b/src/routing/attempt_accounting.h
@@ -1,7 +1,7 @@
 /// \file
-/// What attempts in flight weigh on: their endpoint, and by their probability of a fill the location's link,
-/// their source and the origin behind a parent; and what they take from the slow-start budgets of cold
-/// endpoints.
+/// Accounting of the load that attempts in flight put on their endpoint and, weighted by the probability of a
+/// fill, on the location's link, their source and the origin behind a parent; and of the work charged to the
+/// slow-start budgets of cold endpoints.
 #pragma once
 
 #include "routing/endpoint_table.h"
@@ -13,24 +13,24 @@
 
 namespace walkpaddle::routing {
 
-/// Adds attempts to what they weigh on, and takes them off at their end.
+/// Reserves capacity for an attempt when it begins and releases it when it ends.
 class AttemptAccounting {
  public:
-  /// All of them must outlive it.
+  /// Parts of the policy that it uses; all must outlive it.
   struct Parts {
-    const PolicyContext& context;       ///< settings and time
-    EndpointTable& endpoints;           ///< whose limits are used
-    SlowStart& slow_start;              ///< whose budgets are spent
-    const ServiceTimes& service_times;  ///< for the work of an attempt
-    FillEstimates& fills;               ///< the link, and the probability of a fill
+    const PolicyContext& context;       ///< settings and current time
+    EndpointTable& endpoints;           ///< endpoints whose limits are reserved and released
+    SlowStart& slow_start;              ///< budgets of cold endpoints
+    const ServiceTimes& service_times;  ///< work of an attempt
+    FillEstimates& fills;               ///< limit of the link, probability of a fill
     ReferenceCounters& counters;        ///< which cache has a copy
   };
-  /// Keeps the references.
+  /// Stores the references in `parts`.
   explicit AttemptAccounting(const Parts& parts) : parts_(parts) {}
 
-  /// An attempt begins; it is the caller's to add to the request.
+  /// Begins an attempt. The caller adds the result to the request's attempts.
   AttemptState begin(RequestState& request, const Route& route);
-  /// The attempt is over; not to be called twice.
+  /// Ends an attempt. Must be called once for each.
   void end(RequestState& request, AttemptState& attempt);
 
  private:
--- a/src/routing/concurrency_limit.cpp
+++ b/src/routing/concurrency_limit.cpp
@@ -5,9 +5,9 @@
 namespace walkpaddle::routing {
 
 void ConcurrencyLimit::divide_among(int routers, double min_floor) {
-  constexpr double kSmallMachineAttempts = 32;  // attempts that a small machine has in flight
-  constexpr double kMinInitial = 1.5;           // of one router
-  constexpr double kMachineFloor = 8;           // what one machine still does
+  constexpr double kSmallMachineAttempts = 32;  // attempts in flight at a small machine
+  constexpr double kMinInitial = 1.5;           // attempts of one router
+  constexpr double kMachineFloor = 8;           // attempts that any machine can handle
   limit_ = std::clamp(kSmallMachineAttempts / routers, kMinInitial, limit_);
   floor_ = std::clamp(kMachineFloor / routers, min_floor, floor_);
 }
@@ -18,7 +18,7 @@
 
 namespace {
 
-// What rounding leaves is no attempt.
+// Sums of weights leave rounding errors, which must not look like an attempt in flight.
 double without_rounding_error(double in_flight) {
   constexpr double kRoundingError = 1e-6;
   return in_flight < kRoundingError ? 0 : in_flight;
@@ -29,7 +29,7 @@
 void ConcurrencyLimit::reserve(double weight) { in_flight_ = without_rounding_error(in_flight_ + weight); }
 
 void ConcurrencyLimit::release(double weight, Seconds took, Seconds now) {
-  constexpr Seconds kMaxPause = 20;  // some clients' patience
+  constexpr Seconds kMaxPause = 20;  // about as long as some clients wait
   in_flight_ = without_rounding_error(in_flight_ - weight);
   was_half_used_ = in_flight_ + weight > limit_ / 2;
   if (limit_ < 1) paused_until_ = now + std::min(kMaxPause, (1 / limit_ - 1) * took);
@@ -40,8 +40,8 @@
 }
 
 void ConcurrencyLimit::record_answer(double lateness, Seconds now, Queueing queueing) {
-  // The share is of ten answers, or, where hundreds of routers see few each, of ten seconds; one alone is
-  // never the half.
+  // The average covers about ten answers, or ten seconds where each of hundreds of routers sees few answers.
+  // A single answer never counts for half of it.
   constexpr double kMinGain = 0.1;
   constexpr double kMaxGain = 0.3;
   constexpr Seconds kTimeConstant = 10;
@@ -58,7 +58,7 @@
 }
 
 void ConcurrencyLimit::reduce(Seconds now) {
-  constexpr Seconds kMinReductionInterval = 0.5;  // about an answer's time
+  constexpr Seconds kMinReductionInterval = 0.5;  // about the duration of an attempt
   constexpr double kDecrease = 0.8;
   congested_ = true;
   if (now - reduced_at_ < kMinReductionInterval) return;
--- a/src/routing/concurrency_limit.h
+++ b/src/routing/concurrency_limit.h
@@ -1,8 +1,8 @@
 /// \file
-/// How many attempts, or how much work, may be in flight at an endpoint, a source or a link: grown by one
-/// with each limit's worth of answers in time, reduced by a share when too many come late or are rejected
-/// (additive increase, multiplicative decrease; Chiu and Jain, 1989). Prevents congestion of any cause:
-/// connection places, links in and out, fills.
+/// Adaptive limit on the attempts in flight at an endpoint, or on the fills at a source or over a link:
+/// additive increase, multiplicative decrease (Chiu and Jain, 1989). The limit grows by about one for each
+/// limit's worth of answers in time and is reduced by a factor when too many are late or attempts are
+/// rejected. This keeps any shared resource from congesting: connections, network links, fill capacity.
 #pragma once
 
 #include "base/time.h"
@@ -12,65 +12,68 @@
 /// One adaptive limit. Amounts are in attempts of mean work.
 class ConcurrencyLimit {
  public:
-  /// Share of late answers above which the limit is reduced. Sizes vary: a tenth looks late on a good day.
+  /// Share of late answers above which the limit is reduced. Since object sizes vary, about a tenth of the
+  /// answers look late without congestion.
   static constexpr double kMaxLateShare = 0.15;
 
-  /// Where a limit begins, and how far it may be reduced.
+  /// Initial value and floor of a limit.
   struct Bounds {
-    double initial = 16;  ///< attempts of mean work
-    double floor = 4;     ///< never reduced below
+    double initial = 16;  ///< initial limit
+    double floor = 4;     ///< reductions stop here
   };
-  /// Whether an answer came without waiting in a queue, as far as its own time was known.
+  /// Whether an answer may have waited in a queue, or is known not to have.
   enum class Queueing { possible, none };
 
   ConcurrencyLimit() = default;
-  /// One that begins at `bounds.initial`.
+  /// Starts at `bounds.initial`.
   explicit ConcurrencyLimit(const Bounds& bounds) : limit_(bounds.initial), floor_(bounds.floor) {}
 
-  /// Takes this router's part where `routers` share the resource. Each starts with its part of a small
-  /// machine's work: three attempts at least, or objects move between caches. The floor comes down to this
-  /// router's part of what one machine still does, but not below `min_floor`; under one attempt where many
-  /// share it.
+  /// Reduces the initial limit and the floor to this router's share of a resource that `routers` share. The
+  /// limit becomes a share of what a small machine has in flight, but no less than a minimum, below which
+  /// objects would move between caches. The floor becomes a share of what one machine can always handle, but
+  /// no less than `min_floor`, which is under one attempt where many routers share the resource.
   void divide_among(int routers, double min_floor = 1);
 
-  /// Whether so much more may go out. A limit under one is a share of the time: after each use it rests.
-  /// Prevents floors of one each that sum to many times what a source can do, where hundreds of routers share
-  /// it.
+  /// Whether `weight` more may be in flight. One attempt is always admitted when none is in flight, except
+  /// that a limit under one pauses after each attempt, so that the mean in flight matches the limit. Without
+  /// the pause, hundreds of routers with a floor of one each would exceed what a shared source can handle.
   bool admits(double weight, Seconds now) const;
-  /// An attempt begins.
+  /// Counts an attempt that begins.
   void reserve(double weight);
-  /// `took`: how long it was in flight.
+  /// Counts an attempt that ends, after `took` seconds in flight.
   void release(double weight, Seconds took, Seconds now);
 
-  /// An answer came: `lateness` is 0 for one in time, up to 1 for one surely late. An answer without queueing
-  /// lets a start find its size in seconds; where that is a guess the limit would overshoot.
+  /// Records an answer. `lateness`: 0 if it was in time, up to 1 if it was certainly late. An answer without
+  /// queueing grows a limit that was never reduced by one, which finds the capacity within seconds of a
+  /// start. Where queueing is merely unlikely that growth would overshoot.
   void record_answer(double lateness, Seconds now, Queueing queueing = Queueing::possible);
-  /// An attempt ended without an answer: that speaks of congestion only where answers come late too.
+  /// Records an attempt that ended without an answer. It counts as late only where other answers are late
+  /// too.
   void record_lost(Seconds now);
-  /// Reduces the limit, at most once for one congestion.
+  /// Reduces the limit, at most once per episode of congestion.
   void reduce(Seconds now);
 
-  /// A cold endpoint's limit: it begins at `initial` and grows by grow() with each answer.
+  /// Restarts the limit at `initial` for a cold endpoint; it then grows by grow().
   void restart_at(double initial);
-  /// Grows the limit by so much, without a bound.
+  /// Grows the limit by `by`, without an upper bound.
   void grow(double by) { limit_ += by; }
-  /// Raises the limit to one reached before, unless it was reduced since.
+  /// Raises the limit to a value reached earlier, unless it was reduced or restarted since.
   void raise_to(double limit);
 
-  double limit() const { return limit_; }            ///< in attempts of mean work
-  double in_flight() const { return in_flight_; }    ///< of that
-  double late_share() const { return late_share_; }  ///< of the answers of late, 0 to 1
-  bool congested() const { return congested_; }      ///< it was reduced once, or is cold
+  double limit() const { return limit_; }            ///< current limit
+  double in_flight() const { return in_flight_; }    ///< amount in flight
+  double late_share() const { return late_share_; }  ///< moving average of lateness, 0 to 1
+  bool congested() const { return congested_; }      ///< was ever reduced or restarted cold
 
  private:
   double limit_ = Bounds{}.initial;
   double floor_ = Bounds{}.floor;
   double in_flight_ = 0;
   double late_share_ = 0;
-  bool was_half_used_ = false;  // when the last one ended: more would have been used
-  bool congested_ = false;      // until then it may grow by one with each answer
+  bool was_half_used_ = false;  // at the last release: only a limit in use may grow
+  bool congested_ = false;      // ends the fast growth by one per answer
   Seconds reduced_at_ = kLongAgo;
-  Seconds paused_until_ = 0;
+  Seconds paused_until_ = 0;  // used by limits under one
   Seconds last_answer_at_ = 0;
 };
 
--- a/src/routing/context.h
+++ b/src/routing/context.h
@@ -1,6 +1,6 @@
 /// \file
-/// What all parts of the routing policy read: the settings and the present time. The policy owns the one copy
-/// and alone writes it; the parts hold a reference and must not outlive it.
+/// Settings and current time, shared by all parts of the routing policy. The policy owns the only instance
+/// and is its only writer; the parts hold a reference and must not outlive it.
 #pragma once
 
 #include <vector>
@@ -10,17 +10,17 @@
 
 namespace walkpaddle::routing {
 
-/// Settings and time.
+/// Settings and current time.
 struct PolicyContext {
-  Seconds now = 0;                      ///< the present time on the host's clock
-  RouterPlacement placement{};          ///< where this router stands
-  EndpointRoles roles{};                ///< how models map to roles
-  RetrySettings retries{};              ///< what the platform allows of retries
-  FillSettings fills{};                 ///< what the platform's caches can do
-  ClientSettings clients{};             ///< what clients do
-  std::vector<RequestClass> classes{};  ///< by the class's number
-  bool weights_are_transfers = false;   ///< endpoints' weights are links, in transfers at a client's rate
-  bool polls_discovery = false;         ///< the endpoint list comes only when it is asked for
+  Seconds now = 0;                      ///< current time on the host's monotonic clock
+  RouterPlacement placement{};          ///< location of this router
+  EndpointRoles roles{};                ///< roles by endpoint model
+  RetrySettings retries{};              ///< the platform's limits on retries
+  FillSettings fills{};                 ///< capabilities of the caches
+  ClientSettings clients{};             ///< behaviour of clients
+  std::vector<RequestClass> classes{};  ///< by class index
+  bool weights_are_transfers = false;   ///< an endpoint's weight is its link's capacity in client transfers
+  bool polls_discovery = false;         ///< the endpoint list arrives only on request
 };
 
 }  // namespace walkpaddle::routing
--- a/src/routing/endpoint.h
+++ b/src/routing/endpoint.h
@@ -1,6 +1,5 @@
 /// \file
-/// What the policy knows of one endpoint. Plain state: each part that decides by it names the fields that it
-/// writes.
+/// State of one endpoint. Each group of fields names the class that writes it.
 #pragma once
 
 #include <cstddef>
@@ -11,54 +10,54 @@
 
 namespace walkpaddle::routing {
 
-/// What an endpoint is to this router.
+/// Role of an endpoint.
 enum class Role { cache, parent, origin };
-/// How many roles there are.
+/// Number of roles.
 constexpr std::size_t kRoles = 3;
 
-/// One endpoint, listed now or earlier.
+/// An endpoint that is or was in the endpoint list.
 struct Endpoint {
-  /// \name As discovery lists it (EndpointTable)
+  /// \name Discovery (EndpointTable)
   /// @{
   std::uint64_t hash = 0;         ///< stable hash of its name
   int location = -1;              ///< index among the settings' locations
-  int cell = -1;                  ///< those of one cell share what they have ever_listed
-  Role role = Role::cache;        ///< by its model
-  double weight = 1;              ///< its size against others, above 0
-  bool listed = false;            ///< and not gone
-  bool ready = false;             ///< and not draining
-  bool ever_listed = false;       ///< it was listed at least once
-  bool in_current_list = false;   ///< in the complete list that is being read
-  bool counted = false;           ///< among the ready ones here,
-  Role counted_as = Role::cache;  ///< ... of this role
+  int cell = -1;                  ///< endpoints of a cell share the idempotency keys they have received
+  Role role = Role::cache;        ///< derived from its model
+  double weight = 1;              ///< capacity relative to other endpoints, above 0
+  bool listed = false;            ///< in the endpoint list and not gone
+  bool ready = false;             ///< ready according to the list, so not draining
+  bool ever_listed = false;       ///< was in the list at least once
+  bool in_current_list = false;   ///< named by the complete list that is being read
+  bool counted = false;           ///< included in EndpointTable::ready_count()
+  Role counted_as = Role::cache;  ///< role that it is counted under
   /// @}
 
   /// \name Slow start (SlowStart)
   /// @{
-  Seconds started = kLongAgo;  ///< the last start that is known
-  bool may_be_cold = false;    ///< it stands among those that are looked at for warmth
-  double budget_spent = 0;     ///< work that still counts against its budget
-  Seconds spent_at = 0;        ///< when that was reckoned
+  Seconds started = kLongAgo;  ///< time of its last known start
+  bool may_be_cold = false;    ///< SlowStart checks whether it is still cold
+  double budget_spent = 0;     ///< work charged to its budget at `spent_at`, in seconds
+  Seconds spent_at = 0;        ///< time at which `budget_spent` was computed
   /// @}
 
   /// \name Health (OutlierDetector)
   /// @{
-  double failure_rate = 0;             ///< of the last attempts, about ten
-  Seconds ejected_until = kLongAgo;    ///< no attempt goes there before
-  Seconds ejection_time = 0;           ///< of the last ejection; doubled with each
-  int trials_left = 0;                 ///< half-open: so many have to be served, one at a time
-  bool unreachable = false;            ///< no connection came up, and no answer since
-  Seconds last_answer_at = kLongAgo;   ///< last answer of any kind
+  double failure_rate = 0;             ///< moving average over about ten attempts
+  Seconds ejected_until = kLongAgo;    ///< end of its last ejection
+  Seconds ejection_time = 0;           ///< length of its last ejection
+  int trials_left = 0;                 ///< half-open: trial attempts that must still be served; 0: closed
+  bool unreachable = false;            ///< its last connection failed, and no attempt was served since
+  Seconds last_answer_at = kLongAgo;   ///< time of its last answer of any kind
   Seconds mean_answer_interval = 0.1;  ///< mean time between two answers while attempts are in flight
   /// @}
 
   /// \name Load (AttemptAccounting, OutcomeEvaluator)
   /// @{
-  int in_flight = 0;                     ///< attempts, and fills that it is the source of
-  Seconds busy_since = 0;                ///< when the first of those in flight began
-  double reported_load = -1;             ///< share of its capacity in use, as it reports; -1 if it does not
-  ConcurrencyLimit attempts{};           ///< of all work
-  ConcurrencyLimit fills{{.floor = 1}};  ///< of what it fetches or supplies for misses
+  int in_flight = 0;                     ///< attempts, plus fills that it is the source of
+  Seconds busy_since = 0;                ///< time since which at least one has been in flight
+  double reported_load = -1;             ///< share of its capacity in use by its load report; -1: none
+  ConcurrencyLimit attempts{};           ///< limit of attempts
+  ConcurrencyLimit fills{{.floor = 1}};  ///< limit of fills that it fetches or is the source of
   /// @}
 };
 
--- a/src/routing/endpoint_order.cpp
+++ b/src/routing/endpoint_order.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// One step of splitmix64 (Steele, Lea and Flood, 2014): spreads an endpoint's hash against an object's.
+// One step of splitmix64 (Steele, Lea and Flood, 2014), which decorrelates endpoint and object hashes.
 std::uint64_t mix(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15u;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9u;
@@ -41,13 +41,13 @@
   rank_first();
 }
 
-// With equal weights the logarithm changes no order, and is left out.
+// The logarithm is monotonic: where all weights are 1 it would not change the order and is skipped.
 double EndpointOrder::Ranking::cost_of(const Endpoint& e) const {
   const double uniform = (static_cast<double>(mix(object_ ^ e.mixed_hash) >> 11) + 0.5) * 0x1p-53;
   return order_->weighted_ == 0 ? 1 - uniform : -std::log(uniform) / e.weight;
 }
 
-// The first few, by insertion into a short list: nearly all fail the first comparison.
+// Ranks the first few by insertion into a short list; most endpoints fail the first comparison.
 void EndpointOrder::Ranking::rank_first() {
   ranked_.reserve(kInitiallyRanked + 1);
   for (const auto& e : order_->all_) {
--- a/src/routing/endpoint_order.h
+++ b/src/routing/endpoint_order.h
@@ -1,7 +1,7 @@
 /// \file
-/// The endpoints of one role, and the order in which each object prefers them: weighted rendezvous hashing
-/// (Thaler and Ravishankar, 1998), the same at every router. An endpoint of twice the weight comes first for
-/// twice the objects.
+/// The endpoints of one role, ranked for each object by weighted rendezvous hashing (Thaler and Ravishankar,
+/// 1998). All routers compute the same ranking. An endpoint of twice the weight ranks first for twice as many
+/// objects.
 #pragma once
 
 #include <cstddef>
@@ -10,37 +10,38 @@
 
 namespace walkpaddle::routing {
 
-/// A set of endpoints; adding and removing one costs by its place, not by the number of all.
+/// A set of endpoints, kept sorted by index.
 class EndpointOrder {
  public:
   /// One endpoint of the set.
   struct Endpoint {
-    int index = 0;                 ///< the caller's
-    std::uint64_t mixed_hash = 0;  ///< its stable hash, mixed
+    int index = 0;                 ///< assigned by the caller
+    std::uint64_t mixed_hash = 0;  ///< its stable hash after mixing
     double weight = 1;             ///< above 0
   };
 
-  /// Removes all.
+  /// Removes all endpoints.
   void clear();
-  /// Replaces what is known of that index.
+  /// Adds an endpoint, or replaces the one of this index.
   void add(int index, std::uint64_t hash, double weight);
-  /// Nothing happens where it is not in the set.
+  /// Removes an endpoint if it is in the set.
   void remove(int index);
-  const std::vector<Endpoint>& all() const { return all_; }  ///< by rising index
+  const std::vector<Endpoint>& all() const { return all_; }  ///< in ascending order of index
 
-  /// The endpoints for one object, best first. It stands for as long as the set is not changed. It looks at
-  /// each endpoint once and sorts only as far as it is asked, since the first few mostly take the attempt.
+  /// The endpoints ranked for one object, best first. Valid until the set changes. Construction computes the
+  /// cost of each endpoint once but sorts only the first few, which take most attempts; the full sort runs
+  /// when a later place is requested.
   class Ranking {
    public:
-    /// `order` must outlive it.
+    /// `order` must outlive the ranking.
     Ranking(const EndpointOrder& order, std::uint64_t object);
     /// The index of the endpoint at this place, from 0; -1 past the last.
     int at(std::size_t place);
-    std::size_t size() const { return order_->all_.size(); }  ///< of all endpoints
+    std::size_t size() const { return order_->all_.size(); }  ///< number of endpoints
 
    private:
     struct Ranked {
-      double cost;  // the least first; of equals the lower index
+      double cost;  // the lowest ranks first; ties are broken by the lower index
       int index;
       bool operator<(const Ranked& o) const { return cost != o.cost ? cost < o.cost : index < o.index; }
     };
@@ -48,7 +49,7 @@
     void rank_all();
     double cost_of(const Endpoint& endpoint) const;
 
-    static constexpr std::size_t kInitiallyRanked = 8;  // more are seldom tried
+    static constexpr std::size_t kInitiallyRanked = 8;  // later places are rarely needed
     const EndpointOrder* order_;
     std::uint64_t object_;
     bool complete_ = false;
@@ -57,7 +58,7 @@
 
  private:
   std::vector<Endpoint> all_;
-  std::size_t weighted_ = 0;  // those whose weight is not 1
+  std::size_t weighted_ = 0;  // number of endpoints whose weight is not 1
 };
 
 }  // namespace walkpaddle::routing
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -37,7 +37,8 @@
   endpoint.ever_listed = true;
   endpoint.in_current_list = true;
   if (first) {
-    constexpr double kMinSharedFillFloor = 0.05;  // where all routers share a parent or the origin
+    constexpr double kMinSharedFillFloor =
+        0.05;  // parents and origins are shared by the routers of all locations
     const bool is_cache = endpoint.role == Role::cache;
     const int routers = is_cache ? context_.placement.routers_in_location : context_.placement.routers;
     endpoint.attempts.divide_among(routers);
@@ -58,7 +59,7 @@
   for (const int index : std::exchange(changed_, {})) place(index);
 }
 
-// An endpoint's place among those that an attempt may go to, as its listing now is.
+// Updates the ranking and the count of its role after an endpoint's entry changed.
 void EndpointTable::place(int index) {
   auto& endpoint = (*this)[index];
   const auto role = static_cast<std::size_t>(endpoint.role);
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -1,7 +1,7 @@
 /// \file
-/// What the routing policy is told and what it decides, as plain data. Endpoints, requests and locations are
-/// small indices that the host gives; objects and endpoints come with a stable hash of their name as well.
-/// Times are seconds on the host's monotonic clock, but where a span is meant.
+/// Inputs and decisions of the routing policy as plain data. Endpoints, requests and locations are small
+/// indices assigned by the host; objects and endpoints also have a stable hash of their name. Points in time
+/// are seconds on the host's monotonic clock.
 #pragma once
 
 #include <cstdint>
@@ -15,46 +15,45 @@
 /// Whether a request may run more than once.
 enum class Idempotency {
   idempotent,
-  with_key,       ///< repeats carry an idempotency key and are dropped for a while
-  non_idempotent  ///< once it may have run, no other attempt follows
+  with_key,       ///< endpoints drop repeats by their idempotency key within the deduplication window
+  non_idempotent  ///< no retry follows an attempt that may have run
 };
 
-/// Which endpoints drop the repeats of a request with an idempotency key: those that share what they have
-/// seen.
+/// The set of endpoints that share the idempotency keys they have received, and so drop each other's repeats.
 enum class DeduplicationScope { all, location, cell };
 
-/// What discovery says of an endpoint.
+/// State of an endpoint in the endpoint list.
 enum class EndpointState { gone, ready, draining };
 
-/// Which sibling caches can supply a fill.
+/// Which sibling caches can be the source of a fill.
 enum class SiblingFills { none, location, any };
 
-/// How much an answer tells of the fill that it drew.
+/// What an answer reports of the fill behind it: nothing, whether it was a hit, or the full outcome.
 enum class FillReporting { none, hit, all };
 
-/// How an attempt ended. The order is that of the simulator's wire.
+/// How an attempt ended. The values are those of the simulator's wire protocol.
 enum class AttemptOutcome {
   served,
-  error,     ///< the endpoint answered that it failed
-  rejected,  ///< the endpoint shed it, unrun
-  timed_out,
-  unreachable,        ///< no connection came up in time
-  connection_broken,  ///< it may have run
-  cancelled,
-  not_sent,
-  not_cached,  ///< it was asked only for what it holds
-  stale        ///< the copy was older than the attempt allowed
+  error,              ///< the endpoint answered with an error
+  rejected,           ///< the endpoint shed it before it ran
+  timed_out,          ///< no answer arrived in time
+  unreachable,        ///< no connection was established
+  connection_broken,  ///< the connection ended first; the request may have run
+  cancelled,          ///< cancelled by this router
+  not_sent,           ///< ended before anything was sent
+  not_cached,         ///< the source has no copy, and the attempt asked for nothing but a copy
+  stale               ///< the copy was older than the attempt allowed
 };
-/// Its word in the log.
+/// The name of an outcome in the log.
 std::string_view to_string(AttemptOutcome outcome);
 
-/// What an answer tells of its fill. The order is that of the simulator's wire.
+/// What an answer reports of its fill. The values are those of the simulator's wire protocol.
 enum class FillOutcome {
   none,
   hit,
   filled,
   from_origin,
-  coalesced,  ///< joined a fill under way
+  coalesced,  ///< waited for a fill that was already running
   stale_copy,
   source_rejected,
   source_unreachable,
@@ -63,130 +62,130 @@
   origin_failed
 };
 
-/// What the settings say of one class of requests.
+/// Settings of one request class.
 struct RequestClass {
-  Idempotency idempotency = Idempotency::idempotent;           ///< whether it may run more than once
-  DeduplicationScope deduplication = DeduplicationScope::all;  ///< who drops repeats
-  Seconds deduplication_window = 0;  ///< of requests with a key: how long repeats are dropped
-  Seconds latency_objective = 0;     ///< answered by then: full value
-  double latency_objective_stretch =
-      0;                     ///< the objective grows by this multiple of the answer's own sending time
-  Seconds deadline = 0;      ///< from its receipt
-  double priority = 1;       ///< value of an answer in time
-  Seconds max_age = 0;       ///< of a copy; 0: no limit
-  bool in_parts = false;     ///< objects are asked for part by part
-  bool uncacheable = false;  ///< passed to the origin
+  Idempotency idempotency = Idempotency::idempotent;           ///< whether a request may run more than once
+  DeduplicationScope deduplication = DeduplicationScope::all;  ///< which endpoints drop repeats
+  Seconds deduplication_window = 0;      ///< for requests with a key: how long repeats are dropped
+  Seconds latency_objective = 0;         ///< an answer within this time has its full value
+  double latency_objective_stretch = 0;  ///< multiple of the answer's sending time added to the objective
+  Seconds deadline = 0;                  ///< time from the receipt of a request to its expiry
+  double priority = 1;                   ///< value of an answer in time, relative to other classes
+  Seconds max_age = 0;                   ///< maximum age of a copy; 0: unlimited
+  bool in_parts = false;                 ///< objects are requested part by part
+  bool uncacheable = false;              ///< requests are passed to the origin and never cached
 };
 
-/// Where this router stands.
+/// Location of this router and number of routers.
 struct RouterPlacement {
   int location = 0;             ///< index among the settings' locations
-  int routers_in_location = 1;  ///< that serve this location
-  int routers = 1;              ///< in all
+  int routers_in_location = 1;  ///< routers that serve this location
+  int routers = 1;              ///< routers in all locations
 };
 
-/// How the models of endpoints map to their roles; -1 for none.
+/// Which endpoint models are parents and origins; all others are caches.
 struct EndpointRoles {
-  int parent_kind = -1;  ///< of parent caches
-  int origin_kind = -1;  ///< of origins
-  bool direct = false;   ///< parents and the origin take attempts too
+  int parent_kind = -1;  ///< model of parent caches; -1: none
+  int origin_kind = -1;  ///< model of origins; -1: none
+  bool direct = false;   ///< attempts can also be sent to parents and origins, without a cache between
 };
 
-/// What the platform allows of retries.
+/// The platform's limits on retries.
 struct RetrySettings {
-  int max_attempts = 1;     ///< of one request
-  bool can_cancel = false;  ///< an attempt can be cancelled at its endpoint
+  int max_attempts = 1;     ///< attempts of one request
+  bool can_cancel = false;  ///< a running attempt can be cancelled at its endpoint
 };
 
-/// What the platform's caches can do.
+/// Capabilities of the platform's caches.
 struct FillSettings {
-  SiblingFills siblings = SiblingFills::none;     ///< that can supply a fill
-  bool coalesces = false;                         ///< an attempt can wait for a fill under way
-  FillReporting reporting = FillReporting::none;  ///< of an answer
-  double client_rate = 0;                         ///< KB a second that a client is sent at most
+  SiblingFills siblings = SiblingFills::none;     ///< which sibling caches can be sources
+  bool coalesces = false;                         ///< an attempt can wait for a fill that is already running
+  FillReporting reporting = FillReporting::none;  ///< what answers report of their fill
+  double client_rate = 0;                         ///< maximum transfer rate to a client, in KB/s
 };
 
-/// What a cold endpoint may be sent (slow start).
+/// Slow start: the load that a cold endpoint may receive.
 struct SlowStartSettings {
-  double initial_share = 1;  ///< of its capacity, at its start
-  double multiple = 1;       ///< of that capacity which it bears within `window`
-  Seconds duration = 0;      ///< from its start until it is warm
-  Seconds window = 1;        ///< in which the multiple of its capacity counts
+  double initial_share = 1;  ///< share of its capacity that an endpoint has when it starts
+  double multiple = 1;       ///< work allowed in `window`, as a multiple of the capacity at the time
+  Seconds duration = 0;      ///< time from its start until an endpoint is warm
+  Seconds window = 1;        ///< length of the window that `multiple` applies to
 };
 
-/// What clients do.
+/// Behaviour of clients.
 struct ClientSettings {
-  bool marks_retries = false;   ///< a retry says that it is one
-  Seconds max_retry_after = 0;  ///< 0: no pause is told
+  bool marks_retries = false;   ///< a client's retry is marked as one
+  Seconds max_retry_after = 0;  ///< longest Retry-After that clients accept; 0: none is sent
 };
 
-/// What one start of a router may leave to the next. Nothing of it loosens a rule.
+/// State that a router saves for its next start. All of it is an estimate: after a restore, slow start still
+/// limits cold endpoints, and limits that were reduced since stay reduced.
 struct WarmStartSnapshot {
-  /// Of one class.
+  /// Service time of one request class.
   struct ServiceTime {
-    double mean = 0;  ///< seconds, the answers' own sending time
-    int answers = 0;  ///< that it is the mean of
+    double mean = 0;  ///< mean sending time of an answer, in seconds
+    int answers = 0;  ///< number of answers averaged
   };
-  /// An endpoint that no connection came up to.
+  /// An endpoint to which no connection could be established.
   struct Unreachable {
-    int endpoint = -1;  ///< its index
-    Seconds at = 0;     ///< last not reached then, and no answer since
+    int endpoint = -1;  ///< index of the endpoint
+    Seconds at = 0;     ///< time of the last failed connection; no attempt was served since
   };
-  /// Of one endpoint.
+  /// Concurrency limits of one endpoint.
   struct Limits {
-    int endpoint = -1;    ///< its index
-    double attempts = 0;  ///< concurrency limit
-    double fills = 0;     ///< concurrency limit
+    int endpoint = -1;    ///< index of the endpoint
+    double attempts = 0;  ///< limit of attempts
+    double fills = 0;     ///< limit of fills
   };
-  /// Of one object.
+  /// Reference counter of one object, as counted by this router.
   struct ObjectCount {
-    std::uint64_t object = 0;  ///< its stable hash
-    double count = 0;          ///< the design's reference counter, of this router's own requests
+    std::uint64_t object = 0;  ///< stable hash of the object's name
+    double count = 0;          ///< value of its reference counter
   };
-  std::vector<ServiceTime> service_times{};  ///< by class
-  std::vector<Unreachable> unreachable{};    ///< endpoints
-  std::vector<Limits> limits{};              ///< by endpoint, of those that were warm
-  std::vector<ObjectCount> objects{};        ///< above the forwarding threshold
-  double link_limit = 0;                     ///< of fills over the location's link; 0: not known
-  double miss_ratio = -1;  ///< share of attempts at a cache that draw a fill; under 0: not known
-  Seconds age = 0;         ///< of limits and objects
+  std::vector<ServiceTime> service_times{};  ///< by request class
+  std::vector<Unreachable> unreachable{};    ///< endpoints that could not be reached
+  std::vector<Limits> limits{};              ///< limits of the endpoints that were warm
+  std::vector<ObjectCount> objects{};        ///< objects above the forwarding threshold
+  double link_limit = 0;                     ///< limit of fills over the location's link; 0: not known
+  double miss_ratio = -1;  ///< share of attempts at a cache that need a fill; < 0: not known
+  Seconds age = 0;         ///< age of the limits and counters
 };
 
-/// Why a request is given up without an attempt that served it.
+/// Why a request ends without an attempt that served it.
 enum class ShedReason { none, deadline_exceeded, attempts_used, not_idempotent, no_capacity };
-/// Its word in the log.
+/// The name of a reason in the log.
 std::string_view to_string(ShedReason reason);
 
-/// How often endpoints were ejected, by what showed their fault.
+/// Number of ejections by cause.
 struct Ejections {
-  std::uint64_t unreachable = 0;  ///< no connection, or a time-out
-  std::uint64_t failing = 0;      ///< too many of the last attempts, or one in a half-open trial
-  std::uint64_t silent = 0;       ///< several attempts in flight and nothing heard
+  std::uint64_t unreachable = 0;  ///< a failure that ejects at once, such as no connection or a time-out
+  std::uint64_t failing = 0;      ///< too many recent attempts failed, or one of a half-open trial did
+  std::uint64_t silent = 0;       ///< several attempts were in flight and no answer arrived
 };
 
-/// One thing for the host to carry out.
+/// An action for the host to carry out.
 struct Decision {
-  /// What is to be done.
+  /// The action.
   enum class Kind {
-    forward,
-    reject,  ///< shed the request: it never ran
-    fail,
-    cancel,
+    forward,        ///< send an attempt
+    reject,         ///< shed the request: the client may safely send it again
+    fail,           ///< end the request: an attempt may have run
+    cancel,         ///< cancel an attempt
     wake_up,        ///< call timer_fired() at `time`
-    poll_discovery  ///< ask for the endpoint list
+    poll_discovery  ///< request the endpoint list
   };
-  Kind kind = Kind::wake_up;  ///< which fields count follows from it
-  int request = -1;           ///< all but wake_up and poll_discovery
-  int endpoint = -1;          ///< forward: where to
-  int source = -1;            ///< forward: who supplies a miss; the endpoint itself for none
-  int attempt = 0;            ///< cancel: which attempt of the request, from 0
-  int retention_rank = 0;     ///< forward: 0 keeps no copy, 1 to 3 is the rank of the one that is cached
-  Seconds time = 0;           ///< time-out of an attempt, Retry-After of a rejection, or when to wake up
-  Seconds start_by = 0;       ///< forward: it begins by then or not at all; 0 for no such time
-  Seconds max_age = 0;        ///< forward: the oldest copy that will do; 0 for the class's own
-  bool join_fill = false;     ///< forward: wait for a fill under way
-  bool cached_only = false;   ///< forward: the source gives only what it holds
-  ShedReason reason = ShedReason::none;  ///< reject and fail
+  Kind kind = Kind::wake_up;  ///< determines which of the other fields apply
+  int request = -1;           ///< the request; for all kinds but wake_up and poll_discovery
+  int endpoint = -1;          ///< forward: the endpoint of the attempt
+  int source = -1;            ///< forward: the source of a fill; equal to `endpoint` if there is to be none
+  int attempt = 0;            ///< cancel: number of the attempt in its request, from 0
+  int retention_rank = 0;     ///< forward: 0: a fill is not cached; 1 to 3: rank under which it is cached
+  Seconds time = 0;           ///< forward: attempt time-out; reject: Retry-After; wake_up: when to call
+  Seconds start_by = 0;       ///< forward: latest time at which the attempt may start; 0: no limit
+  Seconds max_age = 0;        ///< forward: maximum age of a copy; 0: that of the request class
+  bool join_fill = false;     ///< forward: wait for a fill that is already running
+  bool cached_only = false;   ///< forward: the source supplies only what it has cached
+  ShedReason reason = ShedReason::none;  ///< reject and fail: the cause
 };
 
 }  // namespace walkpaddle
