--- a/src/routing/outcome_evaluation.cpp
+++ b/src/routing/outcome_evaluation.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kSendingMargin = 1.2;  // a known sending time, with the network's part
+constexpr double kSendingMargin = 1.2;  // factor on a known sending time that allows for the network
 
 }  // namespace
 
@@ -35,7 +35,7 @@
 void OutcomeEvaluator::evaluate(RequestState& request, AttemptState& attempt, const AttemptReport& report) {
   const bool served = report.outcome == AttemptOutcome::served;
   const auto& request_class = parts_.context.classes[static_cast<std::size_t>(request.request_class)];
-  // Prevents big answers from looking late against the mean: limits were reduced to their floors for them.
+  // Without the known sizes, large answers look late against the mean and reduce limits to their floors.
   if (report.sending > 0 && served && !request_class.uncacheable) {
     auto& counter = parts_.counters.at(request.object, parts_.context.now);
     counter.kbytes = static_cast<float>(report.sending * parts_.context.fills.client_rate);
@@ -65,7 +65,7 @@
   if (source_answered) parts_.outliers.record_answer(e.attempt.source);
 }
 
-// ---- served ----------------------------------------------------------------------------------------------
+// ---- Served attempts -------------------------------------------------------------------------------------
 
 void OutcomeEvaluator::record_served(Evidence& e) {
   record_recovery(e);
@@ -92,14 +92,14 @@
 }
 
 void OutcomeEvaluator::estimate_lateness(Evidence& e) const {
-  // With neither sizes nor loads told, a late answer may be a big object's: it speaks less of congestion.
+  // Where neither sizes nor loads are reported, a late answer may just be large and counts for less.
   constexpr double kUncertainLateness = 0.8;
   const Seconds took = e.report.took;
   const Seconds sending = e.report.sending;
   const Seconds objective = e.request_class.latency_objective;
   const bool size_or_load_known = e.request.kbytes > 0 || sending > 0 || e.endpoint.reported_load >= 0;
-  // Past a known own time a wait is a queue: a quarter of the objective ends fast growth, twice the objective
-  // is late.
+  // Where the sending time is known, the remaining latency is queueing: more than a quarter of the objective
+  // rules out fast growth of the limit, more than twice the objective is late.
   const Seconds stretch = e.request_class.latency_objective_stretch * e.work;
   const Seconds allowance = sending > 0 ? kSendingMargin * e.work + objective : stretch;
   if (took > objective + std::min(allowance, stretch))
@@ -108,7 +108,7 @@
     e.queueing = ConcurrencyLimit::Queueing::none;
 }
 
-// No queue is to be expected there.
+// Whether a request at the endpoint is unlikely to queue.
 bool OutcomeEvaluator::lightly_loaded(const Endpoint& endpoint) const {
   constexpr double kLightLoad = 0.7;
   constexpr double kLightInFlight = 3;
@@ -128,9 +128,9 @@
   if (!e.request_class.uncacheable && lightly_loaded(e.endpoint)) estimate_size(e);
 }
 
-// With no sizes told, what a lightly_loaded cache took past the wait for its source stands for the size, for
-// the parts to come: else one of ten big objects looks late on a lightly_loaded link, and limits stay at
-// their floors.
+// Where sizes are not reported, estimates the size of an object from the duration of an answer by a lightly
+// loaded cache, less the wait for its source. Later requests for the object use it. Without an estimate about
+// a tenth of the answers, the large ones, look late on an uncongested link, and limits stay at their floors.
 void OutcomeEvaluator::estimate_size(const Evidence& e) {
   const bool link_is_uncongested = parts_.fills.link.late_share() < ConcurrencyLimit::kMaxLateShare / 2;
   if (!e.hit && (e.report.waited <= 0 || !link_is_uncongested)) return;
@@ -152,7 +152,7 @@
   const auto fill = e.report.fill;
   const bool from_origin = fill == FillOutcome::from_origin;
   if (fill != FillOutcome::filled && fill != FillOutcome::coalesced && !e.hit) {
-    // Where the wait for the first byte is told, only that speaks of the origin.
+    // Where the wait for the first byte is reported, only that depends on the origin.
     const double too_long = e.report.waited > e.request_class.latency_objective ? 1 : 0;
     const double lateness = from_origin && e.report.waited > 0 ? too_long : e.lateness;
     parts_.endpoints[e.attempt.origin].fills.record_answer(lateness, parts_.context.now, e.queueing);
@@ -173,8 +173,9 @@
 void OutcomeEvaluator::record_copy(const Evidence& e) {
   const Seconds now = parts_.context.now;
   auto& counter = parts_.counters.at(e.request.object, now);
-  // In a flow of parts, a copy found here or at a parent stands for a request that another router counted:
-  // many routers would else pass popular flows through. Could harm where it is this router's own.
+  // For objects requested in parts, a copy found at the cache or at a parent implies that another router has
+  // counted a request. Without this, many routers would each count too few requests and leave popular objects
+  // uncached. It overestimates the demand where this router's own request made the copy.
   const bool found = e.hit || e.report.fill != FillOutcome::none;
   if (e.request_class.in_parts && e.report.fill != FillOutcome::from_origin && found)
     counter.count = std::max<float>(counter.count, 2 * kForwardingThreshold);
@@ -185,21 +186,22 @@
   copy.cached_at = now;
 }
 
-// ---- failed ----------------------------------------------------------------------------------------------
+// ---- Failed attempts -------------------------------------------------------------------------------------
 
-// The request's time was used up, so that the end says little.
+// Whether the attempt timed out at the request's deadline, which proves little about the endpoint.
 bool OutcomeEvaluator::ended_at_deadline(const Evidence& e) const {
   constexpr Seconds kMargin = 0.02;
   return e.report.outcome == AttemptOutcome::timed_out && parts_.context.now > e.request.expires - kMargin;
 }
 
-// Whose fault a failed attempt is, by what its outcome and the report of its fill prove.
+// Attributes a failure to the endpoint, the source, the origin or the link, by the outcome of the attempt and
+// of its fill.
 void OutcomeEvaluator::record_failed(const Evidence& e) {
   const auto outcome = e.report.outcome;
   const auto fill = e.report.fill;
   reduce_origin(e);
   if (fill >= FillOutcome::source_rejected) return record_source_failure(e);
-  // The cache had just answered a probe; where nothing is told, its fill's error is the source's.
+  // The cache answered a probe for this request, so an error without a fill report is the source's.
   if (outcome == AttemptOutcome::error && fill == FillOutcome::none && e.request.cache_probed &&
       e.has_source) {
     e.attempt.source_failed = true;
@@ -216,17 +218,18 @@
     return;
   }
   if (outcome == AttemptOutcome::unreachable) mark_unreachable(e.endpoint);
-  // A second endpoint that fails the same request speaks of the request: objects that no endpoint knows eject
-  // none.
+  // When a second attempt of a request ends with an error, the request is the cause. Otherwise requests for
+  // objects that do not exist would eject endpoints.
   if (outcome == AttemptOutcome::error && std::exchange(e.request.had_error, true)) return;
-  // One broken connection proves little: a reset or a spoilt answer, where a death breaks many at once.
+  // A single broken connection may be a reset or a malformed answer; an endpoint that dies breaks many at
+  // once.
   const bool soft = outcome == AttemptOutcome::error || outcome == AttemptOutcome::connection_broken;
   parts_.outliers.record_failure(e.attempt.endpoint,
                                  soft ? OutlierDetector::Severity::soft : OutlierDetector::Severity::hard);
 }
 
-// An origin that rejects reduces this router's part of it; what waits for it in vain speaks where others are
-// late.
+// Reduces the origin's limit if the attempt was rejected, the origin failed, or the attempt failed without a
+// fill report. A time-out at the request's deadline counts only where other answers are late too.
 void OutcomeEvaluator::reduce_origin(const Evidence& e) {
   const int origin = e.endpoint.role == Role::origin ? e.attempt.endpoint : e.attempt.origin;
   if (origin < 0) return;
@@ -243,7 +246,7 @@
   const Seconds now = parts_.context.now;
   const auto fill = e.report.fill;
   e.attempt.source_failed = e.has_source && fill != FillOutcome::no_fill_capacity;
-  e.attempt.endpoint_failed = !e.attempt.source_failed;  // else the cache is as good as before
+  e.attempt.endpoint_failed = !e.attempt.source_failed;
   if (fill == FillOutcome::source_not_cached) forget_copy(e.request, e.attempt.source);
   if (fill == FillOutcome::source_rejected && e.has_source)
     parts_.endpoints[e.attempt.source].fills.reduce(now);
@@ -264,7 +267,7 @@
     e.request.cache_probed = true;
   }
   e.attempt.source_failed = source_role == Role::cache;
-  e.attempt.endpoint_failed = false;  // it was only asked for what it holds
+  e.attempt.endpoint_failed = false;  // the attempt asked for a cached copy only
   forget_copy(e.request, e.attempt.source);
 }
 
@@ -278,8 +281,9 @@
   e.endpoint.fills.reduce(now);
 }
 
-// Nobody is there: it may start again at any moment, sooner than the list can tell, and is cold from then on.
-// Prevents the trials of all routers at once, which pushed over what had just started.
+// Treats an unreachable endpoint as cold, since it may be restarting and accept connections before the
+// endpoint list reports the start. Otherwise the half-open trials of all routers at once would overload an
+// endpoint that has just started.
 void OutcomeEvaluator::mark_unreachable(Endpoint& endpoint) {
   endpoint.unreachable = true;
   if (!parts_.slow_start.is_cold(endpoint))
--- a/src/routing/outcome_evaluation.h
+++ b/src/routing/outcome_evaluation.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the end of an attempt says of its endpoint, its source, the origin behind and the link: their health,
-/// their limits, how long answers take, who holds a copy.
+/// Evaluation of an attempt that ended: updates the health and limits of its endpoint, its source, the origin
+/// behind a parent and the link, and the estimates of service times and cached copies.
 #pragma once
 
 #include <random>
@@ -15,47 +15,47 @@
 
 namespace walkpaddle::routing {
 
-/// How an attempt ended, as the host tells it.
+/// The end of an attempt, as the host reports it.
 struct AttemptReport {
-  AttemptOutcome outcome = AttemptOutcome::not_sent;  ///< how it ended
-  FillOutcome fill = FillOutcome::none;               ///< what its answer says of the fill
-  Seconds took = 0;                                   ///< from its sending to its end
-  Seconds waited = 0;   ///< of that, for the source's first byte or its failure; 0: not told
-  Seconds sending = 0;  ///< the answer's own time at a client's rate; 0: not known
+  AttemptOutcome outcome = AttemptOutcome::not_sent;  ///< how the attempt ended
+  FillOutcome fill = FillOutcome::none;               ///< what its answer reports of the fill
+  Seconds took = 0;                                   ///< time from its sending to its end
+  Seconds waited = 0;   ///< part of `took` until the source's first byte or failure; 0: not reported
+  Seconds sending = 0;  ///< time to send the answer at the client's rate; 0: not known
 };
 
-/// Learns from the ends of attempts.
+/// Updates estimates, limits and health from the attempts that end.
 class OutcomeEvaluator {
  public:
-  /// All of them must outlive it.
+  /// Parts of the policy that it uses; all must outlive it.
   struct Parts {
-    const PolicyContext& context;  ///< settings and time
-    EndpointTable& endpoints;      ///< whose limits learn
+    const PolicyContext& context;  ///< settings and current time
+    EndpointTable& endpoints;      ///< endpoints and their limits
     OutlierDetector& outliers;     ///< health of endpoints
     SlowStart& slow_start;         ///< cold endpoints
-    ServiceTimes& service_times;   ///< how long answers take
-    FillEstimates& fills;          ///< the link, and how many attempts miss
-    ReferenceCounters& counters;   ///< sizes and copies
-    std::mt19937& random;          ///< phases of endpoints that start
+    ServiceTimes& service_times;   ///< latency and sending times
+    FillEstimates& fills;          ///< limit of the link, miss ratios
+    ReferenceCounters& counters;   ///< sizes and cached copies of objects
+    std::mt19937& random;          ///< random phase of endpoints that start
   };
-  /// Keeps the references.
+  /// Stores the references in `parts`.
   explicit OutcomeEvaluator(const Parts& parts) : parts_(parts) {}
 
-  /// Once for each attempt, after AttemptAccounting::end().
+  /// Evaluates an attempt that ended. Must be called once for each, after AttemptAccounting::end().
   void evaluate(RequestState& request, AttemptState& attempt, const AttemptReport& report);
 
  private:
-  /// One attempt's end, with what follows from it at once.
+  /// The end of an attempt and what is derived from it directly.
   struct Evidence {
     RequestState& request;
     AttemptState& attempt;
     const AttemptReport& report;
     const RequestClass& request_class;
     Endpoint& endpoint;
-    bool has_source = false;  // another than the endpoint
+    bool has_source = false;  // the source is another endpoint
     bool hit = false;
     Seconds work = 0;
-    double lateness = 0;  // 0 in time, up to 1 surely late
+    double lateness = 0;  // 0: in time; 1: certainly late
     ConcurrencyLimit::Queueing queueing = ConcurrencyLimit::Queueing::possible;
   };
   Evidence evidence_of(RequestState& request, AttemptState& attempt, const AttemptReport& report);
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr double kFailureGain = 0.1;     // of the failure rate: about ten attempts
-constexpr double kMaxFailureRate = 0.3;  // rate above which a soft failure ejects
+constexpr double kFailureGain = 0.1;     // averages the failure rate over about ten attempts
+constexpr double kMaxFailureRate = 0.3;  // above this rate a soft failure ejects
 
 }  // namespace
 
@@ -17,10 +17,10 @@
 }
 
 void OutlierDetector::eject(Endpoint& endpoint) {
-  constexpr Seconds kShortest = 0.5;  // about a client's patience for one attempt
-  constexpr Seconds kLongest = 4;     // about a restart's time
+  constexpr Seconds kMinEjection = 0.5;  // about as long as a client waits for one attempt
+  constexpr Seconds kMaxEjection = 4;    // about the duration of a restart
   constexpr int kTrials = 3;
-  endpoint.ejection_time = std::clamp(endpoint.ejection_time * 2, kShortest, kLongest);
+  endpoint.ejection_time = std::clamp(endpoint.ejection_time * 2, kMinEjection, kMaxEjection);
   endpoint.ejected_until = context_.now + endpoint.ejection_time;
   endpoint.trials_left = kTrials;
 }
@@ -57,10 +57,11 @@
 
 bool OutlierDetector::silent(const Endpoint& endpoint, Seconds sent_at) const {
   constexpr double kIntervals = 8;
-  constexpr Seconds kShortest = 0.6;
-  constexpr Seconds kLongest = 5;
+  constexpr Seconds kMinSilence = 0.6;
+  constexpr Seconds kMaxSilence = 5;
   const Seconds since = std::max({endpoint.last_answer_at, endpoint.busy_since, sent_at});
-  return context_.now - since > std::clamp(kIntervals * endpoint.mean_answer_interval, kShortest, kLongest);
+  return context_.now - since >
+         std::clamp(kIntervals * endpoint.mean_answer_interval, kMinSilence, kMaxSilence);
 }
 
 int OutlierDetector::silent_endpoint(const AttemptState& attempt) const {
--- a/src/routing/outlier_detection.h
+++ b/src/routing/outlier_detection.h
@@ -1,8 +1,8 @@
 /// \file
-/// Health of endpoints by symptom: unreachable, failing, silent. One that shows it is ejected for a while,
-/// longer each time, and then half-open: it is tried by one attempt at a time until several were served
-/// (circuit breaker; Nygard, 2007). Prevents attempts at endpoints that are dead, cut off, frozen or failing,
-/// whatever the cause. Could harm where one is only slow: then it is tried again after the ejection.
+/// Ejection of endpoints that are unreachable, failing or silent. An ejection lasts longer each time; after
+/// it the endpoint is half-open and receives one attempt at a time until several were served (circuit
+/// breaker; Nygard, 2007). Detection goes by symptoms, whatever the cause. An endpoint that is merely slow
+/// may be ejected by mistake; it is tried again when the ejection ends.
 #pragma once
 
 #include "routing/context.h"
@@ -11,39 +11,39 @@
 
 namespace walkpaddle::routing {
 
-/// Decides which endpoints are ejected.
+/// Tracks the health of endpoints and ejects them.
 class OutlierDetector {
  public:
-  /// What a failure proves.
+  /// Weight of a failure.
   enum class Severity {
-    soft,  ///< counts towards a rate of failures
-    hard   ///< the endpoint is ejected at once
+    soft,  ///< adds to the failure rate
+    hard   ///< ejects the endpoint at once
   };
 
   /// `context` and `endpoints` must outlive it.
   OutlierDetector(const PolicyContext& context, EndpointTable& endpoints)
       : context_(context), endpoints_(endpoints) {}
 
-  /// Whether an attempt may go there: listed, ready, not ejected, and no trial under way.
+  /// Whether an attempt can be sent there: listed, ready, not ejected, and no half-open trial in flight.
   bool usable(const Endpoint& endpoint) const;
-  /// No attempt goes there now.
+  /// Whether the endpoint is ejected at this time.
   bool ejected(const Endpoint& endpoint) const { return context_.now < endpoint.ejected_until; }
 
-  /// An attempt at it, or a fill from it, failed.
+  /// Records that an attempt at the endpoint, or a fill from it, failed.
   void record_failure(int index, Severity severity);
-  /// An attempt at it, or a fill from it, was served.
+  /// Records that an attempt at the endpoint, or a fill from it, was served.
   void record_success(int index);
-  /// Anything came from it.
+  /// Records an answer of any kind from the endpoint.
   void record_answer(int index);
-  /// It takes attempts in flight and has not answered for many times its usual gap.
+  /// Ejects an endpoint that has attempts in flight but is silent; see silent_endpoint().
   void eject_silent(int index);
-  /// Nothing was heard of the attempt's endpoint, or else its source, for so long: its index, -1 if all is
-  /// well.
+  /// The index of the attempt's endpoint, or else of its source, if it has not answered for several times its
+  /// mean answer interval; -1 if both have.
   int silent_endpoint(const AttemptState& attempt) const;
-  /// A new start of an endpoint: what failed before is no sign of it.
+  /// Clears the failures of an endpoint that started anew; they say nothing about the new process.
   static void forget_failures(Endpoint& endpoint);
 
-  /// Since the start.
+  /// Number of ejections since the start of the policy.
   const Ejections& ejections() const { return ejections_; }
 
  private:
