--- a/src/routing/outcome_evaluation.cpp
+++ b/src/routing/outcome_evaluation.cpp
@@ -246,7 +246,7 @@
   const Seconds now = parts_.context.now;
   const auto fill = e.report.fill;
   e.attempt.source_failed = e.has_source && fill != FillOutcome::no_fill_capacity;
-  e.attempt.endpoint_failed = !e.attempt.source_failed;
+  e.attempt.endpoint_failed = !e.attempt.source_failed;  // a failed source does not rule out the cache
   if (fill == FillOutcome::source_not_cached) forget_copy(e.request, e.attempt.source);
   if (fill == FillOutcome::source_rejected && e.has_source)
     parts_.endpoints[e.attempt.source].fills.reduce(now);
--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -1,7 +1,7 @@
-// The routing policy: the order of the checks, and what connects its parts. The design (docs/design.md)
-// decides the ordinary path: reference counters say whether a fill is cached, hash order picks the cache and
-// the parent. Each departure from it stands in a module of its own: concurrency limits, outlier detection,
-// slow start, retries by what an outcome proves, freshness under purges, admission and load shedding.
+// The routing policy: connects its parts and defines the order of checks. By default (docs/design.md),
+// reference counters decide whether a fill is cached, and rendezvous hashing picks the cache and the parent.
+// Each kind of exception is a module of its own: concurrency limits, outlier detection, slow start, retries,
+// freshness under purges, admission and load shedding.
 #include "routing/policy.h"
 
 #include <algorithm>
@@ -33,7 +33,8 @@
 constexpr int kLowestRank = 1;
 constexpr int kMiddleRank = 2;
 
-// A copy is of one part. Prevents a hot object, or a flow, whose parts all meet at one cache.
+// Each part of an object is ranked among the caches and cached separately, which spreads the load of a
+// popular object.
 std::uint64_t copy_key(std::uint64_t object, int part) {
   constexpr std::uint64_t kGoldenRatio = 0x9e3779b97f4a7c15u;
   return object ^ (static_cast<std::uint64_t>(part) * kGoldenRatio);
@@ -76,7 +77,7 @@
   void load_reported(int endpoint, double busy) override;
   void attempt_ended(int request, int attempt, AttemptOutcome outcome, FillOutcome fill, Seconds took,
                      Seconds waited, Seconds sending, bool request_over) override;
-  void set_valid_since(int request, Seconds made) override { at(request).valid_since = made; }
+  void set_valid_since(int request, Seconds valid_since) override { at(request).valid_since = valid_since; }
   void set_max_copy_age(Seconds age) override { max_copy_age_ = age; }
   void timer_fired() override;
 
@@ -119,11 +120,11 @@
   WarmStartState warm_start_state_;
   std::vector<Decision> decisions_;
   std::size_t next_decision_ = 0;
-  Seconds wake_up_at_ = kNever;  // the host was asked to call then
+  Seconds wake_up_at_ = kNever;  // time of the last wake_up decision
   Seconds tick_at_ = 0;
   Seconds halve_at_ = 0;
   Seconds poll_at_ = 0;
-  Seconds max_copy_age_ = 0;  // that will do for any object; 0: no limit
+  Seconds max_copy_age_ = 0;  // of any object; 0: unlimited
 };
 
 Policy::Policy(std::uint32_t seed)
@@ -139,7 +140,7 @@
       stuck_attempts_({context_, endpoints_, outliers_, service_times_, requests_}),
       warm_start_state_{context_, endpoints_, slow_start_, service_times_, fills_, counters_} {}
 
-// ---- settings and endpoints ------------------------------------------------------------------------------
+// ---- Settings and endpoints ------------------------------------------------------------------------------
 
 void Policy::set_placement(const RouterPlacement& placement) {
   context_.placement = placement;
@@ -158,7 +159,7 @@
   if (change == EndpointTable::Change::gone) return;
   auto& updated = endpoints_[endpoint];
   const bool new_start = started > updated.started + kStartTolerance && started > 0;
-  // Back from being gone with no new start told: taken as fresh.
+  // An endpoint that returns without a new start time is treated as just started.
   const bool returned = change == EndpointTable::Change::returned && !slow_start_.is_cold(updated);
   if (!new_start && !returned) return;
   slow_start_.restart(updated, new_start ? started : context_.now, service_times_.mean_request(), random_);
@@ -173,7 +174,7 @@
   endpoints_.find_or_add(endpoint).reported_load = busy;
 }
 
-// ---- requests --------------------------------------------------------------------------------------------
+// ---- Requests --------------------------------------------------------------------------------------------
 
 void Policy::request_received(int request, int request_class, std::uint64_t object, int part,
                               std::uint32_t group, double kbytes, Seconds expires, bool is_retry) {
@@ -227,15 +228,15 @@
 void Policy::shed(int index, ShedReason reason) {
   auto& request = at(index);
   expect_retry(request);
-  const bool never_ran = may_reject(request, class_of(request));
-  decisions_.push_back({.kind = never_ran ? Decision::Kind::reject : Decision::Kind::fail,
+  const bool rejectable = may_reject(request, class_of(request));
+  decisions_.push_back({.kind = rejectable ? Decision::Kind::reject : Decision::Kind::fail,
                         .request = index,
                         .time = retry_after(context_.clients),
                         .reason = reason});
   close(request);
 }
 
-// ---- decisions -------------------------------------------------------------------------------------------
+// ---- Decisions -------------------------------------------------------------------------------------------
 
 ShedReason Policy::reason_to_shed(const RequestState& request) const {
   if (context_.now > request.expires - kMinAttemptDuration) return ShedReason::deadline_exceeded;
@@ -266,9 +267,9 @@
   queue_.wait_for_capacity(index, deadline);
 }
 
-// At or under the threshold nothing is cached; where several routers serve the location, one's first request
-// is mostly the location's later, and its copy stays at the rank that leaves first. A probe leaves what it
-// finds as it is.
+// A fill is not cached until the reference counter exceeds the threshold. Where several routers serve the
+// location, the first request at one of them is usually not the first in the location, so its fill is cached
+// at the rank that is evicted first. A probe causes no fill and has no rank.
 int Policy::retention_rank(const RequestState& request, const Route& route) const {
   if (request.cache_fill) return kMiddleRank;
   return context_.placement.routers_in_location > 1 && route.source != route.endpoint ? kLowestRank : 0;
@@ -289,13 +290,12 @@
       return earlier.endpoint_failed || earlier.source_failed;
     };
     if (to_cache) decision.retention_rank = retention_rank(request, route);
-    // After a failure, no attempt waits for a fill that may be lost.
+    // After a failure, the fill that an attempt would wait for may be lost as well.
     decision.join_fill = context_.fills.coalesces && std::ranges::none_of(request.attempts, failed);
     decision.max_age =
         copy_age_limit({request_class.max_age, request.valid_since, max_copy_age_}, context_.now);
   }
-  // Prevents an attempt that waits for its connection until those that drop repeats have forgotten the one
-  // before it.
+  // An attempt may wait for a connection for longer than endpoints remember the key of the previous one.
   decision.start_by = latest_start(request, request_class);
   request.attempts.push_back(attempt);
   decisions_.push_back(decision);
@@ -327,7 +327,7 @@
   queue_.request_decision(request);
 }
 
-// ---- the host's pulls ------------------------------------------------------------------------------------
+// ---- Timers and the decision queue -----------------------------------------------------------------------
 
 void Policy::timer_fired() {
   constexpr Seconds kTimerTolerance = 1e-6;
@@ -335,8 +335,8 @@
 }
 
 void Policy::tick() {
-  constexpr Seconds kTickInterval = 0.05;   // well under any patience
-  constexpr Seconds kHalvingInterval = 30;  // the design's
+  constexpr Seconds kTickInterval = 0.05;   // well below any time-out
+  constexpr Seconds kHalvingInterval = 30;  // of reference counters, set by the design
   tick_at_ = context_.now + kTickInterval;
   if (context_.now >= halve_at_) {
     if (halve_at_ > 0) counters_.halve();
@@ -345,7 +345,7 @@
   stuck_attempts_.eject_silent_endpoints();
   if (context_.retries.can_cancel) stuck_attempts_.cancel(decisions_);
   slow_start_.update_warm_rates(kTickInterval);
-  // Once; again only after a failed call.
+  // The list is requested once, and again only if it did not arrive.
   if (!context_.polls_discovery || context_.now < poll_at_) return;
   poll_at_ = kNever;
   decisions_.push_back({.kind = Decision::Kind::poll_discovery});
--- a/src/routing/reference_counter.cpp
+++ b/src/routing/reference_counter.cpp
@@ -6,7 +6,7 @@
 namespace walkpaddle::routing {
 
 ReferenceCounters::Entry& ReferenceCounters::at(std::uint64_t object, Seconds now) {
-  constexpr int kSetBits = 20;  // above those that pick an endpoint
+  constexpr int kSetBits = 20;  // lowest bit of the set's index, above the bits that pick an endpoint
   auto* const set = &table_[(object >> kSetBits) % kSets * kWays];
   auto* worst = set;
   for (auto* entry = set; entry != set + kWays; ++entry) {
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Seconds kWindowMargin = 0.05;  // between a decision and the endpoint's clock
+constexpr Seconds kWindowMargin = 0.05;  // time between a decision and its arrival at the endpoint
 
 bool nothing_ran(const RequestState& request) { return request.may_have_run_at >= kNever; }
 
--- a/src/routing/retry.h
+++ b/src/routing/retry.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the end of an attempt proves, and which attempts may follow, by the request's idempotency (RFC
-/// 9110, 9.2.2).
+/// What the outcome of an attempt proves, and which retries are allowed, by the idempotency of the request
+/// (RFC 9110, 9.2.2).
 #pragma once
 
 #include "routing/endpoint.h"
@@ -9,30 +9,32 @@
 
 namespace walkpaddle::routing {
 
-/// The request did not run at the endpoint, whatever it does.
+/// Whether the outcome proves that the request did not run at the endpoint.
 bool proves_not_run(AttemptOutcome outcome);
-/// The endpoint is alive: something came from it.
+/// Whether the outcome proves that the endpoint is alive, since it sent something.
 bool proves_endpoint_alive(AttemptOutcome outcome);
-/// The attempt says something of its endpoint or source, which it failed at.
+/// Whether the outcome proves a failure of the endpoint or of its source.
 bool proves_failure(AttemptOutcome outcome);
 
-/// Whether another attempt may follow those that were made.
+/// Whether another attempt may follow the earlier ones.
 bool may_retry(const RequestState& request, const RequestClass& request_class, Seconds now);
-/// Whether a repeat at `candidate` meets the endpoints that drop it, the first attempt having gone to
-/// `first`. True where nothing needs to be dropped.
+/// Whether `candidate` would drop a repeat if the attempt at `first` ran, because the two share idempotency
+/// keys. Also true where no repeat needs to be dropped.
 bool repeat_is_dropped(const RequestState& request, const RequestClass& request_class, const Endpoint& first,
                        const Endpoint& candidate);
-/// Whether it may be answered that the request never ran.
+/// Whether the request may be rejected, which lets the client send it again: no attempt ran, or a repeat is
+/// harmless.
 bool may_reject(const RequestState& request, const RequestClass& request_class);
-/// A repeat has to begin by then, or those that drop it may have forgotten the first; 0: any time will do.
+/// Latest start of a retry, after which endpoints may have forgotten the key of the first attempt; 0: no
+/// limit.
 Seconds latest_start(const RequestState& request, const RequestClass& request_class);
 
-/// The pause before an attempt that follows a rejected one: it grows, so that a crowd is not answered with a
-/// storm. `earlier`: rejections of this request before that.
+/// Pause before a retry of a rejected attempt. It doubles with each rejection, up to a bound, so that retries
+/// do not add to an overload. `earlier`: number of earlier rejections of the request.
 Seconds pause_after_rejection(FillOutcome fill, int earlier);
-/// The pause before an attempt that follows one that failed at once, from the second on: the attempts that
-/// are left are spread over a part of the time that is left. Prevents requests rejected with most of their
-/// time left, where every endpoint fails for a moment.
+/// Pause before a retry of an attempt that failed immediately, from the second such failure on. The remaining
+/// attempts are spread over a part of the remaining time. Without the pause a request uses up its attempts
+/// within milliseconds when all endpoints fail for a moment, and is rejected with most of its time left.
 Seconds pause_after_immediate_failure(Seconds time_left, int attempts_left);
 
 }  // namespace walkpaddle::routing
