--- a/src/routing/route_selection.cpp
+++ b/src/routing/route_selection.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-// The first in order that is usable and fits; -1 for none.
+// The index of the first endpoint in the ranking that is usable and for which `fits` is true; -1 for none.
 template <class Fits>
 int RouteSelector::first_usable(EndpointOrder::Ranking& ranking, Fits&& fits) const {
   for (std::size_t place = 0;; ++place) {
@@ -30,7 +30,7 @@
   }
 }
 
-// Whether a cache can take one more attempt of a request.
+// Predicate: whether a cache has capacity for one more attempt of a request.
 class RouteSelector::CacheCapacity {
  public:
   CacheCapacity(const RouteSelector& selector, const RequestState& request, EndpointOrder::Ranking& caches)
@@ -43,7 +43,8 @@
   bool operator()(int index) {
     const auto& cache = parts_.endpoints[index];
     const double share = fair_share(cache);
-    // No answer will make a limit grow for lookups: one that was never reduced does not bind them.
+    // The answers to a lookup's represented requests are not seen and cannot grow a limit, so a limit that
+    // was never reduced does not apply to lookups.
     const bool capacity = cache.attempts.admits(weight_, parts_.context.now) ||
                           (request_.represented_requests > 0 && !cache.attempts.congested());
     return !failed_at(request_, index) && capacity && cache.attempts.in_flight() + weight_ <= share &&
@@ -51,13 +52,14 @@
   }
 
  private:
-  // What the usable caches have in flight, and their weights, in sum.
+  // Sums over the usable caches.
   struct Totals {
     double in_flight = 0;
     double weight = 0;
   };
 
-  // In requests of mean work. Less would move hot objects about, more congest a cache.
+  // Upper bound on what a cache may have in flight, relative to its weight, in attempts of mean work. A lower
+  // bound would move popular objects between caches, a higher one would congest a cache.
   double fair_share(const Endpoint& cache) {
     constexpr double kMinFairShare = 8;
     constexpr double kMeanMultiple = 1.3;
@@ -84,7 +86,7 @@
   EndpointOrder::Ranking& caches_;
   const double work_;
   const double weight_;
-  std::optional<Totals> totals_;  // only where a cache has more than is always fair
+  std::optional<Totals> totals_;  // computed when a cache has more than kMinFairShare in flight
 };
 
 RouteSelector::KnownCopy RouteSelector::known_copy(const RequestState& request) const {
@@ -102,8 +104,8 @@
   CacheCapacity can_take(*this, request, caches);
   const double fill = weight * (request.cache_probed ? 1 : fills.cache_misses.mean());
 
-  // Where answers tell nothing, a probe does: a hit, or nothing there and then a fill. A lookup names no
-  // source: what its client's misses draw is the cache's own doing, and unseen.
+  // Where answers do not report their fill, the cache is first probed for a copy, and a fill follows a miss.
+  // A lookup names no source, since the cache fills the misses of the represented requests itself.
   const bool probe = parts_.context.fills.reporting == FillReporting::none && !request.cache_probed;
   if (probe || request.represented_requests > 0)
     if (const int cache = first_usable(caches, can_take); cache >= 0) return {cache, cache, false};
@@ -115,8 +117,8 @@
   });
   if (cache >= 0)
     if (const auto route = select_fill(request, cache, copy); route.source >= 0) return route;
-  // No capacity for a fill: the cache that would hold the object is asked for what it holds, once. Prevents
-  // hits that wait behind fills, whatever holds those up.
+  // If there is no capacity for a fill, the first cache is probed for a copy, once. Otherwise hits would wait
+  // whenever fills are held up.
   if (!request.cache_probed)
     if (const int cache_to_probe = first_usable(caches, can_take); cache_to_probe >= 0)
       return {cache_to_probe, cache_to_probe, false};
@@ -131,13 +133,13 @@
          parts_.slow_start.admits(sibling, parts_.service_times.cold_work(request.request_class));
 }
 
-// With the cache chosen, who supplies a miss; no source where nobody can.
+// Selects the source of a fill at the given cache; the source is -1 if none has capacity.
 Route RouteSelector::select_fill(const RequestState& request, int cache, const KnownCopy& copy) const {
   if (sibling_supplies(request, cache, copy)) return {cache, copy.cache, true};
   Route route{cache, select_source(request), false};
   if (route.source < 0) return route;
-  // No capacity at the origin behind a parent: the parent is asked for what it holds, once. Prevents an
-  // origin that serves nobody in time while what parents hold waits behind it.
+  // If the origin behind a parent has no capacity, the parent is asked for a cached copy only, once.
+  // Otherwise requests that the parent could answer would wait for an overloaded origin.
   const int origin = parts_.endpoints.first_origin();
   const double weight = parts_.service_times.weight(request) * parts_.fills.parent_misses.mean();
   route.cached_only = parts_.endpoints[route.source].role == Role::parent && origin >= 0 &&
@@ -146,7 +148,8 @@
   return route;
 }
 
-// No cache of the location can take it: straight to a parent. Never because the caches are merely full.
+// Selects a parent or the origin as the endpoint if no cache of the location can be used for the request. A
+// cache that is only at its limit counts as one that can.
 Route RouteSelector::select_without_cache(const RequestState& request) const {
   const double work = parts_.service_times.cold_work(request.request_class);
   const double weight = parts_.service_times.weight(request);
@@ -159,7 +162,7 @@
     return {};
   const int endpoint = select_source(request);
   auto origins = parts_.endpoints.ranked(Role::origin, request.object);
-  const int source = first_usable(origins, [](int) { return true; });  // a parent alone fills nothing
+  const int source = first_usable(origins, [](int) { return true; });  // a parent needs one for its misses
   return source < 0 ? Route{} : Route{endpoint, source, false};
 }
 
@@ -180,7 +183,7 @@
 }
 
 Route RouteSelector::select_uncacheable(const RequestState& request) const {
-  int origin = -1;  // also while ejected: nobody else can run it
+  int origin = -1;  // may be ejected, as nothing else can run the request
   auto origins = parts_.endpoints.ranked(Role::origin, request.object);
   for (std::size_t place = 0; place < origins.size(); ++place)
     if (const int index = origins.at(place); parts_.endpoints[index].ready) origin = index;
--- a/src/routing/route_selection.h
+++ b/src/routing/route_selection.h
@@ -1,6 +1,7 @@
 /// \file
-/// Where an attempt goes: the first cache in the object's order that is usable and has capacity, and from
-/// where a miss there is filled. Where none has, the smallest departures from that order (docs/design.md).
+/// Selection of the endpoint and the source of an attempt: the first cache in the object's ranking that is
+/// usable and has capacity, and a source for a miss there. Where no cache has capacity, the selection departs
+/// from the ranking as little as possible (docs/design.md).
 #pragma once
 
 #include <cstdint>
@@ -14,46 +15,46 @@
 
 namespace walkpaddle::routing {
 
-/// Where one attempt goes.
+/// Endpoint and source of an attempt.
 struct Route {
-  int endpoint = -1;         ///< -1: none can take it now
-  int source = -1;           ///< who supplies a miss; the endpoint itself for none
-  bool cached_only = false;  ///< the source gives only what it holds
+  int endpoint = -1;         ///< endpoint of the attempt; -1: no endpoint has capacity
+  int source = -1;           ///< source of a fill; equal to `endpoint` if there is to be none
+  bool cached_only = false;  ///< the source supplies only what it has cached
 };
 
-/// What is known of misses, and of the link that fills come over.
+/// Estimated miss ratios, and the limit of fills over the location's link.
 struct FillEstimates {
   ConcurrencyLimit link{
       {.initial = 8, .floor = 1.5}};  ///< this router's fills over the location's incoming link
-  UnqueuedMean cache_misses{0.5};     ///< share of attempts at a cache that draw a fill
+  UnqueuedMean cache_misses{0.5};     ///< share of attempts at a cache that need a fill
   UnqueuedMean parent_misses{0.5};    ///< share of fills that a parent fetches from the origin
 };
 
-/// Chooses the endpoint and the source of an attempt.
+/// Selects the endpoint and the source of an attempt.
 class RouteSelector {
  public:
-  /// All of them must outlive it.
+  /// Parts of the policy that it uses; all must outlive it.
   struct Parts {
-    const PolicyContext& context;       ///< settings and time
-    const EndpointTable& endpoints;     ///< in their order for each object
-    const OutlierDetector& outliers;    ///< which of them are usable
-    const SlowStart& slow_start;        ///< what cold ones may be sent
-    const ServiceTimes& service_times;  ///< the weight of an attempt
-    const FillEstimates& fills;         ///< whether the link has capacity
-    ReferenceCounters& counters;        ///< which cache lately had an object
+    const PolicyContext& context;       ///< settings and current time
+    const EndpointTable& endpoints;     ///< endpoints, ranked per object
+    const OutlierDetector& outliers;    ///< which endpoints are usable
+    const SlowStart& slow_start;        ///< budgets of cold endpoints
+    const ServiceTimes& service_times;  ///< weight and work of an attempt
+    const FillEstimates& fills;         ///< capacity of the link, miss ratios
+    ReferenceCounters& counters;        ///< which cache has a copy
   };
-  /// Keeps the references.
+  /// Stores the references in `parts`.
   explicit RouteSelector(const Parts& parts) : parts_(parts) {}
 
-  /// Of a class that is cached.
+  /// Selects a route for a request of a cacheable class.
   Route select(const RequestState& request) const;
-  /// Of a class that is not cached: straight to the origin, or through a cache where the origin takes no
-  /// attempts.
+  /// Selects a route for a request of an uncacheable class: directly to the origin, or through a cache where
+  /// attempts cannot be sent to the origin.
   Route select_uncacheable(const RequestState& request) const;
 
  private:
   class CacheCapacity;
-  /// A cache that lately had the object.
+  /// The cache that last had a copy of the object.
   struct KnownCopy {
     int cache = -1;
     bool recent = false;
--- a/src/routing/service_time.cpp
+++ b/src/routing/service_time.cpp
@@ -23,7 +23,7 @@
 }
 
 void UnqueuedMean::add(double value, bool unqueued, Evidence evidence) {
-  constexpr int kSampleWindow = 50;  // seconds of answers
+  constexpr int kSampleWindow = 50;  // samples; some seconds of answers
   constexpr int kMinReportedSamples = 2;
   constexpr int kMinInferredSamples = 10;
   unconfirmed_ = std::max(0, unconfirmed_ - 1);
@@ -42,11 +42,11 @@
 void ServiceTimes::add_class(const RequestClass& request_class) {
   const Seconds objective = request_class.latency_objective;
   for (auto& by_class : excess_) by_class.push_back({objective, objective});
-  sending_.emplace_back(objective);  // until hits tell: longer than most sendings
+  sending_.emplace_back(objective);  // longer than most sending times
 }
 
 void ServiceTimes::restore(int request_class, double mean, int samples) {
-  constexpr int kMaxSamples = 10;  // as many answers of the last start as a guess takes
+  constexpr int kMaxSamples = 10;  // as many as inferred evidence requires
   sending_[index_of(request_class)] =
       UnqueuedMean::restored(mean, std::min(samples, kMaxSamples), kMaxSamples);
 }
@@ -90,7 +90,7 @@
 }
 
 void ServiceTimes::record_latency(const RequestState& request, Seconds took) {
-  constexpr double kGain = 0.02;  // some seconds of answers
+  constexpr double kGain = 0.02;  // averages over some seconds of answers
   auto& excess = excess_[size_known(request)][index_of(request.request_class)];
   const double over = took - (request.kbytes > 0 ? work(request) : 0);
   excess.deviation += (std::abs(over - excess.mean) - excess.deviation) * kGain;
--- a/src/routing/service_time.h
+++ b/src/routing/service_time.h
@@ -1,7 +1,6 @@
 /// \file
-/// How long answers take: the sending time of a class or of a known size, and how far attempts lately went
-/// past it. From these follow the weight of an attempt, when an answer is expected, and how long the policy
-/// is patient with one.
+/// Estimates of how long answers take: the sending time by class or known size, and the latency beyond it.
+/// They determine the weight of an attempt, its expected latency, and when it counts as lost.
 #pragma once
 
 #include <array>
@@ -12,29 +11,31 @@
 
 namespace walkpaddle::routing {
 
-/// A running mean as it is without queueing; until enough samples came so, of whatever comes: something is
-/// known at once. Prevents a busy start, where the few answers that come without a queue are those of the
-/// smallest objects, from setting the mean, and means that follow a queue: one of many routers may see ten
-/// answers a second, few of them without one.
+/// A running mean of samples that did not wait in a queue. Until there are enough of them it is the mean of
+/// all samples, so that an estimate exists at once. Under load the few answers without a queue are those of
+/// the smallest objects, so several are required before they determine the mean; later queued samples are
+/// left out, so that the mean does not grow with a queue. One of many routers may see ten answers a second,
+/// few of them unqueued.
 class UnqueuedMean {
  public:
-  /// How it is known that there was no queue. A guess by what is in flight here takes ten samples, which
-  /// halve the doubt of three; a report of the endpoint takes two, enough that one small object does not
-  /// stand for all.
+  /// How it is known that a sample did not queue: reported by the endpoint's load report, or inferred from
+  /// what this router has in flight there. Ten inferred samples are required, which have about half the
+  /// standard error of three; two reported ones suffice, so that a single small object does not determine the
+  /// mean.
   enum class Evidence { reported, inferred };
 
-  /// `initial` stands until samples come.
+  /// `initial` is the mean until the first sample.
   explicit UnqueuedMean(double initial) : mean_(initial) {}
-  /// One that an earlier start left; `unconfirmed`: samples to come before it counts fully.
+  /// Restores a mean from an earlier start. It is unconfirmed until `unconfirmed` samples have been added.
   static UnqueuedMean restored(double mean, int samples, int unconfirmed = 0);
 
-  /// One more sample; `unqueued`: it did not wait in a queue.
+  /// Adds a sample; `unqueued`: it did not wait in a queue.
   void add(double value, bool unqueued, Evidence evidence = Evidence::reported);
-  double mean() const { return mean_; }                       ///< what to go by
-  double unqueued_mean() const { return unqueued_mean_; }     ///< of samples without a queue
-  int samples() const { return samples_; }                    ///< that came before enough were unqueued
-  int unqueued_samples() const { return unqueued_samples_; }  ///< without a queue
-  bool confirmed() const { return unconfirmed_ <= 0; }        ///< enough samples of this start confirm it
+  double mean() const { return mean_; }                       ///< the current estimate
+  double unqueued_mean() const { return unqueued_mean_; }     ///< mean of the unqueued samples alone
+  int samples() const { return samples_; }                    ///< samples until enough were unqueued
+  int unqueued_samples() const { return unqueued_samples_; }  ///< number of unqueued samples
+  bool confirmed() const { return unconfirmed_ <= 0; }        ///< enough samples since the start support it
 
  private:
   double mean_ = 0;
@@ -44,46 +45,47 @@
   int unconfirmed_ = 0;
 };
 
-/// Means by class.
+/// Service times by request class.
 class ServiceTimes {
  public:
   /// `context` must outlive it.
   explicit ServiceTimes(const PolicyContext& context) : context_(context) {}
 
-  /// The next class; until answers come, its latency objective stands for its sending time.
+  /// Adds the next class. Until answers arrive its sending time is taken as its latency objective.
   void add_class(const RequestClass& request_class);
-  /// From an earlier start, by class. Against slow-start budgets it counts only once it is confirmed.
+  /// Restores the mean sending time of a class. It does not lower cold_work() until it is confirmed.
   void restore(int request_class, double mean, int samples);
-  /// Sending times, by class.
+  /// Sending times by class.
   const std::vector<UnqueuedMean>& by_class() const { return sending_; }
 
-  /// Seconds of sending to the client: by the size where that is known, else the mean of the class.
+  /// Work of a request: seconds to send its answer to the client, from the size if known, otherwise the mean
+  /// of its class.
   Seconds work(const RequestState& request) const;
-  /// Mean sending time of a class.
+  /// Mean work of a class.
   Seconds mean_work(int request_class) const;
-  /// What an attempt counts at a cold cache: the mean of its class, no less than the latency objective until
-  /// it is confirmed.
+  /// Work charged to the budget of a cold cache: the mean of the class, or the latency objective if that is
+  /// longer and the mean is unconfirmed.
   Seconds cold_work(int request_class) const;
-  /// Work of an attempt in requests of mean work, for limits and bounds: a video counts for many pages.
+  /// Weight of an attempt in limits, in attempts of mean work; a video weighs more than a page.
   double weight(const RequestState& request) const;
-  /// Of all requests, in seconds of sending.
+  /// Mean work of all requests.
   Seconds mean_request() const { return mean_request_; }
 
-  /// When an attempt sent now is expected to end, from its sending on.
+  /// Expected latency of an attempt sent now.
   Seconds expected_latency(const RequestState& request) const;
-  /// How long an attempt may take before it is held for lost: well past what those of its class lately took.
+  /// Time after which an attempt counts as lost: several deviations above its expected latency.
   Seconds loss_timeout(const RequestState& request) const;
 
-  /// A request of a class that is cached came.
+  /// Records the work of a request of a cacheable class.
   void record_request(const RequestState& request);
-  /// An attempt was served after `took` seconds.
+  /// Records that an attempt was served after `took` seconds.
   void record_latency(const RequestState& request, Seconds took);
-  /// The sending time of one answer, known or estimated.
+  /// Records the sending time of an answer, known or estimated.
   void record_sending(int request_class, Seconds sending, bool unqueued = true,
                       UnqueuedMean::Evidence evidence = UnqueuedMean::Evidence::reported);
 
  private:
-  /// Mean and mean deviation of what attempts took past the sending that was known.
+  /// Mean and mean deviation of the latency beyond a known sending time.
   struct Excess {
     double mean = 0;
     double deviation = 0;
@@ -91,7 +93,7 @@
   const Excess& excess(const RequestState& request) const;
 
   const PolicyContext& context_;
-  std::vector<UnqueuedMean> sending_;          // by class, from known sizes or hits
+  std::vector<UnqueuedMean> sending_;          // by class; samples from known sizes or hits
   std::array<std::vector<Excess>, 2> excess_;  // by whether the size was known, by class
   Seconds mean_request_ = 0.4;
 };
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -21,7 +21,7 @@
 }
 
 void SlowStart::restart(Endpoint& endpoint, Seconds started, Seconds mean_request, std::mt19937& random) {
-  constexpr double kInitialLimit = 2;  // grows with its answers
+  constexpr double kInitialLimit = 2;  // attempts; grows with each answer
   endpoint.started = started;
   if (!is_cold(endpoint)) return;
   if (!std::exchange(endpoint.may_be_cold, true)) starting_.push_back(endpoints_.index_of(endpoint));
@@ -33,18 +33,20 @@
 }
 
 double SlowStart::budget_rate(const Endpoint& endpoint) const {
-  constexpr double kMargin = 0.6;  // with the burst of a quarter well under the stated multiple in any window
+  // A window may hold its own budget and a burst of a quarter of it, so this stays under the allowed
+  // multiple.
+  constexpr double kMargin = 0.6;
   constexpr Seconds kShortest = 1e-9;
   const bool is_parent = endpoint.role == Role::parent;
   const double routers = is_parent ? context_.placement.routers : context_.placement.routers_in_location;
-  // At least its part of one transfer: less than any machine's size.
+  // The rate is at least this router's share of one transfer at a time, which any machine can handle.
   const double part = context_.weights_are_transfers
                           ? endpoint.weight / routers
                           : std::max(1 / routers, warm_[warm_index(endpoint.role)].rate);
   const auto& settings = settings_of(endpoint);
   const double warm_share =
       std::clamp((context_.now - endpoint.started) / std::max(settings.duration, kShortest), 0.0, 1.0);
-  const double share = settings.initial_share + (1 - settings.initial_share) * warm_share;  // of its capacity
+  const double share = settings.initial_share + (1 - settings.initial_share) * warm_share;  // of the capacity
   return kMargin * settings.multiple * share * part;
 }
 
@@ -53,13 +55,13 @@
 }
 
 bool SlowStart::admits(const Endpoint& endpoint, Seconds work, double represented_requests) const {
-  constexpr double kWindowsPerBurst = 4;  // part of the settings' window that may come at once
+  constexpr double kBurstsPerWindow = 4;  // a burst may use this fraction of a window's budget
   if (!is_cold(endpoint)) return true;
   work *= std::max(1.0, represented_requests);
   const double rate = budget_rate(endpoint);
   const double spent = spent_now(endpoint, rate);
   return (spent <= 0 && represented_requests <= 1) ||
-         spent + work <= rate * settings_of(endpoint).window / kWindowsPerBurst;
+         spent + work <= rate * settings_of(endpoint).window / kBurstsPerWindow;
 }
 
 void SlowStart::spend(Endpoint& endpoint, Seconds work) {
@@ -73,12 +75,12 @@
 }
 
 void SlowStart::grow_limit(Endpoint& endpoint, ConcurrencyLimit& limit) const {
-  constexpr double kGrowth = 0.25;  // with each answer
+  constexpr double kGrowth = 0.25;  // attempts per answer
   if (is_cold(endpoint)) limit.grow(kGrowth);
 }
 
 void SlowStart::update_warm_rates(Seconds elapsed) {
-  constexpr Seconds kTimeConstant = 4;  // smooths single heavy answers
+  constexpr Seconds kTimeConstant = 4;  // smooths out single large answers
   std::erase_if(starting_, [&](int index) {
     auto& endpoint = endpoints_[index];
     endpoint.may_be_cold = is_cold(endpoint);
@@ -89,7 +91,7 @@
     const auto cold = std::ranges::count_if(
         starting_, [&](int index) { return endpoints_[index].counted && endpoints_[index].role == role; });
     const auto warm_endpoints = endpoints_.ready_count(role) - cold;
-    // With none warm, what was known of them stands.
+    // Without warm endpoints the last rate is kept.
     if (warm_endpoints > 0)
       warm.rate += (warm.served / warm_endpoints / elapsed - warm.rate) * elapsed / kTimeConstant;
     warm.served = 0;
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -1,8 +1,9 @@
 /// \file
-/// What a cold endpoint may be sent. Each router spends by itself, so that all together stay inside what the
-/// settings allow without knowing of each other: its part of an endpoint is the told size over the routers
-/// that may send there; where no size is told, the mean rate that it lately got through the warm endpoints of
-/// that role: all routers' together fit one.
+/// Slow start: limits the work sent to cold endpoints. Each router has a budget of its own, without
+/// coordination, sized so that the sum over all routers stays within the settings. A router's share of an
+/// endpoint is its weight divided by the number of routers that may send to it. Where weights are not given
+/// as capacities, it is the mean rate at which this router was recently served by the warm endpoints of the
+/// role; over all routers these rates sum to at most what one endpoint can handle.
 #pragma once
 
 #include <array>
@@ -21,32 +22,32 @@
   SlowStart(const PolicyContext& context, EndpointTable& endpoints)
       : context_(context), endpoints_(endpoints) {}
 
-  /// Before the first endpoint.
+  /// Sets the settings of caches and of parents. Must precede the first endpoint.
   void set(const SlowStartSettings& caches, const SlowStartSettings& parents);
 
-  /// Its last start is less than the settings' duration ago.
+  /// Whether the last start of the endpoint is less than the settings' duration ago. Origins are never cold.
   bool is_cold(const Endpoint& endpoint) const;
-  /// The endpoint started at `started`. `mean_request`: seconds of work. The first attempts of many routers
-  /// must not meet, so each begins at a random phase.
+  /// Records that the endpoint started at time `started`. Its budget starts at a random phase of
+  /// `mean_request` seconds of work, so that the first attempts of many routers do not coincide.
   void restart(Endpoint& endpoint, Seconds started, Seconds mean_request, std::mt19937& random);
 
-  /// Whether the budget admits so much work. A request alone may overdraw it; a lookup, which may represent
-  /// thousands, may not.
+  /// Whether the budget admits `work` seconds more. A single request may overdraw an unused budget; a lookup,
+  /// which may represent thousands of requests, may not.
   bool admits(const Endpoint& endpoint, Seconds work, double represented_requests = 0) const;
-  /// An attempt goes to it; nothing happens at a warm one.
+  /// Charges the work of an attempt to the endpoint's budget if it is cold.
   void spend(Endpoint& endpoint, Seconds work);
-  /// A warm endpoint served so much.
+  /// Records work that was served by the endpoint, if it is warm.
   void record_served(const Endpoint& endpoint, Seconds work);
-  /// A cold endpoint answered: its limits grow.
+  /// Grows a limit of the endpoint after an answer, if it is cold.
   void grow_limit(Endpoint& endpoint, ConcurrencyLimit& limit) const;
-  /// Averages what the warm endpoints served since the last call, `elapsed` ago.
+  /// Updates the mean rates of the warm endpoints. `elapsed`: seconds since the last call.
   void update_warm_rates(Seconds elapsed);
 
  private:
-  /// Work that a warm endpoint of a role lately got from this router, in the mean.
+  /// Mean rate at which a warm endpoint of a role serves this router.
   struct WarmRate {
-    Seconds served = 0;  // since the last update, at all of them
-    double rate = 0;     // seconds of work a second
+    Seconds served = 0;  // work served by all of them since the last update
+    double rate = 0;     // seconds of work per second, per endpoint
   };
   const SlowStartSettings& settings_of(const Endpoint& endpoint) const;
   double budget_rate(const Endpoint& endpoint) const;
--- a/src/routing/stuck_attempts.cpp
+++ b/src/routing/stuck_attempts.cpp
@@ -7,9 +7,9 @@
 
 void StuckAttempts::eject_silent_endpoints() {
   constexpr int kMinWaiting = 2;
-  std::map<int, int> waiting;  // attempts, by the endpoint that is silent
+  std::map<int, int> waiting;  // number of waiting attempts by silent endpoint
   for (const auto& request : parts_.requests) {
-    if (request.represented_requests > 0) continue;  // what follows a lookup is never heard of
+    if (request.represented_requests > 0) continue;  // the router does not see represented requests
     for (const auto& attempt : request.attempts) {
       if (!attempt.in_flight) continue;
       if (const int silent = parts_.outliers.silent_endpoint(attempt); silent >= 0) ++waiting[silent];
@@ -25,13 +25,13 @@
          request_class.idempotency == Idempotency::idempotent;
 }
 
-// Where an attempt waits in vain: an endpoint that is ejected, or one past all loss_timeout; -1 if it may
-// still be answered.
+// The endpoint or source that will not answer the attempt, because it is silent and ejected or because the
+// loss timeout has passed; -1 if the attempt may still be answered.
 int StuckAttempts::lost_endpoint(const RequestState& request, const AttemptState& attempt) {
   const int silent = parts_.outliers.silent_endpoint(attempt);
   if (silent >= 0 && parts_.outliers.ejected(parts_.endpoints[silent])) return silent;
-  // Prevents attempts that are lost one by one while their endpoint answers others from waiting for their
-  // deadline.
+  // A single attempt can be lost while its endpoint answers others; without the timeout it would wait until
+  // its deadline.
   const Seconds now = parts_.context.now;
   if (now - attempt.sent_at < parts_.service_times.loss_timeout(request)) return -1;
   const int lost_endpoint = attempt.may_fill ? attempt.source : attempt.endpoint;
--- a/src/routing/stuck_attempts.h
+++ b/src/routing/stuck_attempts.h
@@ -1,5 +1,6 @@
 /// \file
-/// Attempts that wait in vain: at endpoints that fell silent, or past all patience of their class.
+/// Detection of attempts that will not be answered: those at silent endpoints, and those past the loss
+/// timeout of their class.
 #pragma once
 
 #include <vector>
@@ -12,24 +13,23 @@
 
 namespace walkpaddle::routing {
 
-/// Finds attempts that wait in vain, once a tick.
+/// Finds stuck attempts; runs once per tick.
 class StuckAttempts {
  public:
-  /// All of them must outlive it.
+  /// Parts of the policy that it uses; all must outlive it.
   struct Parts {
-    const PolicyContext& context;         ///< settings and time
-    EndpointTable& endpoints;             ///< whose limits learn of lost attempts
+    const PolicyContext& context;         ///< settings and current time
+    EndpointTable& endpoints;             ///< endpoints whose limits record lost attempts
     OutlierDetector& outliers;            ///< which endpoints are silent
-    const ServiceTimes& service_times;    ///< how long attempts take
-    std::vector<RequestState>& requests;  ///< open and over
+    const ServiceTimes& service_times;    ///< loss timeouts
+    std::vector<RequestState>& requests;  ///< all requests, open or not
   };
-  /// Keeps the references.
+  /// Stores the references in `parts`.
   explicit StuckAttempts(const Parts& parts) : parts_(parts) {}
 
-  /// Ejects the endpoints that several attempts wait for and nothing is heard of.
+  /// Ejects the silent endpoints that several attempts wait for.
   void eject_silent_endpoints();
-  /// Marks the attempts that are to be cancelled, and appends a decision for each; of idempotent requests
-  /// only.
+  /// Appends a cancel decision for each stuck attempt of an idempotent request and marks the attempt.
   void cancel(std::vector<Decision>& decisions);
 
  private:
--- a/src/routing/warm_start.cpp
+++ b/src/routing/warm_start.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr Seconds kLimitHalfLife = 60;  // a minute halves what limits count
-constexpr Seconds kCountHalfLife = 30;  // as the design halves them
+constexpr Seconds kLimitHalfLife = 60;
+constexpr Seconds kCountHalfLife = 30;  // the interval at which reference counters are halved
 constexpr Seconds kMaxCountAge = 300;
 constexpr int kMissSamples = 10;
 
--- a/src/routing/warm_start.h
+++ b/src/routing/warm_start.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the policy leaves to the next start of the router, and takes from the last.
+/// Snapshot of the policy's estimates for the next start of the router, and its restoration.
 #pragma once
 
 #include <random>
@@ -12,21 +12,21 @@
 
 namespace walkpaddle::routing {
 
-/// The parts that have learnt something; all of them must outlive it.
+/// The parts of the policy that a snapshot is taken from and restored to; all must outlive it.
 struct WarmStartState {
-  const PolicyContext& context;  ///< settings and time
-  EndpointTable& endpoints;      ///< limits and reachability
+  const PolicyContext& context;  ///< settings and current time
+  EndpointTable& endpoints;      ///< limits and reachability of endpoints
   SlowStart& slow_start;         ///< which endpoints are cold
-  ServiceTimes& service_times;   ///< means by class
-  FillEstimates& fills;          ///< the link and the miss ratio
-  ReferenceCounters& counters;   ///< of objects
+  ServiceTimes& service_times;   ///< mean sending times by class
+  FillEstimates& fills;          ///< limit of the link and miss ratio
+  ReferenceCounters& counters;   ///< reference counters of objects
 };
 
-/// What the next start may go on with.
+/// Takes a snapshot for the next start.
 WarmStartSnapshot take_snapshot(const WarmStartState& state);
-/// After the settings and the first endpoint list. Limits that were reached before count by their age, never
-/// at a cold endpoint, nor where one was reduced since. Prevents a router that returns from rejecting what it
-/// bore before it went.
+/// Restores a snapshot. Must follow the settings and the first endpoint list. Limits are reduced by the age
+/// of the snapshot, and not restored at cold endpoints or where a limit was reduced since. A router without
+/// its earlier limits would reject, after a restart, load that it could forward before.
 void restore_snapshot(const WarmStartState& state, const WarmStartSnapshot& snapshot, std::mt19937& random);
 
 }  // namespace walkpaddle::routing
