--- a/src/guard/counters.h
+++ b/src/guard/counters.h
@@ -1,5 +1,6 @@
-// Counts by enumerated reason: why connections were closed, attempts repeated, requests shed. No I/O; read by
-// the operators' socket and written as one line at the end of the program.
+/// \file
+/// Counters by reason: closed connections, ended attempts, answered requests. Read through the admin socket
+/// and logged when the program ends. No I/O.
 #pragma once
 
 #include <array>
@@ -10,47 +11,54 @@
 
 namespace walkpaddle::guard {
 
-// Why a client's connection was closed, by whichever side.
+/// Why a client connection was closed, by either side.
 enum class ClientClose {
-  by_client,
-  made_room,         // for a new client, with all places taken
-  no_place,          // nothing could make room: a new connection was closed unread
-  no_whole_message,  // nothing whole within the time that a message may take
-  unusable_message,
-  slow_reader,  // its unread answers pressed on the memory
-  program_ends,
-  count
+  by_client,         ///< closed by the client
+  made_room,         ///< idle connection closed for a new client, as the maximum was reached
+  no_place,          ///< new connection closed unread, as no other one could be closed
+  no_whole_message,  ///< no complete message arrived in time
+  unusable_message,  ///< a message could not be parsed
+  slow_reader,       ///< unread answers used too much memory
+  program_ends,      ///< closed when the program ended
+  count              ///< number of enumerators above
 };
+/// Names of the reasons, by value.
 constexpr std::array<std::string_view, static_cast<std::size_t>(ClientClose::count)> kClientCloseNames = {
     "by_client",        "made_room",   "no_place",    "no_whole_message",
     "unusable_message", "slow_reader", "program_ends"};
 
-// Why a connection to an endpoint was closed, or never came up.
+/// Why an upstream connection was closed or not established.
 enum class EndpointClose {
-  by_endpoint,
-  refused,  // at the dial
-  not_up_in_time,
-  idle,       // before the other side would close it
-  made_room,  // for a connection to another endpoint
-  answer_unusable,
-  answer_trickles,
-  answer_stopped,  // midway
-  moved_or_gone,   // as discovery tells
-  silent,          // an answer was due, and nothing was heard
-  count
+  by_endpoint,      ///< closed by the endpoint
+  refused,          ///< connecting failed
+  not_up_in_time,   ///< not established in time
+  idle,             ///< closed before the endpoint's idle timeout
+  made_room,        ///< closed for a connection to another endpoint
+  answer_unusable,  ///< an answer could not be parsed
+  answer_trickles,  ///< an answer arrived too slowly
+  answer_stopped,   ///< an answer stopped before its end
+  moved_or_gone,    ///< the endpoint's address changed or it is gone, by discovery
+  silent,           ///< an answer was due and nothing arrived
+  count             ///< number of enumerators above
 };
+/// Names of the reasons, by value.
 constexpr std::array<std::string_view, static_cast<std::size_t>(EndpointClose::count)> kEndpointCloseNames = {
     "by_endpoint",     "refused",         "not_up_in_time", "idle",          "made_room",
     "answer_unusable", "answer_trickles", "answer_stopped", "moved_or_gone", "silent"};
 
+/// All counters, from the start of the program.
 struct Counters {
-  std::array<std::uint64_t, kClientCloseNames.size()> client_closes{};
-  std::array<std::uint64_t, kEndpointCloseNames.size()> endpoint_closes{};
-  std::array<std::uint64_t, 10> attempts_ended{};  // by Verdict
+  std::array<std::uint64_t, kClientCloseNames.size()> client_closes{};      ///< by ClientClose
+  std::array<std::uint64_t, kEndpointCloseNames.size()> endpoint_closes{};  ///< by EndpointClose
+  std::array<std::uint64_t, 10> attempts_ended{};                           ///< by AttemptOutcome
+  /// Requests by how they ended; `left`: the client left first.
   std::uint64_t served = 0, shed = 0, failed = 0, left = 0;
-  std::uint64_t attempts = 0, retries = 0, lost_watches = 0;  // lost_watches: times that the watch was lost
+  /// Attempts, those that were retries, and interruptions of the watch of discovery.
+  std::uint64_t attempts = 0, retries = 0, lost_watches = 0;
 
+  /// Counts a closed client connection.
   void closed(ClientClose why) { ++client_closes[static_cast<std::size_t>(why)]; }
+  /// Counts a closed upstream connection.
   void closed(EndpointClose why) { ++endpoint_closes[static_cast<std::size_t>(why)]; }
 };
 
--- a/src/guard/guard.cpp
+++ b/src/guard/guard.cpp
@@ -6,8 +6,7 @@
 
 namespace {
 
-constexpr Seconds kDeadlineSlack =
-    0.15;  // the deadline passed on may be longer than what the client has left by this
+constexpr Seconds kDeadlineSlack = 0.15;  // by which a deadline may exceed the time left to the client
 
 bool proves_not_run(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::rejected || outcome == AttemptOutcome::unreachable ||
