--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -37,8 +37,8 @@
   endpoint.ever_listed = true;
   endpoint.in_current_list = true;
   if (first) {
-    constexpr double kMinSharedFillFloor =
-        0.05;  // parents and origins are shared by the routers of all locations
+    // Parents and origins are shared by the routers of all locations.
+    constexpr double kMinSharedFillFloor = 0.05;
     const bool is_cache = endpoint.role == Role::cache;
     const int routers = is_cache ? context_.placement.routers_in_location : context_.placement.routers;
     endpoint.attempts.divide_among(routers);
--- a/src/routing/route_selection.cpp
+++ b/src/routing/route_selection.cpp
@@ -117,8 +117,8 @@
   });
   if (cache >= 0)
     if (const auto route = select_fill(request, cache, copy); route.source >= 0) return route;
-  // If there is no capacity for a fill, the first cache is probed for a copy, once. Otherwise hits would wait
-  // whenever fills are held up.
+  // If there is no capacity for a fill, the first cache with capacity for an attempt is probed for a copy,
+  // once. Otherwise hits would wait whenever fills are held up.
   if (!request.cache_probed)
     if (const int cache_to_probe = first_usable(caches, can_take); cache_to_probe >= 0)
       return {cache_to_probe, cache_to_probe, false};
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -55,7 +55,7 @@
 }
 
 bool SlowStart::admits(const Endpoint& endpoint, Seconds work, double represented_requests) const {
-  constexpr double kBurstsPerWindow = 4;  // a burst may use this fraction of a window's budget
+  constexpr double kBurstsPerWindow = 4;  // a burst may use a quarter of a window's budget
   if (!is_cold(endpoint)) return true;
   work *= std::max(1.0, represented_requests);
   const double rate = budget_rate(endpoint);
