--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -269,7 +269,7 @@
 
 // A fill is not cached until the reference counter exceeds the threshold. Where several routers serve the
 // location, the first request at one of them is usually not the first in the location, so its fill is cached
-// at the rank that is evicted first. A probe causes no fill and has no rank.
+// at the rank that is evicted first. At or below the threshold a probe, which causes no fill, has rank 0.
 int Policy::retention_rank(const RequestState& request, const Route& route) const {
   if (request.cache_fill) return kMiddleRank;
   return context_.placement.routers_in_location > 1 && route.source != route.endpoint ? kLowestRank : 0;
--- a/src/routing/policy.h
+++ b/src/routing/policy.h
@@ -25,7 +25,7 @@
 
   /// Sets the location of this router and the number of routers.
   virtual void set_placement(const RouterPlacement& placement) = 0;
-  /// Sets the roles of endpoint models. Must precede the first endpoint list, which is read by them.
+  /// Sets the roles of endpoint models. Must precede the first endpoint list.
   virtual void set_roles(const EndpointRoles& roles) = 0;
   /// Adds a request class. Classes are numbered from 0 in the order of these calls.
   virtual void add_request_class(const RequestClass& request_class) = 0;
