--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -284,9 +284,9 @@
       const auto came = stream.read();
       if (came == Stream::Came::end) break;
       if (came == Stream::Came::bytes) {
-        net::Words words;
+        net::RespArray words;
         for (;;) {
-          net::read_words(stream.in(), 8, 1 << 20, words);
+          net::read_resp_array(stream.in(), 8, 1 << 20, words);
           if (words.used == 0) break;
           const auto& w = words.words;
           if (open.erase(std::string(w[0])) > 0) ++(w[1] == "RESULT" ? r.counts.answered : r.counts.refused);
@@ -302,7 +302,7 @@
           const int object = static_cast<int>(setup_.objects * roll(chance_) * roll(chance_));
           const auto t = std::to_string(++tag);
           open[t] = scheduler_.now(), ++r.counts.asked;
-          stream.write(net::words_text(
+          stream.write(net::resp_array_text(
               {"EXEC", t, "page",
                fmt::format("txn={:016x},limit=2000,item={},seg=0,bucket=1", ++txns_, object_name(object))}));
         }
--- a/soak/clients.cpp
+++ b/soak/clients.cpp
@@ -76,7 +76,7 @@
     if (!link) continue;
     co_await link->stream().writable(scheduler_.now() + kAnswer);
     if (link->stream().error() != 0) continue;
-    link->write(net::words_text({"ALIVE", "1", ""}));
+    link->write(net::resp_array_text({"ALIVE", "1", ""}));
     const Seconds until = scheduler_.now() + kAnswer;
     while (scheduler_.now() < until && link->stream().read() == Stream::Came::nothing)
       co_await link->stream().readable(until);
@@ -109,14 +109,14 @@
                             r.item, r.part, r.group);
   if (!r.key.empty()) fields += ",unique=" + r.key;
   if (!r.etag.empty()) fields += ",etag=" + r.etag;
-  return net::words_text({"EXEC", tag, kClasses[static_cast<int>(r.effect)], fields,
-                          r.effect == Idempotency::free ? "" : "some bytes"});
+  return net::resp_array_text({"EXEC", tag, kClasses[static_cast<int>(r.effect)], fields,
+                               r.effect == Idempotency::free ? "" : "some bytes"});
 }
 
 void Clients::take_answers(Conversation& c) {
-  net::Words words;
+  net::RespArray words;
   for (;;) {
-    net::read_words(c.link->stream().in(), 8, 1 << 20, words);
+    net::read_resp_array(c.link->stream().in(), 8, 1 << 20, words);
     if (words.used == 0) return;
     const auto& w = words.words;
     const auto it = c.open.find(std::string(w[0]));
@@ -166,7 +166,7 @@
 
 void Clients::forget_oldest(Conversation& c) {
   const auto oldest = std::ranges::min_element(c.open, {}, [](const auto& o) { return o.second.sent; });
-  c.link->write(net::words_text({"FORGET", oldest->first}));
+  c.link->write(net::resp_array_text({"FORGET", oldest->first}));
   oracle_.left(oldest->second.id), --open_;
   c.open.erase(oldest);
 }
@@ -290,7 +290,7 @@
     if (kind < 0.3)
       link->write("*3\r\n$4\r\nEXEC\r\n$-7\r\n" + std::string(2000, '\x80'));
     else if (kind < 0.6)
-      link->write(net::words_text({"EXEC", "1", "page", "txn=zz,limit=-1"}));
+      link->write(net::resp_array_text({"EXEC", "1", "page", "txn=zz,limit=-1"}));
     else if (kind < 0.8)
       link->write("*5\r\n$4\r\nEXEC\r\n$1\r\n1\r\n$4\r\npa");
     else
--- a/soak/endpoint.cpp
+++ b/soak/endpoint.cpp
@@ -151,9 +151,9 @@
 }
 
 void Endpoint::take(const std::shared_ptr<Link>& link, bool exact) {
-  net::Words words;
+  net::RespArray words;
   for (;;) {
-    net::read_words(link->stream().in(), 8, 1 << 20, words);
+    net::read_resp_array(link->stream().in(), 8, 1 << 20, words);
     if (words.used == 0) return;
     const auto& w = words.words;
     auto& open = open_[link];
@@ -199,7 +199,7 @@
                                  std::string& named) {
   const auto id_text = fmt::format("{:016x}", id);
   const auto cls = net::field(fields, "cls").value_or("");
-  if (cls != "page") return net::words_text({id_text, "served", "tell=origin", "done " + id_text});
+  if (cls != "page") return net::resp_array_text({id_text, "served", "tell=origin", "done " + id_text});
   const std::string item(net::field(fields, "item").value_or("")),
       chunk(net::field(fields, "chunk").value_or(""));
   const auto key = item + "." + chunk;
@@ -215,7 +215,7 @@
     const auto source = net::field(fields, "src").value_or("");
     if (source.empty()) {
       ran = false;
-      return net::words_text({id_text, "not_here", "tell=absent"});
+      return net::resp_array_text({id_text, "not_here", "tell=absent"});
     }
     made = fetch(source, key, item, group, oldest), tell = "parent";
     if (net::field(fields, "keep").value_or("0") != "0") copies_[key] = {made};
@@ -224,11 +224,11 @@
   const auto told = fmt::format("tell={},etag={},made={},ttfb=3", tell, tag, static_cast<long>(made * 1e3));
   if (net::field(fields, "have").value_or("") == tag) {
     named = tag;
-    return net::words_text({id_text, "still_good", told});
+    return net::resp_array_text({id_text, "still_good", told});
   }
   // Sizes from a few bytes to some tens of thousands, the same for each object.
   const auto size = 16 + stable_hash(key) % 97 * (stable_hash(key) % 31 == 0 ? 600 : 20);
-  return net::words_text(
+  return net::resp_array_text(
       {id_text, "served", told, fmt::format("{}.{}.", item, chunk) + std::string(size, 'x')});
 }
 
@@ -249,7 +249,7 @@
     co_return;
   if (drawn(Kind::server_overloaded)) {
     oracle_.attempt_over(id, attempt, false, 0, {});
-    link->write(net::words_text({fmt::format("{:016x}", id), "overload", "tell=crowded"}));
+    link->write(net::resp_array_text({fmt::format("{:016x}", id), "overload", "tell=crowded"}));
     co_return;
   }
   bool ran = true;
--- a/src/net/attempt.cpp
+++ b/src/net/attempt.cpp
@@ -44,10 +44,10 @@
   if (!guard_allows(connection, static_cast<Seconds>(limit_ms) / 1e3))
     return finish(AttemptOutcome::not_sent);
   first_byte_ = connection.stream().written();
-  connection.send(
-      *this,
-      words_text({"serve", spec_.id_text, spec_.fields + ",limit=" + std::to_string(limit_ms), spec_.body}),
-      now);
+  connection.send(*this,
+                  resp_array_text({"serve", spec_.id_text,
+                                   spec_.fields + ",limit=" + std::to_string(limit_ms), spec_.body}),
+                  now);
   connection_ = &connection;
   state_ = State::written;
   written_at_ = now;
@@ -158,7 +158,7 @@
 }
 
 void Attempt::send_cancel() {
-  if (pool_.settings_.can_cancel) connection_->stream().write(words_text({"cancel", spec_.id_text}));
+  if (pool_.settings_.can_cancel) connection_->stream().write(resp_array_text({"cancel", spec_.id_text}));
 }
 
 // Prevents an attempt that waits for a peer that reads nothing from reaching it when its client has long
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -26,11 +26,11 @@
   }
   answered_at_ = scheduler_.now();
   if (!body.empty())
-    stream_.write(words_text({tag, word, fields, body}));
+    stream_.write(resp_array_text({tag, word, fields, body}));
   else if (!fields.empty())
-    stream_.write(words_text({tag, word, fields}));
+    stream_.write(resp_array_text({tag, word, fields}));
   else
-    stream_.write(words_text({tag, word}));
+    stream_.write(resp_array_text({tag, word}));
 }
 
 bool ClientConnection::has_tag(const std::string& tag) const {
--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -124,7 +124,7 @@
   log_("client", "closed to make room, quiet for {:.1f} s", scheduler_.now() - first->quiet_since());
   count_close(guard::ClientClose::made_room);
   shut(*first);
-  if (leaving_ <= kMaxLeaving || longest_shut == nullptr) return true;
+  if (leaving_ <= kMaxClosing || longest_shut == nullptr) return true;
   longest_shut->stream_.close();
   connections_.erase(longest_shut);
   --leaving_;
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -27,7 +27,7 @@
  public:
   using Serve = ClientMessages::Serve;  ///< starts a request
   /// Connections past the most that are connected, while they end.
-  static constexpr std::size_t kMaxLeaving = 4;
+  static constexpr std::size_t kMaxClosing = 4;
   /// `listener` listens already. `max_connections` does not count those that leave.
   ClientListener(Scheduler& scheduler, Outbox& outbox, Log& log, Fd listener, std::size_t max_connections,
                  std::vector<config::RequestClassName> classes, Serve serve);
@@ -37,7 +37,7 @@
   /// Who checks and counts what is done to connections; without one nothing is.
   void set_guard(guard::Guard& guard);
   /// What ALIVE is answered with.
-  void set_alive_word(std::string_view word) { messages_.set_alive_word(word); }
+  void set_alive_reply(std::string_view word) { messages_.set_alive_reply(word); }
   /// Closes the listening socket.
   void stop_accepting() { listener_.close(); }
   /// Hands the listening socket over to a successor: who comes meanwhile waits there.
--- a/src/net/client_messages.cpp
+++ b/src/net/client_messages.cpp
@@ -25,11 +25,11 @@
   constexpr std::size_t kMaxWords = 8;
   constexpr std::size_t kMaxBytes = 64UL * 1024;  // a write brings up to 48,000 bytes
   auto& stream = client->stream_;
-  Words message;
+  RespArray message;
   while (client->phase_ != ClientConnection::Phase::shut) {
     const bool open = client->is_open();
     try {
-      read_words(stream.in(), kMaxWords, kMaxBytes, message);
+      read_resp_array(stream.in(), kMaxWords, kMaxBytes, message);
       if (message.used == 0) return;
       // What is given up is heard to the end.
       const bool forgets = !message.words.empty() && message.words[0] == "FORGET";
--- a/src/net/client_messages.h
+++ b/src/net/client_messages.h
@@ -32,7 +32,7 @@
   /// Who counts what ends connections; null: nobody.
   void set_guard(guard::Guard& guard) { guard_ = &guard; }
   /// What ALIVE is answered with.
-  void set_alive_word(std::string_view word) { alive_word_ = word; }
+  void set_alive_reply(std::string_view word) { alive_word_ = word; }
   /// From now on requests are rejected, and none that is held back is served.
   void stop() { stopped_ = true; }
   /// Takes all whole messages that a connection holds. One that cannot be read ends the connection.
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -197,7 +197,7 @@
       const auto used = read_frame(stream.in(), last_, *this, seen);
       if (used == 0) return true;
       stream.consume(used);
-      clock_.heard(now);
+      clock_.frame_received(now);
       if (observations_ != nullptr) observations_->discovery_heard(now);
       if (seen > held + 1 && !accept_gap(held, seen)) return false;
       if (gap_after_ != kNoGap && last_ > gap_after_) {
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -48,8 +48,10 @@
   /// Follows discovery at this address, from the last event held on; a second call moves to another address.
   void follow(const Address& address);
 
-  void known_begin(Seconds newest_stamp) override { clock_.begin_known(newest_stamp, scheduler_.now()); }
-  void known_end() override { clock_.end_known(); }
+  void begin_initial_events(Seconds newest_stamp) override {
+    clock_.begin_initial_events(newest_stamp, scheduler_.now());
+  }
+  void end_initial_events() override { clock_.end_initial_events(); }
   void begin_endpoint_list(bool whole) override;
   void update_endpoint(std::string_view id, const Address& address, int location, int kind, int cell,
                        EndpointState state, double weight, Seconds started) override;
--- a/src/net/discovery_clock.cpp
+++ b/src/net/discovery_clock.cpp
@@ -4,7 +4,7 @@
 
 namespace walkpaddle::net {
 
-void DiscoveryClock::begin_known(Seconds newest_stamp, Seconds now) {
+void DiscoveryClock::begin_initial_events(Seconds newest_stamp, Seconds now) {
   reads_known_ = true;
   heard_at_ = now;
   if (newest_stamp > 0) offset_ = now - newest_stamp;
--- a/src/net/discovery_clock.h
+++ b/src/net/discovery_clock.h
@@ -20,11 +20,11 @@
   /// The events of the configuration follow, the newest of which has that stamp (0: none has one).
   /// Discovery's clock was at that stamp or later when they were written, so each is at least as old as its
   /// distance to the newest.
-  void begin_known(Seconds newest_stamp, Seconds now);
+  void begin_initial_events(Seconds newest_stamp, Seconds now);
   /// What follows happens while it is told.
-  void end_known() { reads_known_ = false; }
+  void end_initial_events() { reads_known_ = false; }
   /// A whole frame came.
-  void heard(Seconds now) { heard_at_ = now; }
+  void frame_received(Seconds now) { heard_at_ = now; }
 
   /// When the purge with this stamp happened, at the latest. A live one counts from its arrival: the copies
   /// made between the two are fetched once more.
--- a/src/net/discovery_codec.h
+++ b/src/net/discovery_codec.h
@@ -15,10 +15,11 @@
 /// Where the decoded events go. Times are stamps of discovery's own clock (see DiscoveryClock), 0 for none.
 class DiscoveryEvents {
  public:
-  /// The events of a configuration follow, up to known_end(); the newest stamp among them, 0 for none.
-  virtual void known_begin(Seconds newest_stamp) = 0;
+  /// The events of a configuration follow, up to end_initial_events(); the newest stamp among them, 0 for
+  /// none.
+  virtual void begin_initial_events(Seconds newest_stamp) = 0;
   /// What follows happens while it is told.
-  virtual void known_end() = 0;
+  virtual void end_initial_events() = 0;
   /// Endpoints follow, up to end_endpoint_list(): all that there are, or those that changed.
   virtual void begin_endpoint_list(bool whole) = 0;
   /// One endpoint: `kind` is its model, `cell` its group of machines, `started` the stamp of its start.
--- a/src/net/purge_notifier.cpp
+++ b/src/net/purge_notifier.cpp
@@ -29,12 +29,12 @@
 }
 
 std::string PurgeNotifier::command_text(const purge::PurgeDelivery::Message& message, Seconds now) const {
-  if (message.entry == nullptr) return words_text({"purges", "cursor", run_});
+  if (message.entry == nullptr) return resp_array_text({"purges", "cursor", run_});
   const auto& entry = *message.entry;
   // An age, up to whole milliseconds down: no clocks to compare, and the way there makes it stricter.
   const auto age_ms = std::max(0L, static_cast<long>(std::floor((now - entry.valid_since) * 1e3)));
-  return words_text({"purges", "drop", run_, std::to_string(entry.position), purge::to_string(entry.kind),
-                     std::to_string(age_ms), entry.target});
+  return resp_array_text({"purges", "drop", run_, std::to_string(entry.position),
+                          purge::to_string(entry.kind), std::to_string(age_ms), entry.target});
 }
 
 void PurgeNotifier::command_answered(int server, const std::vector<std::string_view>& words) {
--- a/src/net/resp_parser.cpp
+++ b/src/net/resp_parser.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-void read_words(std::string_view bytes, std::size_t max_words, std::size_t max_bytes, Words& into) {
+void read_resp_array(std::string_view bytes, std::size_t max_words, std::size_t max_bytes, RespArray& into) {
   into.words.clear();
   into.used = 0;
   auto rest = bytes;
@@ -44,7 +44,7 @@
   into.used = bytes.size() - rest.size();
 }
 
-std::string words_text(std::initializer_list<std::string_view> words) {
+std::string resp_array_text(std::initializer_list<std::string_view> words) {
   constexpr std::size_t kMaxLengthLineBytes = 16;
   std::size_t size = kMaxLengthLineBytes;
   for (const auto word : words) size += word.size() + kMaxLengthLineBytes;
--- a/src/net/resp_parser.h
+++ b/src/net/resp_parser.h
@@ -15,16 +15,16 @@
 namespace walkpaddle::net {
 
 /// One array; it views the bytes that it was read from.
-struct Words {
+struct RespArray {
   std::vector<std::string_view> words;  ///< its strings
   std::size_t used = 0;                 ///< bytes that it took, 0 while it is not whole
 };
 /// Reads the array that `bytes` begins with. Throws InputError for what cannot become one, or claims more
 /// than `max_words` strings or `max_bytes` bytes in all; `into.used` is 0 then.
-void read_words(std::string_view bytes, std::size_t max_words, std::size_t max_bytes, Words& into);
+void read_resp_array(std::string_view bytes, std::size_t max_words, std::size_t max_bytes, RespArray& into);
 
 /// The array of these strings, as bytes.
-std::string words_text(std::initializer_list<std::string_view> words);
+std::string resp_array_text(std::initializer_list<std::string_view> words);
 
 /// The value of a field in "name=value,name=value" (or "-"); nullopt if it is not there. Throws InputError
 /// for a part without '=' before it.
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -155,10 +155,10 @@
 bool UpstreamConnection::take_answers(CommandListener* listener) {
   constexpr std::size_t kMaxWords = 8;
   constexpr std::size_t kMaxBytes = 248'000;  // the largest object, and fields
-  Words answer;
+  RespArray answer;
   try {
     for (;;) {
-      read_words(stream_.in(), kMaxWords, kMaxBytes, answer);
+      read_resp_array(stream_.in(), kMaxWords, kMaxBytes, answer);
       if (answer.used == 0) return true;
       take_answer(answer.words, listener);
       stream_.consume(answer.used);
--- a/standins/world.cpp
+++ b/standins/world.cpp
@@ -98,7 +98,7 @@
 Task Server::connection(Fd fd) {
   auto c = std::make_shared<Connection>(scheduler_, outbox_, std::move(fd));
   open_.insert(c);
-  net::Words words;
+  net::RespArray words;
   for (bool good = true; good;) {
     const auto came = c->stream.read();
     if (came == Stream::Came::end) break;
@@ -111,7 +111,7 @@
     while (scheduler_.now() < frozen_until_ && !c->stream.ended()) co_await c->stream.readable(frozen_until_);
     if (scheduler_.now() < frozen_until_) break;
     for (;;) {
-      net::read_words(c->stream.in(), 8, 1 << 20, words);
+      net::read_resp_array(c->stream.in(), 8, 1 << 20, words);
       if (words.used == 0) break;
       const auto& w = words.words;
       if (w[0] == "serve" && w.size() >= 3)
@@ -147,13 +147,14 @@
 }
 
 void Server::purges(Connection& c, const std::vector<std::string_view>& w) {
-  if (!habits_.takes_purges || w.size() < 3) return c.stream.write(net::words_text({"purges", "unknown"}));
+  if (!habits_.takes_purges || w.size() < 3)
+    return c.stream.write(net::resp_array_text({"purges", "unknown"}));
   const std::string run(w[2]);
   if (w[1] == "cursor") {
     ++counts_.asked_cursor;
     const auto it = drops_.cursors.find(run);
     return c.stream.write(
-        net::words_text({"purges", "cursor", run, it == drops_.cursors.end() ? "0" : it->second}));
+        net::resp_array_text({"purges", "cursor", run, it == drops_.cursors.end() ? "0" : it->second}));
   }
   const auto kind = w[4];
   const Seconds before = scheduler_.now() - parse<double>(w[5], "age") / 1e3;
@@ -167,7 +168,7 @@
     std::erase_if(copies_, [&](const auto& held) { return dropped(held.first, held.second); });
   drops_.cursors[run] = std::string(w[3]);
   ++counts_.confirmed;
-  c.stream.write(net::words_text({"purges", "dropped", run, w[3]}));
+  c.stream.write(net::resp_array_text({"purges", "dropped", run, w[3]}));
 }
 
 // A txn at a box: a hit; else a fill from the source that was named, by way of whichever it named.
@@ -192,7 +193,7 @@
     std::string text = "tell=" + std::string(tell) + ",age=" + std::to_string(age);
     if (habits_.tells_tags) text += ",tags=" + tags;
     ++counts_.served;
-    c->stream.write(net::words_text({id, verdict, text, std::to_string(copy.version)}));
+    c->stream.write(net::resp_array_text({id, verdict, text, std::to_string(copy.version)}));
   };
   if (kind_ == Kind::origin) {
     Copy copy{version(object), scheduler_.now(),
@@ -224,7 +225,7 @@
   for (auto* s : all_)
     if (s->id_ == source && s != this) from = s;
   if (from == nullptr) {
-    c->stream.write(net::words_text({id, "not_here", "tell=absent"}));
+    c->stream.write(net::resp_array_text({id, "not_here", "tell=absent"}));
     co_return;
   }
   // From here to the source and back; a parent that lacks it goes on to the origin. A copy is as old as the
@@ -265,7 +266,7 @@
   // An older one than was asked for is not passed on, whoever gave it.
   if (oldest > 0 && began - copy.made > oldest + 0.002 && !habits_.lies) found = false;
   if (!found) {
-    c->stream.write(net::words_text({id, "not_here", "tell=absent"}));
+    c->stream.write(net::resp_array_text({id, "not_here", "tell=absent"}));
     co_return;
   }
   *fill = copy;
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -151,8 +151,8 @@
     return fd;
   }
   static std::string exec(int n) {
-    return words_text({"EXEC", std::to_string(n), "page",
-                       "txn=" + id_of(n) + ",limit=9000,item=7f3a9c21e0b4d655,seg=0,bucket=1"});
+    return resp_array_text({"EXEC", std::to_string(n), "page",
+                            "txn=" + id_of(n) + ",limit=9000,item=7f3a9c21e0b4d655,seg=0,bucket=1"});
   }
   std::function<void(std::shared_ptr<ClientConnection>, Request)> serve = [this](auto, auto) { ++served; };
   int served = 0;
@@ -244,7 +244,7 @@
     auto hop = s.hop(m, 1);
     Fd first, second;
     UNTIL(first = ear.accept());
-    const auto overload = words_text({id_of(1), "overload", "-", ""});
+    const auto overload = resp_array_text({id_of(1), "overload", "-", ""});
     std::string asked;
     UNTIL(!(asked = taken(first)).empty());
     say(first, overload);
@@ -258,7 +258,7 @@
     UNTIL(second = ear.accept());
     CHECK(second);
     if (!second) co_return s.scheduler.stop();
-    say(second, words_text({id_of(1), "served", "etag=1", "one"}));
+    say(second, resp_array_text({id_of(1), "served", "etag=1", "one"}));
     UNTIL(hop->ended());
     CHECK(hop->result().outcome == AttemptOutcome::served);
     s.scheduler.stop();
@@ -276,7 +276,7 @@
     UNTIL(first = ear.accept());
     std::string asked;
     UNTIL(!(asked = taken(first)).empty());
-    say(first, words_text({id_of(1), "served", "etag=1", "one"}));
+    say(first, resp_array_text({id_of(1), "served", "etag=1", "one"}));
     first = Fd();
     UNTIL(second = ear.accept());
     CHECK(hop->result().outcome == AttemptOutcome::served);
@@ -299,7 +299,7 @@
     const auto hop = s.hop(m, 1);
     Fd first, second;
     UNTIL(first = ear.accept());
-    say(first, words_text({id_of(1), "served", "etag=1", "one"}));
+    say(first, resp_array_text({id_of(1), "served", "etag=1", "one"}));
     UNTIL(hop->ended());
     taken(first);  // else the close would be a reset
     first = Fd();
@@ -321,7 +321,7 @@
     const auto hop = s.hop(m, 1);
     Fd first, second;
     UNTIL(first = ear.accept());
-    say(first, words_text({id_of(1), "served", "etag=1", "one"}));
+    say(first, resp_array_text({id_of(1), "served", "etag=1", "one"}));
     UNTIL(hop->ended());
     taken(first);
     say(first, "*4\r\n$16");
@@ -360,7 +360,7 @@
     Fd peer;
     UNTIL(peer = ear.accept());
     co_await s.look.wait(s.scheduler.now() + 0.05);
-    say(peer, words_text({id_of(1), "served", "age=x", "one"}));
+    say(peer, resp_array_text({id_of(1), "served", "age=x", "one"}));
     for (const Seconds since = s.scheduler.now(); s.scheduler.now() < since + 2 && !hop->ended();)
       co_await s.look.wait(s.scheduler.now() + 0.01);
     CHECK(hop->ended());
@@ -438,7 +438,7 @@
   ClientsStand s;
   s.play([&]() -> Task {
     const Fd c = s.connect();
-    say(c, words_text({"ALIVE", "1", ""}));
+    say(c, resp_array_text({"ALIVE", "1", ""}));
     std::string got;
     UNTIL(!(got = taken(c)).empty());
     s.clients.close_idle();
@@ -460,7 +460,7 @@
     say(c, s.exec(2));
     std::string got;
     UNTIL(!(got = taken(c)).empty());
-    CHECK(got == words_text({"2", "REJECT"}));
+    CHECK(got == resp_array_text({"2", "REJECT"}));
     CHECK(s.served == 1);
     s.scheduler.stop();
   });
@@ -480,7 +480,7 @@
     for (int n = 1; n <= 8; ++n) all += s.exec(n);
     say(c, all);
     co_await s.look.wait(s.scheduler.now() + 0.3);
-    say(c, s.exec(9) + words_text({"FORGET", "9", ""}));
+    say(c, s.exec(9) + resp_array_text({"FORGET", "9", ""}));
     co_await s.look.wait(s.scheduler.now() + 0.3);
     std::size_t got = 0;
     for (const Seconds since = s.scheduler.now(); s.going(since) && got < 8 * large.size();) {
@@ -500,7 +500,7 @@
     ::fcntl(c.get(), F_SETFL, 0);
     std::atomic<bool> over = false;
     std::string flood;
-    for (int n = 1; n <= 2000; ++n) flood += words_text({"FORGET", std::to_string(n), ""});
+    for (int n = 1; n <= 2000; ++n) flood += resp_array_text({"FORGET", std::to_string(n), ""});
     std::thread sends([&] {
       while (!over && ::send(c.get(), flood.data(), flood.size(), MSG_NOSIGNAL) > 0) {
       }
@@ -571,7 +571,7 @@
       got += more;
       if (more.empty() && got.size() > large.size()) break;
     }
-    CHECK(got == words_text({"1", "RESULT", "etag=1", large}) + "|");
+    CHECK(got == resp_array_text({"1", "RESULT", "etag=1", large}) + "|");
     CHECK(s.served == 1);
     s.scheduler.stop();
   });
@@ -594,7 +594,7 @@
     say(c, s.exec(2));  // before the router has seen any of the others
     std::string got;
     const auto both =
-        words_text({"1", "RESULT", "etag=1", "one"}) + words_text({"2", "RESULT", "etag=1", "one"});
+        resp_array_text({"1", "RESULT", "etag=1", "one"}) + resp_array_text({"2", "RESULT", "etag=1", "one"});
     UNTIL((got += taken(c)).size() >= both.size());
     CHECK(got == both);
     CHECK(s.served == 2);
@@ -620,7 +620,7 @@
     asked->over(tag);
     asked.reset(), handle.reset();
   }
-  const std::string answered = words_text({"1", "RESULT", "etag=1", "one"});
+  const std::string answered = resp_array_text({"1", "RESULT", "etag=1", "one"});
   config::PlatformConfig config = config::parse_platform_config(config_text("n0", 1, 1, "", "{}"));
   purge::PurgeRegistry purges{{}, scheduler.now()};
   RequestDispatcher dispatcher{scheduler, 7, config.settings, purges};
@@ -656,7 +656,7 @@
     say(c, s.exec(1) + s.exec(1));  // one tag twice: its connection comes to its end
     UNTIL(s.asked);
     co_await s.look.wait(s.scheduler.now() + 0.1);
-    say(c, words_text({"FORGET", "1", ""}));
+    say(c, resp_array_text({"FORGET", "1", ""}));
     UNTIL(s.handle->left());
     CHECK(s.handle->left());
     s.scheduler.stop();
@@ -792,7 +792,7 @@
   ::getrlimit(RLIMIT_NOFILE, &before);
   s.play([&]() -> Task {
     const Fd idle = s.connect();
-    say(idle, words_text({"ALIVE", "1", ""}));
+    say(idle, resp_array_text({"ALIVE", "1", ""}));
     std::string got;
     UNTIL(!(got = taken(idle)).empty());
     Fd comes(::socket(AF_INET, SOCK_STREAM, 0));
@@ -801,9 +801,9 @@
     std::vector<Fd> all;
     while (Fd fd{::open("/dev/null", O_RDONLY)}) all.push_back(std::move(fd));
     comes = s.connect(std::move(comes));
-    say(comes, words_text({"ALIVE", "2", ""}));
+    say(comes, resp_array_text({"ALIVE", "2", ""}));
     UNTIL(!(got = taken(comes)).empty());
-    CHECK(got == words_text({"2", "UNREADY"}));
+    CHECK(got == resp_array_text({"2", "UNREADY"}));
     CHECK(taken(idle) == "|");
     s.scheduler.stop();
   });
--- a/tests/fleet_sockets.cpp
+++ b/tests/fleet_sockets.cpp
@@ -215,15 +215,15 @@
   void ask(Stream& stream, std::unordered_map<std::string, Asked>& open, const std::string& tag) {
     const int object = static_cast<int>(kObjects * roll() * roll());  // some are asked for more often
     open[tag] = {object, scheduler_.now()};
-    stream.write(net::words_text(
+    stream.write(net::resp_array_text(
         {"EXEC", tag, "page",
          fmt::format("txn={:016x},limit=2000,item={},seg=0,bucket=1", ++txns_, object_name(object))}));
   }
 
   void take(Stream& stream, std::unordered_map<std::string, Asked>& open) {
-    net::Words words;
+    net::RespArray words;
     for (;;) {
-      net::read_words(stream.in(), 8, 1 << 20, words);
+      net::read_resp_array(stream.in(), 8, 1 << 20, words);
       if (words.used == 0) return;
       const auto& w = words.words;
       const auto it = open.find(std::string(w[0]));
--- a/tests/hunt.cpp
+++ b/tests/hunt.cpp
@@ -96,14 +96,14 @@
   net::DiscoveryClock clock;
   constexpr Seconds kEpoch = 1e9;
   const auto stamp = [&](Seconds at) { return kEpoch + at - skew + (at >= 10 ? step : 0); };
-  clock.begin_known(stamp(-1), 0);
+  clock.begin_initial_events(stamp(-1), 0);
   CHECK(clock.purged_at(stamp(-1), 0) >= -1);
   CHECK(clock.purged_at(stamp(-5), 0) >= -5 - 1e-6);
   CHECK(clock.started_at(1, stamp(-5), 0) >= -5 - 1e-6);
-  clock.end_known();
+  clock.end_initial_events();
   for (Seconds at = 0.5; at < 20; at += 0.5) {
     const Seconds arrival = at + late(chance);
-    clock.heard(arrival);
+    clock.frame_received(arrival);
     CHECK(clock.purged_at(stamp(at), arrival) >= at);
     const int member = 10 + static_cast<int>(at * 2);
     const Seconds start = clock.started_at(member, stamp(at), arrival);
--- a/tests/starts.cpp
+++ b/tests/starts.cpp
@@ -79,17 +79,18 @@
   }
   bool ready() const {
     const Fd fd = call();
-    return fd && said(fd, net::words_text({"ALIVE", "1", ""}), 1).find("\r\nREADY\r\n") != std::string::npos;
+    return fd &&
+           said(fd, net::resp_array_text({"ALIVE", "1", ""}), 1).find("\r\nREADY\r\n") != std::string::npos;
   }
   // All that comes for a message until its end, or that many answers.
   static std::string said(const Fd& fd, const std::string& message, int answers, Seconds most = 10) {
     std::string all;
     if (!message.empty() && ::send(fd.get(), message.data(), message.size(), MSG_NOSIGNAL) < 0) return all;
-    net::Words words;
+    net::RespArray words;
     for (const Seconds until = now() + most; now() < until;) {
       int whole = 0;
       for (std::string_view rest = all;; ++whole) {
-        net::read_words(rest, 8, 1 << 20, words);
+        net::read_resp_array(rest, 8, 1 << 20, words);
         if (words.used == 0) break;
         rest.remove_prefix(words.used);
       }
@@ -109,8 +110,9 @@
 };
 
 std::string exec(int n) {
-  return net::words_text({"EXEC", std::to_string(n), "page",
-                          fmt::format("txn={:016x},limit=60000,item=7f3a9c21e0b4d655,seg=0,bucket=17", n)});
+  return net::resp_array_text(
+      {"EXEC", std::to_string(n), "page",
+       fmt::format("txn={:016x},limit=60000,item=7f3a9c21e0b4d655,seg=0,bucket=17", n)});
 }
 
 void put(std::string& text, const std::string& from, const std::string& to) {
@@ -237,7 +239,8 @@
   for (int n = 1; n <= 16 && (n == 1 || !got.empty()); ++n) {
     std::string all;
     for (int m = 0; m < 5; ++m)
-      all += net::words_text({"EXEC", std::to_string(10 * n + m), "page", "txn=" + std::string(200, 'x')});
+      all +=
+          net::resp_array_text({"EXEC", std::to_string(10 * n + m), "page", "txn=" + std::string(200, 'x')});
     got = p.said(c, all, 5, 5);
     if (!goes) ::usleep(500'000);
   }
--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -113,8 +113,8 @@
     ((text << ' ' << parts), ...);
     out += text.str() + "\n";
   }
-  void known_begin(Seconds) override {}
-  void known_end() override {}
+  void begin_initial_events(Seconds) override {}
+  void end_initial_events() override {}
   void begin_endpoint_list(bool whole) override { say(whole ? "list" : "changes"); }
   void update_endpoint(std::string_view id, const Address& at, int location, int kind, int cell,
                        EndpointState state, double weight, Seconds started) override {
@@ -146,8 +146,8 @@
   const auto at_step = [&](std::size_t step) {
     if (what == "resp")
       return fed(bytes, step, [](const std::string& held, std::string& out) {
-        net::Words w;
-        net::read_words(held, 4, 100, w);
+        net::RespArray w;
+        net::read_resp_array(held, 4, 100, w);
         for (const auto word : w.words)
           if (w.used > 0) out.append(" [").append(word).append("]");
         if (w.used > 0) out += "\n";
@@ -242,7 +242,7 @@
 
   static std::string net_words(const std::vector<std::string>& words) {
     auto text = "*" + std::to_string(words.size()) + "\r\n";
-    for (const auto& w : words) text += net::words_text({w == "-" ? "" : w}).substr(4);
+    for (const auto& w : words) text += net::resp_array_text({w == "-" ? "" : w}).substr(4);
     return text;
   }
 
@@ -291,8 +291,8 @@
   // Takes a whole array off the connection; "closed" at its end.
   static std::string next_of(Conn& c, int ms = 10000) {
     for (;;) {
-      net::Words words;
-      net::read_words(c.held, 8, 1 << 20, words);
+      net::RespArray words;
+      net::read_resp_array(c.held, 8, 1 << 20, words);
       if (words.used > 0) {
         std::string text;
         for (const auto w : words.words) text.append(text.empty() ? "" : " ").append(w.empty() ? "-" : w);
