--- a/src/net/attempt.cpp
+++ b/src/net/attempt.cpp
@@ -13,7 +13,7 @@
 
 // A deadline that was written into our own buffer goes stale there. Well under the slack that a server's
 // deadline may have (0.15 s, docs/promises.md).
-constexpr Seconds kLongestUnsent = 0.1;
+constexpr Seconds kMaxUnsentTime = 0.1;
 
 }  // namespace
 
@@ -80,8 +80,8 @@
 }
 
 Seconds Attempt::next_deadline() const {
-  if (state_ == State::cancelling) return settled_at_;
-  if (is_unsent()) return std::min(spec_.timeout_at, written_at_ + kLongestUnsent);
+  if (state_ == State::cancelling) return cancel_settled_at_;
+  if (is_unsent()) return std::min(spec_.timeout_at, written_at_ + kMaxUnsentTime);
   if (state_ == State::queued)
     return std::min({spec_.timeout_at, spec_.start_by, started_at_ + pool_.settings_.dial_timeout});
   return spec_.timeout_at;
@@ -89,17 +89,17 @@
 
 void Attempt::on_timer() {
   const Seconds now = scheduler_.now();
-  if (state_ == State::cancelling && now >= settled_at_) {
+  if (state_ == State::cancelling && now >= cancel_settled_at_) {
     release();
     return finish(result_.outcome);
   }
   if (state_ == State::queued && now >= spec_.start_by) return abandon();
   if (state_ == State::queued && now >= started_at_ + pool_.settings_.dial_timeout) {
     release();
-    return finish(endpoint().wants_descriptor ? AttemptOutcome::not_sent : AttemptOutcome::unreachable);
+    return finish(endpoint().awaits_descriptor ? AttemptOutcome::not_sent : AttemptOutcome::unreachable);
   }
-  if (is_unsent() && now >= written_at_ + kLongestUnsent) {
-    connection_->mark_silent();  // no others wait behind it
+  if (is_unsent() && now >= written_at_ + kMaxUnsentTime) {
+    connection_->mark_unresponsive();  // no others wait behind it
     return abandon();
   }
   if ((state_ == State::queued || state_ == State::written) && now >= spec_.timeout_at)
@@ -143,8 +143,8 @@
 // back.
 void Attempt::cancel_as(AttemptOutcome outcome) {
   if (ended() || state_ == State::cancelling) return;
-  if (state_ == State::written && answer_was_due(outcome) && connection_->heard_at() <= written_at_)
-    connection_->mark_silent();
+  if (state_ == State::written && answer_was_due(outcome) && connection_->last_received_at() <= written_at_)
+    connection_->mark_unresponsive();
   if (withdraw()) return abandon();
   if (outcome == AttemptOutcome::timed_out && spec_.is_final) {
     release();
@@ -152,7 +152,7 @@
   }
   send_cancel();
   result_.outcome = outcome;
-  settled_at_ = scheduler_.now() + 2 * endpoint().least_response_time;
+  cancel_settled_at_ = scheduler_.now() + 2 * endpoint().least_response_time;
   state_ = State::cancelling;
   event_.set();  // its task waits for another time now
 }
--- a/src/net/attempt.h
+++ b/src/net/attempt.h
@@ -120,9 +120,9 @@
   bool passed_guard_ = false;                 // the guard let it pass, and does not know its end
   Seconds started_at_;
   Seconds written_at_ = 0;
-  Seconds settled_at_ = 0;        // cancelling: no answer can be on its way after that
-  std::uint64_t first_byte_ = 0;  // its place in the bytes of its connection
-  std::uint64_t last_byte_ = 0;   // one past its end
+  Seconds cancel_settled_at_ = 0;  // cancelling: no answer can be on its way after that
+  std::uint64_t first_byte_ = 0;   // its place in the bytes of its connection
+  std::uint64_t last_byte_ = 0;    // one past its end
   AttemptResult result_;
 };
 
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 // Prevents clients that do not read from filling the memory while all answers together press on it.
-void ClientConnection::answer(const std::string& tag, std::string_view word, std::string_view fields,
+void ClientConnection::answer(const std::string& tag, std::string_view status, std::string_view fields,
                               std::string_view body) {
   // One of the largest answers waits: a client that reads has less.
   constexpr std::size_t kSlowReaderBytes = 256UL * 1024;
@@ -24,17 +24,17 @@
     slow_reader_ = true;
     return stream_.close();
   }
-  answered_at_ = scheduler_.now();
+  last_answered_at_ = scheduler_.now();
   if (!body.empty())
-    stream_.write(resp_array_text({tag, word, fields, body}));
+    stream_.write(resp_array_text({tag, status, fields, body}));
   else if (!fields.empty())
-    stream_.write(resp_array_text({tag, word, fields}));
+    stream_.write(resp_array_text({tag, status, fields}));
   else
-    stream_.write(resp_array_text({tag, word}));
+    stream_.write(resp_array_text({tag, status}));
 }
 
 bool ClientConnection::has_tag(const std::string& tag) const {
-  return open_.contains(tag) || std::ranges::find(held_, tag, &Request::tag) != held_.end();
+  return open_.contains(tag) || std::ranges::find(deferred_, tag, &Request::tag) != deferred_.end();
 }
 
 // All ends that are not the client's own go this way. Prevents a close over unread bytes, which resets the
@@ -49,35 +49,37 @@
 void ClientConnection::postpone_close() { close_at_ = scheduler_.now() + kUnreadTimeout; }
 
 void ClientConnection::connected() {
-  heard_at_ = scheduler_.now();
-  message_from_ = heard_at_;
+  last_received_at_ = scheduler_.now();
+  message_started_at_ = last_received_at_;
 }
 
 void ClientConnection::message_taken() {
-  has_spoken_ = true;
-  heard_at_ = scheduler_.now();
+  has_sent_message_ = true;
+  last_received_at_ = scheduler_.now();
 }
 
 void ClientConnection::update_message_start() {
-  if (has_spoken_ && stream_.in().empty())
-    message_from_ = kNoTime;
-  else if (message_from_ == kNoTime)
-    message_from_ = scheduler_.now();
+  if (has_sent_message_ && stream_.in().empty())
+    message_started_at_ = kNoTime;
+  else if (message_started_at_ == kNoTime)
+    message_started_at_ = scheduler_.now();
   else
-    message_from_ = std::max(message_from_, heard_at_);
+    message_started_at_ = std::max(message_started_at_, last_received_at_);
 }
 
-bool ClientConnection::message_is_late() const { return scheduler_.now() >= message_from_ + kMessageTimeout; }
+bool ClientConnection::message_is_late() const {
+  return scheduler_.now() >= message_started_at_ + kMessageTimeout;
+}
 
 Seconds ClientConnection::read_deadline() const {
   constexpr Seconds kPollInterval = 0.1;  // for held requests, and for the end of a late message
   const bool late = message_is_late();
-  const Seconds poll_at = late || !held_.empty() ? scheduler_.now() + kPollInterval : kNoTime;
-  return late ? poll_at : std::min(message_from_ + kMessageTimeout, poll_at);
+  const Seconds poll_at = late || !deferred_.empty() ? scheduler_.now() + kPollInterval : kNoTime;
+  return late ? poll_at : std::min(message_started_at_ + kMessageTimeout, poll_at);
 }
 
-void ClientConnection::leave_all() {
-  for (const auto& [tag, handle] : std::exchange(open_, {})) handle->leave();
+void ClientConnection::notify_client_left() {
+  for (const auto& [tag, handle] : std::exchange(open_, {})) handle->client_left();
 }
 
 }  // namespace walkpaddle::net
--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -15,7 +15,7 @@
 
 // An error of the caller's connection, which is gone with it: the next one is taken (accept(2), "Error
 // handling").
-bool is_callers_error(int error) {
+bool is_connection_error(int error) {
   constexpr int kErrors[] = {ECONNABORTED, EPROTO,       ENETDOWN,   ENOPROTOOPT, EHOSTDOWN,
                              ENONET,       EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH};
   return std::ranges::find(kErrors, error) != std::end(kErrors);
@@ -31,7 +31,7 @@
   Registration& operator=(const Registration&) = delete;
   ~Registration() {
     const bool listed = listener_.connections_.erase(&client_) > 0;
-    if (listed && client_.phase_ == ClientConnection::Phase::shut) --listener_.leaving_;
+    if (listed && client_.phase_ == ClientConnection::Phase::half_closed) --listener_.closing_;
   }
 
  private:
@@ -71,15 +71,15 @@
       continue;
     }
     const int error = errno;
-    if (error == EINTR || is_callers_error(error)) continue;
+    if (error == EINTR || is_connection_error(error)) continue;
     if (error != EAGAIN) {
-      queued_since_ = std::min(queued_since_, scheduler_.now());
+      accept_failing_since_ = std::min(accept_failing_since_, scheduler_.now());
       log_("accept", "{}, {} clients connected", std::strerror(error), connections_.size());
-      if (error == EMFILE || error == ENFILE) make_room();
+      if (error == EMFILE || error == ENFILE) evict_idle_client();
       co_await listener_.came.wait(scheduler_.now() + kPause);
       continue;
     }
-    queued_since_ = kNoTime;
+    accept_failing_since_ = kNoTime;
     co_await listener_.came.wait();
   }
 }
@@ -87,13 +87,13 @@
 void ClientListener::accepted(Fd socket) {
   // One of the largest answers; by itself the kernel's buffer would grow to megabytes.
   constexpr int kKernelBufferBytes = 256 * 1024;
-  if (connections_.size() - leaving_ >= max_connections_ && !make_room()) {
+  if (connections_.size() - closing_ >= max_connections_ && !evict_idle_client()) {
     count_close(guard::ClientClose::no_place);  // all have open requests: this one is closed at once
     return;
   }
   ::setsockopt(socket.get(), SOL_SOCKET, SO_SNDBUF, &kKernelBufferBytes, sizeof kKernelBufferBytes);
   auto client = std::make_shared<ClientConnection>(scheduler_, outbox_, std::move(socket));
-  client->queued_for_ = std::max(0.0, scheduler_.now() - queued_since_);
+  client->max_accept_delay_ = std::max(0.0, scheduler_.now() - accept_failing_since_);
   connections_[client.get()] = client;
   scheduler_.start_isolated(run_connection(std::move(client)));
 }
@@ -103,31 +103,32 @@
 // that ask once and stay, or connect by the hundred and say nothing; and of requests that came while this
 // process stood still. While it ends its descriptor is one of a few beside the places; past those the longest
 // of them goes at once.
-bool ClientListener::make_room() {
-  constexpr Seconds kFresh = 0.2;  // one that just came may have its first request on the way
+bool ClientListener::evict_idle_client() {
+  constexpr Seconds kNewConnectionGrace = 0.2;  // one that just came may have its first request on the way
   using Phase = ClientConnection::Phase;
   const auto rank = [&](const ClientConnection& client) {
-    return std::pair(client.has_spoken_ || client.heard_at_ > scheduler_.now() - kFresh,
-                     client.quiet_since());
+    return std::pair(
+        client.has_sent_message_ || client.last_received_at_ > scheduler_.now() - kNewConnectionGrace,
+        client.idle_since());
   };
   ClientConnection* first = nullptr;
-  ClientConnection* longest_shut = nullptr;
+  ClientConnection* oldest_half_closed = nullptr;
   for (const auto& [client, held] : connections_) {
     if (client->is_open() && client->idle() && (first == nullptr || rank(*client) < rank(*first)) &&
         !client->stream_.has_unread())
       first = client;
-    if (client->phase_ == Phase::shut &&
-        (longest_shut == nullptr || client->close_at_ < longest_shut->close_at_))
-      longest_shut = client;
+    if (client->phase_ == Phase::half_closed &&
+        (oldest_half_closed == nullptr || client->close_at_ < oldest_half_closed->close_at_))
+      oldest_half_closed = client;
   }
   if (first == nullptr) return false;
-  log_("client", "closed to make room, quiet for {:.1f} s", scheduler_.now() - first->quiet_since());
+  log_("client", "closed to make room, quiet for {:.1f} s", scheduler_.now() - first->idle_since());
   count_close(guard::ClientClose::made_room);
-  shut(*first);
-  if (leaving_ <= kMaxClosing || longest_shut == nullptr) return true;
-  longest_shut->stream_.close();
-  connections_.erase(longest_shut);
-  --leaving_;
+  half_close(*first);
+  if (closing_ <= kMaxClosing || oldest_half_closed == nullptr) return true;
+  oldest_half_closed->stream_.close();
+  connections_.erase(oldest_half_closed);
+  --closing_;
   return true;
 }
 
@@ -143,8 +144,8 @@
     const auto came = stream.read();
     if (came == Stream::Came::end) break;
     if (came == Stream::Came::bytes) messages_.take(client);
-    if (came == Stream::Came::nothing) client->queued_for_ = 0;  // what had waited with it is read
-    messages_.serve_held(client);
+    if (came == Stream::Came::nothing) client->max_accept_delay_ = 0;  // what had waited with it is read
+    messages_.serve_deferred(client);
     if (!client->is_open() && may_close(*client)) break;
     if (came == Stream::Came::bytes) {
       ++reads;
@@ -177,21 +178,21 @@
   if (client.is_open())
     count_close(client.slow_reader_ ? guard::ClientClose::slow_reader : guard::ClientClose::by_client);
   client.stream_.close();
-  client.leave_all();
+  client.notify_client_left();
 }
 
 // ---- Ends. ---------------------------------------------------------------------------------------------
 
-void ClientListener::shut(ClientConnection& client) {
+void ClientListener::half_close(ClientConnection& client) {
   // As long as a request may cross the end of the answers, and a little.
-  constexpr Seconds kCrossingTime = 0.06;
-  if (client.phase_ == ClientConnection::Phase::shut) return;
+  constexpr Seconds kLingerTime = 0.06;
+  if (client.phase_ == ClientConnection::Phase::half_closed) return;
   if (guard_ != nullptr &&
       guard_->may_end_answers(client.requests(), client.stream_.unsent()) != guard::Invariant::none)
     return;
-  client.phase_ = ClientConnection::Phase::shut;
-  ++leaving_;
-  client.close_at_ = scheduler_.now() + kCrossingTime;
+  client.phase_ = ClientConnection::Phase::half_closed;
+  ++closing_;
+  client.close_at_ = scheduler_.now() + kLingerTime;
   client.stream_.end_writing();
   client.stream_.wake();
 }
@@ -200,7 +201,7 @@
 bool ClientListener::may_close(ClientConnection& client) {
   if (client.phase_ == ClientConnection::Phase::ending) {
     if (client.awaits_answers()) client.postpone_close();
-    if (client.idle()) shut(client);
+    if (client.idle()) half_close(client);
   }
   return scheduler_.now() >= client.close_at_;
 }
@@ -211,9 +212,9 @@
     for (const auto& [tag, handle] : std::exchange(client->open_, {})) {
       if (guard_ == nullptr || guard_->may_answer(handle->record()) == guard::Invariant::none)
         client->answer(tag, "ABORTED");
-      handle->leave();
+      handle->client_left();
     }
-    for (const auto& request : std::exchange(client->held_, {})) client->answer(request.tag, "REJECT");
+    for (const auto& request : std::exchange(client->deferred_, {})) client->answer(request.tag, "REJECT");
   }
 }
 
@@ -226,7 +227,7 @@
   for (const auto& [client, held] : connections_) {
     if (!client->idle() || client->stream_.has_unread()) continue;
     if (client->is_open()) count_close(guard::ClientClose::program_ends);
-    shut(*client);
+    half_close(*client);
   }
 }
 
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -37,7 +37,7 @@
   /// Who checks and counts what is done to connections; without one nothing is.
   void set_guard(guard::Guard& guard);
   /// What ALIVE is answered with.
-  void set_alive_reply(std::string_view word) { messages_.set_alive_reply(word); }
+  void set_alive_reply(std::string_view reply) { messages_.set_alive_reply(reply); }
   /// Closes the listening socket.
   void stop_accepting() { listener_.close(); }
   /// Hands the listening socket over to a successor: who comes meanwhile waits there.
@@ -58,8 +58,8 @@
   Task run_connection(std::shared_ptr<ClientConnection> client);
   bool close_as_late(ClientConnection& client);
   void connection_ended(ClientConnection& client);
-  bool make_room();
-  void shut(ClientConnection& client);
+  bool evict_idle_client();
+  void half_close(ClientConnection& client);
   bool may_close(ClientConnection& client);
   void count_close(guard::ClientClose reason);
 
@@ -68,9 +68,10 @@
   Log& log_;
   const std::size_t max_connections_;
   ClientMessages messages_;
-  guard::Guard* guard_ = nullptr;   // null: no counts, no checks
-  std::size_t leaving_ = 0;         // of those connected, shut
-  Seconds queued_since_ = kNoTime;  // callers wait in the listener's queue since then, as accepts fail
+  guard::Guard* guard_ = nullptr;  // null: no counts, no checks
+  std::size_t closing_ = 0;        // of those connected, shut
+  Seconds accept_failing_since_ =
+      kNoTime;  // callers wait in the listener's queue since then, as accepts fail
   Listener listener_;
   std::unordered_map<ClientConnection*, std::weak_ptr<ClientConnection>> connections_;
 };
--- a/src/net/client_messages.cpp
+++ b/src/net/client_messages.cpp
@@ -11,9 +11,9 @@
 
 // Prevents a client that asks on and reads nothing from filling the memory: past a few of the largest answers
 // its requests wait here. They are read all the same, as it may give them up or go.
-void ClientMessages::serve_held(const std::shared_ptr<ClientConnection>& client) {
+void ClientMessages::serve_deferred(const std::shared_ptr<ClientConnection>& client) {
   constexpr std::size_t kMaxUnsentBytes = 1 << 20;
-  auto& held = client->held_;
+  auto& held = client->deferred_;
   while (!held.empty() && !stopped_ && client->stream_.unsent() <= kMaxUnsentBytes) {
     auto request = std::move(held.front());
     held.pop_front();
@@ -26,7 +26,7 @@
   constexpr std::size_t kMaxBytes = 64UL * 1024;  // a write brings up to 48,000 bytes
   auto& stream = client->stream_;
   RespArray message;
-  while (client->phase_ != ClientConnection::Phase::shut) {
+  while (client->phase_ != ClientConnection::Phase::half_closed) {
     const bool open = client->is_open();
     try {
       read_resp_array(stream.in(), kMaxWords, kMaxBytes, message);
@@ -54,19 +54,19 @@
   const auto verb = words[0];
   const std::string tag(words[1]);
   if (parse<std::uint64_t>(tag, "tag") == 0) throw_bad_value("tag", tag);
-  if (verb == "ALIVE") return client->answer(tag, alive_word_);
+  if (verb == "ALIVE") return client->answer(tag, alive_reply_);
   if (verb == "FORGET") return forget(*client, tag);
   if (verb != "EXEC") throw_bad_value("request", verb);
   execute(client, words, tag);
 }
 
 void ClientMessages::forget(ClientConnection& client, const std::string& tag) {
-  std::erase_if(client.held_, [&](const Request& request) { return request.tag == tag; });
+  std::erase_if(client.deferred_, [&](const Request& request) { return request.tag == tag; });
   const auto it = client.open_.find(tag);
   if (it == client.open_.end()) return;
   auto* const handle = it->second;
   client.open_.erase(it);
-  handle->leave();
+  handle->client_left();
 }
 
 void ClientMessages::execute(const std::shared_ptr<ClientConnection>& client,
@@ -75,7 +75,7 @@
   if (client->has_tag(tag)) throw_bad_value("tag, open already", tag);
   if (client->requests() >= kMaxOpenRequests) throw_bad_value("number of open requests", tag);
   // The client's time runs since it sent the request, which may have waited for us.
-  const Seconds sent_at = scheduler_.now() - std::max(scheduler_.late(), client->queued_for_);
+  const Seconds sent_at = scheduler_.now() - std::max(scheduler_.late(), client->max_accept_delay_);
   Request request;
   try {
     request = parse_request(words, classes_, open_ids_, sent_at);
@@ -84,8 +84,8 @@
     return client->answer(tag, "ABORTED");
   }
   if (stopped_) return client->answer(tag, "REJECT");  // nothing was sent on for it
-  client->held_.push_back(std::move(request));
-  serve_held(client);
+  client->deferred_.push_back(std::move(request));
+  serve_deferred(client);
 }
 
 }  // namespace walkpaddle::net
--- a/src/net/client_messages.h
+++ b/src/net/client_messages.h
@@ -32,13 +32,13 @@
   /// Who counts what ends connections; null: nobody.
   void set_guard(guard::Guard& guard) { guard_ = &guard; }
   /// What ALIVE is answered with.
-  void set_alive_reply(std::string_view word) { alive_word_ = word; }
+  void set_alive_reply(std::string_view reply) { alive_reply_ = reply; }
   /// From now on requests are rejected, and none that is held back is served.
   void stop() { stopped_ = true; }
   /// Takes all whole messages that a connection holds. One that cannot be read ends the connection.
   void take(const std::shared_ptr<ClientConnection>& client);
   /// Serves what is held back while the client reads its answers.
-  void serve_held(const std::shared_ptr<ClientConnection>& client);
+  void serve_deferred(const std::shared_ptr<ClientConnection>& client);
 
  private:
   void handle(const std::shared_ptr<ClientConnection>& client, const std::vector<std::string_view>& words);
@@ -52,7 +52,7 @@
   const Serve serve_;
   guard::Guard* guard_ = nullptr;
   OpenId::Ids open_ids_;
-  std::string alive_word_ = "UNREADY";
+  std::string alive_reply_ = "UNREADY";
   bool stopped_ = false;
 };
 
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::string_view log_word(EndpointState state) {
+std::string_view state_name(EndpointState state) {
   switch (state) {
     case EndpointState::gone:
       return "gone";
@@ -30,8 +30,8 @@
 // last whole frame, so that one that trickles or stops midway is silence too.
 constexpr Seconds kSilenceTimeout = 2.2;
 constexpr Seconds kDialTimeout = 0.5;
-constexpr Seconds kFirstPause = 0.05;
-constexpr Seconds kLongestPause = 0.4;
+constexpr Seconds kInitialReconnectDelay = 0.05;
+constexpr Seconds kMaxReconnectDelay = 0.4;
 
 }  // namespace
 
@@ -77,7 +77,7 @@
     policy.update_endpoint(endpoint, listing.hash, listing.location, listing.kind, listing.cell,
                            listing.state, listing.weight,
                            clock_.started_at(endpoint, listing.started, scheduler_.now()));
-    log_("facts", "{}: {} as the fleet has it", upstream_.id(endpoint), log_word(listing.state));
+    log_("facts", "{}: {} as the fleet has it", upstream_.id(endpoint), state_name(listing.state));
   }
   policy.end_endpoint_list();
 }
@@ -109,7 +109,7 @@
   if (!std::exchange(following_, true)) return scheduler_.start(follow_all());
   address_changed_ = true;
   if (stream_ != nullptr) stream_->close();
-  pause_over_.set();
+  reconnect_now_.set();
 }
 
 void DiscoveryClient::hold_spare() {
@@ -127,7 +127,7 @@
 // NOLINTNEXTLINE(readability-function-cognitive-complexity): one coroutine over one stream
 Task DiscoveryClient::follow_all() {
   hold_spare();
-  for (Seconds pause = kFirstPause;; pause = std::min(pause * 2, kLongestPause)) {
+  for (Seconds pause = kInitialReconnectDelay;; pause = std::min(pause * 2, kMaxReconnectDelay)) {
     Progress progress;
     Fd socket = dial_with_spare();
     if (!socket) {
@@ -140,26 +140,26 @@
       const bool connected = in_time && error == 0;
       if (!connected) progress.why = in_time ? std::strerror(error) : "not up in time";
       if (connected) stream.write(hello_text(last_));
-      progress.whole_at = scheduler_.now();
+      progress.progress_at = scheduler_.now();
       while (connected) {
         const Input input = read_frames(stream, progress);
         if (input == Input::end) break;
         if (input == Input::frames) continue;
-        const bool woken = co_await stream.readable(progress.whole_at + kSilenceTimeout);
-        if (woken && scheduler_.now() < progress.whole_at + kSilenceTimeout) continue;
+        const bool woken = co_await stream.readable(progress.progress_at + kSilenceTimeout);
+        if (woken && scheduler_.now() < progress.progress_at + kSilenceTimeout) continue;
         progress.why = "silent";
         break;
       }
     }
     hold_spare();  // what the connection held is free at this moment
-    if (progress.frames_came) pause = kFirstPause;
+    if (progress.received_frame) pause = kInitialReconnectDelay;
     if (std::exchange(address_changed_, false)) {
-      pause = kFirstPause / 2;  // the next is the first again
+      pause = kInitialReconnectDelay / 2;  // the next is the first again
       continue;
     }
     log_("bus", "{}: {}, event {} is the last; again in {:.2f} s", text_of(address_), progress.why, last_,
          pause);
-    co_await pause_over_.wait(scheduler_.now() + pause);
+    co_await reconnect_now_.wait(scheduler_.now() + pause);
     address_changed_ = false;
   }
 }
@@ -178,12 +178,12 @@
   const auto bytes = stream.in().size();
   const bool took_frames = bytes < bytes_before;
   if (took_frames) {
-    progress.frames_came = true;
-    progress.bytes_then = 0;
+    progress.received_frame = true;
+    progress.bytes_at_progress = 0;
   }
-  if (took_frames || bytes >= progress.bytes_then + kLeastProgressBytes) {
-    progress.whole_at = scheduler_.now();
-    progress.bytes_then = bytes;
+  if (took_frames || bytes >= progress.bytes_at_progress + kLeastProgressBytes) {
+    progress.progress_at = scheduler_.now();
+    progress.bytes_at_progress = bytes;
   }
   return Input::frames;
 }
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -32,7 +32,7 @@
         log_(log),
         dispatcher_(dispatcher),
         upstream_(upstream),
-        pause_over_(scheduler) {}
+        reconnect_now_(scheduler) {}
 
   /// The events of the configuration were handed over, up to number `last`.
   void set_last_event(std::uint64_t last) {
@@ -64,10 +64,10 @@
   enum class Input { none, frames, end };
   // How one connection goes on.
   struct Progress {
-    Seconds whole_at = 0;        // when a frame last came whole, or a large one moved on
-    std::size_t bytes_then = 0;  // how much of a frame was there as it last moved on
-    bool frames_came = false;    // at least one whole
-    std::string why = "closed";  // it ended
+    Seconds progress_at = 0;            // when a frame last came whole, or a large one moved on
+    std::size_t bytes_at_progress = 0;  // how much of a frame was there as it last moved on
+    bool received_frame = false;        // at least one whole
+    std::string why = "closed";         // it ended
   };
 
   Task follow_all();
@@ -94,7 +94,7 @@
   std::unordered_set<int> in_list_;  // so far
   Stream* stream_ = nullptr;         // the connection in use, if there is one
   replica::ObservationTracker* observations_ = nullptr;
-  Event pause_over_;
+  Event reconnect_now_;
   // Held while there is no connection. Prevents clients and attempts from taking the descriptor of one that
   // broke, which would leave the router without its list.
   Fd spare_descriptor_;
--- a/src/net/discovery_clock.cpp
+++ b/src/net/discovery_clock.cpp
@@ -5,8 +5,8 @@
 namespace walkpaddle::net {
 
 void DiscoveryClock::begin_initial_events(Seconds newest_stamp, Seconds now) {
-  reads_known_ = true;
-  heard_at_ = now;
+  reads_initial_events_ = true;
+  last_received_at_ = now;
   if (newest_stamp > 0) offset_ = now - newest_stamp;
 }
 
@@ -15,7 +15,7 @@
 }
 
 Seconds DiscoveryClock::purged_at(Seconds stamp, Seconds now) {
-  if (!reads_known_) {
+  if (!reads_initial_events_) {
     observe(stamp, now);
     return now;
   }
@@ -29,10 +29,10 @@
   if (stamp <= 0) return 0;
   auto& start = starts_[endpoint];
   if (start.stamp == stamp) return start.at;
-  if (!reads_known_) observe(stamp, now);
+  if (!reads_initial_events_) observe(stamp, now);
   Seconds at = offset_ ? std::min(now, stamp + *offset_) : now;
   // Older than it can be: discovery's clock was set back since.
-  if (!reads_known_ && at < heard_at_ - kMaxEventDelay) {
+  if (!reads_initial_events_ && at < last_received_at_ - kMaxEventDelay) {
     at = now;
     offset_ = now - stamp;
   }
--- a/src/net/discovery_clock.h
+++ b/src/net/discovery_clock.h
@@ -22,9 +22,9 @@
   /// distance to the newest.
   void begin_initial_events(Seconds newest_stamp, Seconds now);
   /// What follows happens while it is told.
-  void end_initial_events() { reads_known_ = false; }
+  void end_initial_events() { reads_initial_events_ = false; }
   /// A whole frame came.
-  void frame_received(Seconds now) { heard_at_ = now; }
+  void frame_received(Seconds now) { last_received_at_ = now; }
 
   /// When the purge with this stamp happened, at the latest. A live one counts from its arrival: the copies
   /// made between the two are fetched once more.
@@ -41,8 +41,8 @@
 
   // Our time less discovery's, at most: the least seen from a stamp to its arrival.
   std::optional<Seconds> offset_;
-  Seconds heard_at_ = 0;
-  bool reads_known_ = false;
+  Seconds last_received_at_ = 0;
+  bool reads_initial_events_ = false;
   std::unordered_map<int, Start> starts_;  // by endpoint, of which there are as many as discovery lists
 };
 
--- a/src/net/discovery_codec.cpp
+++ b/src/net/discovery_codec.cpp
@@ -12,7 +12,7 @@
 enum class FrameKind : std::uint8_t { heartbeat, whole_list, list_change, object_purge, group_purge };
 
 constexpr std::size_t kLengthBytes = 4;
-constexpr std::size_t kHeadBytes = 9;  // number and kind
+constexpr std::size_t kHeaderBytes = 9;  // number and kind
 constexpr std::size_t kEndpointBytes = 27;
 constexpr std::size_t kStateOffset = 10;  // in an endpoint
 constexpr std::size_t kObjectPurgeBytes = 16;
@@ -57,7 +57,7 @@
   return kind;
 }
 
-void hand_list(bool whole, std::string_view payload, DiscoveryEvents& events) {
+void report_list(bool whole, std::string_view payload, DiscoveryEvents& events) {
   constexpr EndpointState kStates[] = {EndpointState::ready, EndpointState::draining, EndpointState::gone};
   events.begin_endpoint_list(whole);
   while (!payload.empty()) {
@@ -76,14 +76,14 @@
   events.end_endpoint_list();
 }
 
-void hand_event(FrameKind kind, std::string_view payload, DiscoveryEvents& events) {
+void report_event(FrameKind kind, std::string_view payload, DiscoveryEvents& events) {
   switch (kind) {
     case FrameKind::heartbeat:
       return;
     case FrameKind::whole_list:
-      return hand_list(true, payload, events);
+      return report_list(true, payload, events);
     case FrameKind::list_change:
-      return hand_list(false, payload, events);
+      return report_list(false, payload, events);
     case FrameKind::object_purge: {
       const auto object = fmt::format("{:016x}", take_number(payload, 8));
       return events.purged(object, take_stamp(payload));
@@ -102,14 +102,15 @@
   constexpr std::size_t kMaxFrameBytes = 4u << 20;  // a list of 150,000 endpoints
   if (bytes.size() < kLengthBytes) return 0;
   const auto length = take_number(bytes, kLengthBytes);
-  if (length < kHeadBytes || length > kMaxFrameBytes) throw_bad_value("frame length", std::to_string(length));
+  if (length < kHeaderBytes || length > kMaxFrameBytes)
+    throw_bad_value("frame length", std::to_string(length));
   if (bytes.size() < length) return 0;
   auto payload = bytes.substr(0, length);
   const auto number = take_number(payload, 8);
   const auto kind = checked_kind(take_number(payload, 1), payload);
   if (kind == FrameKind::heartbeat || number <= last) return kLengthBytes + length;
   // Behind a gap: it counts at once, and will count again once what is missing has come before it.
-  hand_event(kind, payload, events);
+  report_event(kind, payload, events);
   seen = number;
   if (number == last + 1) last = number;
   return kLengthBytes + length;
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -30,7 +30,7 @@
 }
 
 RequestHandle::~RequestHandle() {
-  if (attempt_out_) attempt_ended(AttemptOutcome::not_sent, FillOutcome::none, 0, 0, 0, true);
+  if (attempt_in_flight_) attempt_ended(AttemptOutcome::not_sent, FillOutcome::none, 0, 0, 0, true);
   dispatcher_.handles_[static_cast<std::size_t>(slot_)] = nullptr;
   dispatcher_.free_slots_.push_back(slot_);
 }
@@ -48,7 +48,7 @@
 void RequestHandle::attempt_ended(AttemptOutcome outcome, FillOutcome fill, Seconds duration,
                                   Seconds fill_wait, Seconds transfer_time, bool request_over) {
   attempt_ = nullptr;
-  attempt_out_ = false;
+  attempt_in_flight_ = false;
   dispatcher_.input().attempt_ended(slot_, attempts_ - 1, outcome, fill, duration, fill_wait, transfer_time,
                                     request_over);
 }
@@ -57,8 +57,8 @@
   dispatcher_.input().set_represented_requests(slot_, in_flight, requests);
 }
 
-void RequestHandle::leave() {
-  if (std::exchange(left_, true)) return;
+void RequestHandle::client_left() {
+  if (std::exchange(has_client_left_, true)) return;
   record_.client_left();
   dispatcher_.input().client_left(slot_);
   if (attempt_ != nullptr) attempt_->abandon();
@@ -145,7 +145,7 @@
     for (auto* handle : handles_)
       if (handle != nullptr) handle->update_purges();
   }
-  if (scheduler_.now() >= polled_at_ + poll_interval_) return poll_policy();
+  if (scheduler_.now() >= last_poll_at_ + poll_interval_) return poll_policy();
   if (!std::exchange(poll_pending_, true)) poll_wanted_.set();
 }
 
@@ -153,14 +153,14 @@
   for (;;) {
     co_await poll_wanted_.wait();
     Event due(scheduler_);
-    co_await due.wait(polled_at_ + poll_interval_);  // the turn that this makes ends with the poll
+    co_await due.wait(last_poll_at_ + poll_interval_);  // the turn that this makes ends with the poll
     poll_pending_ = false;
   }
 }
 
 void RequestDispatcher::poll_policy() {
-  polled_at_ = scheduler_.now();
-  input().copies_no_older_than(purges_.copy_age_limit(polled_at_));
+  last_poll_at_ = scheduler_.now();
+  input().copies_no_older_than(purges_.copy_age_limit(last_poll_at_));
   while (const auto decision = policy_->next()) carry_out(*decision);
 }
 
@@ -180,7 +180,7 @@
     return;
   }
   if (decision.kind == Kind::forward) {
-    handle->attempt_out_ = true;
+    handle->attempt_in_flight_ = true;
     ++handle->attempts_;
   }
   handle->decision_ = decision;
--- a/src/net/request_dispatcher.h
+++ b/src/net/request_dispatcher.h
@@ -50,9 +50,9 @@
   /// It is a lookup that stands for so many requests; to be called at once after the making.
   void set_represented_requests(double in_flight, double requests);
   /// The client waits no more: an attempt that is out is abandoned.
-  void leave();
+  void client_left();
   /// Whether the client has left.
-  bool left() const { return left_; }
+  bool has_client_left() const { return has_client_left_; }
   /// Copies made before are purged, as the policy knows it.
   Seconds valid_since() const { return valid_since_; }
   /// What the guard knows of the request.
@@ -73,8 +73,8 @@
   std::optional<Decision> decision_;
   Attempt* attempt_ = nullptr;
   int attempts_ = 0;  // decided so far
-  bool left_ = false;
-  bool attempt_out_ = false;  // decided, and not told as ended
+  bool has_client_left_ = false;
+  bool attempt_in_flight_ = false;  // decided, and not told as ended
 };
 
 /// The policy and all requests that it knows.
@@ -136,7 +136,7 @@
   const bool answers_report_load_;
   Event timer_changed_;
   Event poll_wanted_;
-  Seconds polled_at_ = 0;
+  Seconds last_poll_at_ = 0;
   bool poll_pending_ = false;
   Seconds wake_up_at_ = kNoTime;
   std::optional<rollout::MetricsCollector> metrics_;
--- a/src/net/request_handler.cpp
+++ b/src/net/request_handler.cpp
@@ -61,7 +61,7 @@
  private:
   void check_not_modified(int endpoint, AttemptResult& result);
   void check_copy(const Decision& decision, const Attempt& attempt, AttemptResult& result);
-  AttemptOutcome judge_copy(const Attempt& attempt, const AttemptResult& result, Seconds max_age);
+  AttemptOutcome evaluate_copy(const Attempt& attempt, const AttemptResult& result, Seconds max_age);
   void answer(const AttemptResult& result);
   bool may_answer() { return guard_.may_answer(handle_.record()) == guard::Invariant::none; }
   void count_end(RequestEnd end);
@@ -96,27 +96,27 @@
       handle_(dispatcher, request.class_index, object_, request.object_text, request.part, request.group,
               request.deadline, request.id),
       received_at_(scheduler.now()) {
-  client_.opened(request_.tag, handle_);
+  client_.add_request(request_.tag, handle_);
 }
 
 RequestTask::~RequestTask() {
-  if (closed_ || handle_.left()) return;
+  if (closed_ || handle_.has_client_left()) return;
   try {
     if (may_answer()) client_.answer(request_.tag, "ABORTED");
   } catch (const std::bad_alloc&) {
     // Not even memory for one word: the client sees its connection's end or its own limit.
   }
-  client_.over(request_.tag);
+  client_.remove_request(request_.tag);
 }
 
 void RequestTask::close() {
-  client_.over(request_.tag);
+  client_.remove_request(request_.tag);
   closed_ = true;
 }
 
 bool RequestTask::count_if_left() {
-  if (handle_.left()) ++guard_.counters().left;
-  return handle_.left();
+  if (handle_.has_client_left()) ++guard_.counters().left;
+  return handle_.has_client_left();
 }
 
 void RequestTask::count_end(RequestEnd end) {
@@ -180,7 +180,7 @@
   if (result.outcome != AttemptOutcome::served || dispatcher_.purges().replication() == nullptr ||
       request_.uncacheable)
     return;
-  result.outcome = judge_copy(attempt, result, decision.max_age);
+  result.outcome = evaluate_copy(attempt, result, decision.max_age);
   if (result.outcome == AttemptOutcome::stale)
     log_("old", "{}: a copy of {:.3f} s where {:.3f} s were allowed; set aside",
          upstream_.id(decision.endpoint), result.age, decision.max_age);
@@ -188,15 +188,16 @@
 
 // Where the age is told it is the sending that it is counted back from: a copy is taken for as old as it may
 // be.
-AttemptOutcome RequestTask::judge_copy(const Attempt& attempt, const AttemptResult& result, Seconds max_age) {
+AttemptOutcome RequestTask::evaluate_copy(const Attempt& attempt, const AttemptResult& result,
+                                          Seconds max_age) {
   constexpr Seconds kRounding = 0.002;  // whole milliseconds, up at one side and down at the other
   auto& purges = dispatcher_.purges();
   const Seconds now = scheduler_.now();
-  const bool age_told = result.age >= 0;
+  const bool age_reported = result.age >= 0;
   if (result.tags_reported) purges.learn_tags(object_, result.tags, now);
-  if (age_told && max_age > 0 && result.age > max_age + kRounding) return AttemptOutcome::stale;
+  if (age_reported && max_age > 0 && result.age > max_age + kRounding) return AttemptOutcome::stale;
   Seconds made_at = 0;
-  if (age_told)
+  if (age_reported)
     made_at = attempt.started_at() - result.age;
   else if (max_age > 0)
     made_at = attempt.started_at() - max_age;
@@ -216,18 +217,18 @@
   auto& result = attempt.result();
   check_not_modified(decision.endpoint, result);
   check_copy(decision, attempt, result);
-  const bool served = result.outcome == AttemptOutcome::served && !handle_.left();
-  const Seconds took = scheduler_.now() - attempt.started_at();
+  const bool served = result.outcome == AttemptOutcome::served && !handle_.has_client_left();
+  const Seconds duration = scheduler_.now() - attempt.started_at();
   const auto size = static_cast<double>(result.body.size());
   if (served && may_answer()) answer(result);
-  if (!served && !handle_.left())
-    log_("attempt", "{}: {} of {:.3f} s at {} ended {}", request_.id_text, attempts_, took,
+  if (!served && !handle_.has_client_left())
+    log_("attempt", "{}: {} of {:.3f} s at {} ended {}", request_.id_text, attempts_, duration,
          upstream_.id(decision.endpoint), to_string(result.outcome));
   const Seconds transfer_time = transfer_rate_ > 0 ? size / transfer_rate_ : 0;
   dispatcher_.load_reported(decision.endpoint, result.report.load);
   dispatcher_.attempt_counted(result.outcome, result.fill);
-  handle_.attempt_ended(result.outcome, result.fill, took, result.report.fill_wait, transfer_time,
-                        served || handle_.left());
+  handle_.attempt_ended(result.outcome, result.fill, duration, result.report.fill_wait, transfer_time,
+                        served || handle_.has_client_left());
   if (!served) return false;
   ++guard_.counters().served;
   count_end(RequestEnd::served);
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -14,12 +14,12 @@
 // Bytes of one answer follow each other within a round trip; where they stop, or trickle, nothing on this
 // connection will be answered any more. A hundredth of a usual transfer's pace brings more than
 // kLeastProgressBytes in that time.
-constexpr Seconds kLongestStall = 0.4;
+constexpr Seconds kMaxStall = 0.4;
 constexpr std::size_t kLeastProgressBytes = 1024;
 
 }  // namespace
 
-void UpstreamEndpoint::answered_after(Seconds time) {
+void UpstreamEndpoint::add_response_time(Seconds time) {
   constexpr double kWeight = 0.1;  // of one answer in the mean
   least_response_time = std::min(least_response_time, time);
   mean_response_time += (time - mean_response_time) * kWeight;
@@ -29,15 +29,16 @@
                                        UpstreamEndpoint& endpoint)
     : scheduler_(scheduler), log_(log), endpoint_(endpoint), stream_(scheduler, outbox, std::move(socket)) {}
 
-bool UpstreamConnection::accepts(const Attempt& attempt, std::size_t max_live) const {
-  return usable() && stream_.writable_still() && live_ < max_live && !open_.contains(attempt.spec_.id);
+bool UpstreamConnection::accepts(const Attempt& attempt, std::size_t max_in_flight) const {
+  return usable() && stream_.writable_still() && in_flight_ < max_in_flight &&
+         !open_.contains(attempt.spec_.id);
 }
 
-void UpstreamConnection::came_up() {
-  up_ = true;
-  heard_at_ = scheduler_.now();
-  used_at_ = heard_at_;
-  progress_at_ = heard_at_;
+void UpstreamConnection::set_connected() {
+  connected_ = true;
+  last_received_at_ = scheduler_.now();
+  used_at_ = last_received_at_;
+  progress_at_ = last_received_at_;
 }
 
 void UpstreamConnection::retire(guard::EndpointClose reason) {
@@ -46,7 +47,7 @@
 }
 
 void UpstreamConnection::close_if_drained() {
-  if (retired_ && live_ == 0) stream_.close();
+  if (retired_ && in_flight_ == 0) stream_.close();
 }
 
 void UpstreamConnection::end_as(std::string_view why, guard::EndpointClose reason) {
@@ -59,7 +60,7 @@
 void UpstreamConnection::send(Attempt& attempt, std::string_view message, Seconds now) {
   stream_.write(message);
   open_[attempt.spec_.id] = &attempt;
-  ++live_;
+  ++in_flight_;
   used_at_ = now;
 }
 
@@ -72,13 +73,13 @@
     other->first_byte_ -= bytes;
     other->last_byte_ -= bytes;
   }
-  --live_;
+  --in_flight_;
   return true;
 }
 
 void UpstreamConnection::release(const Attempt& attempt, bool may_be_answered) {
   forget(attempt, may_be_answered);
-  --live_;
+  --in_flight_;
 }
 
 // Prevents an answer that comes late, or twice, from being taken for that of the request's next attempt:
@@ -86,16 +87,16 @@
 // connection. Others may: a dial and a place at the endpoint for each cost more than an attempt that ends too
 // soon.
 void UpstreamConnection::forget(const Attempt& attempt, bool may_be_answered) {
-  constexpr std::size_t kMaxGivenUp = 64;  // more than can be given up in the time of one round trip
+  constexpr std::size_t kMaxLateAnswers = 64;  // more than can be given up in the time of one round trip
   const auto id = attempt.spec_.id;
   open_.erase(id);
   if (!may_be_answered && !attempt.spec_.has_effect) return;
   open_[id] = nullptr;
-  given_up_.push_back(id);
-  if (given_up_.size() <= kMaxGivenUp) return;
-  const auto oldest = open_.find(given_up_.front());
+  late_answer_ids_.push_back(id);
+  if (late_answer_ids_.size() <= kMaxLateAnswers) return;
+  const auto oldest = open_.find(late_answer_ids_.front());
   if (oldest != open_.end() && oldest->second == nullptr) open_.erase(oldest);
-  given_up_.pop_front();
+  late_answer_ids_.pop_front();
 }
 
 void UpstreamConnection::detach_attempts() {
@@ -116,17 +117,17 @@
   const auto came = stream_.read();
   if (came == Stream::Came::end) return Input::end;
   if (came == Stream::Came::nothing) return Input::none;
-  heard_at_ = scheduler_.now();
+  last_received_at_ = scheduler_.now();
   if (!take_answers(listener)) {
     end_as("an answer that cannot be read", guard::EndpointClose::answer_unusable);
     return Input::end;
   }
   const auto bytes = stream_.in().size();
-  if (!had_begun || answers_ != answers_before || bytes >= bytes_then_ + kLeastProgressBytes) {
-    progress_at_ = heard_at_;
-    bytes_then_ = bytes;
+  if (!had_begun || answers_ != answers_before || bytes >= bytes_at_progress_ + kLeastProgressBytes) {
+    progress_at_ = last_received_at_;
+    bytes_at_progress_ = bytes;
   }
-  if (answer_begun() && heard_at_ >= progress_at_ + kLongestStall) {
+  if (answer_begun() && last_received_at_ >= progress_at_ + kMaxStall) {
     end_as("an answer that trickles", guard::EndpointClose::answer_trickles);
     return Input::end;
   }
@@ -135,17 +136,17 @@
 
 Seconds UpstreamConnection::read_deadline(Seconds idle_close) const {
   constexpr Seconds kLeastWait = 0.1;
-  if (answer_begun()) return progress_at_ + kLongestStall;
-  if (live_ > 0) return kNoTime;
+  if (answer_begun()) return progress_at_ + kMaxStall;
+  if (in_flight_ > 0) return kNoTime;
   return std::max(used_at_ + idle_close, scheduler_.now() + kLeastWait);
 }
 
 bool UpstreamConnection::timed_out(Seconds idle_close) {
-  if (answer_begun() && scheduler_.now() >= progress_at_ + kLongestStall) {
+  if (answer_begun() && scheduler_.now() >= progress_at_ + kMaxStall) {
     end_as("an answer that stopped midway", guard::EndpointClose::answer_stopped);
     return true;
   }
-  if (live_ == 0 && scheduler_.now() >= used_at_ + idle_close) {
+  if (in_flight_ == 0 && scheduler_.now() >= used_at_ + idle_close) {
     end_as("", guard::EndpointClose::idle);
     return true;
   }
@@ -181,7 +182,7 @@
   if (attempt == nullptr) return;
   release(*attempt, false);
   attempt->connection_ = nullptr;
-  endpoint_.answered_after(scheduler_.now() - attempt->written_at_);
+  endpoint_.add_response_time(scheduler_.now() - attempt->written_at_);
   store_answer(answer, attempt->result_);
   attempt->finish(answer.outcome);
 }
--- a/src/net/upstream_connection.h
+++ b/src/net/upstream_connection.h
@@ -45,9 +45,9 @@
   std::string id;                              ///< as discovery names it
   Address address;                             ///< as discovery last told it
   EndpointState state = EndpointState::gone;   ///< as discovery last told it
-  std::list<UpstreamConnection*> connections;  ///< they live in their tasks
+  std::list<UpstreamConnection*> connections;  ///< owned by their tasks
   std::size_t dialling = 0;                    ///< connections that are not up yet
-  bool wants_descriptor = false;  ///< its dial waits for one: this router's own want, no sign of its health
+  bool awaits_descriptor = false;  ///< its dial waits for one: this router's own want, no sign of its health
   /// Least time from an attempt to its answer; at first more than any way between machines.
   Seconds least_response_time = 0.05;
   /// Exponentially weighted mean time from an attempt to its answer; at first that of a slow server.
@@ -55,7 +55,7 @@
   std::vector<Attempt*> waiting;  ///< for a connection with capacity, in the order of their coming
 
   /// Takes one answer into the response times.
-  void answered_after(Seconds time);
+  void add_response_time(Seconds time);
 };
 
 /// One connection and the attempts over it.
@@ -77,30 +77,30 @@
   Stream& stream() { return stream_; }
   const Stream& stream() const { return stream_; }  ///< the same, to look at
   /// When bytes last came, or it came up.
-  Seconds heard_at() const { return heard_at_; }
+  Seconds last_received_at() const { return last_received_at_; }
   /// When it last carried an attempt or an answer, or came up.
   Seconds used_at() const { return used_at_; }
   /// How many attempts are out over it that have not been given up.
-  std::size_t live() const { return live_; }
+  std::size_t in_flight() const { return in_flight_; }
   /// Connected.
-  bool is_up() const { return up_; }
+  bool is_connected() const { return connected_; }
   /// Up, and new attempts may use it.
-  bool usable() const { return up_ && !retired_; }
+  bool usable() const { return connected_ && !retired_; }
   /// Up, without attempts, and new ones may use it.
-  bool idle() const { return usable() && live_ == 0; }
+  bool idle() const { return usable() && in_flight_ == 0; }
   /// No new attempts go over it, those that are out end.
   bool retired() const { return retired_; }
-  /// Whether this attempt may be written to it, with at most `max_live` in all.
-  bool accepts(const Attempt& attempt, std::size_t max_live) const;
+  /// Whether this attempt may be written to it, with at most `max_in_flight` in all.
+  bool accepts(const Attempt& attempt, std::size_t max_in_flight) const;
 
   /// It is connected.
-  void came_up();
+  void set_connected();
   /// Its task ends: nothing more goes over it.
-  void went_down() { up_ = false; }
+  void set_disconnected() { connected_ = false; }
   /// From now on no new attempts go over it; `reason` is what its close is counted as.
   void retire(guard::EndpointClose reason);
   /// The same as an answer was due and nothing was heard; an earlier reason stays.
-  void mark_silent() { retired_ = true; }
+  void mark_unresponsive() { retired_ = true; }
   /// Closes it if it is retired and has no attempts.
   void close_if_drained();
   /// What its close is to be counted as.
@@ -137,19 +137,19 @@
   Log& log_;
   UpstreamEndpoint& endpoint_;
   Stream stream_;
-  bool up_ = false;
+  bool connected_ = false;
   bool retired_ = false;
   guard::EndpointClose retire_reason_ = guard::EndpointClose::silent;
   std::string_view why_ = "closed by the other side";
   guard::EndpointClose end_reason_ = guard::EndpointClose::by_endpoint;
   std::unordered_map<std::uint64_t, Attempt*> open_;  // by request; null: given up, an answer may still come
-  std::deque<std::uint64_t> given_up_;                // the latest of these, oldest first
-  std::size_t live_ = 0;                              // those not given up
-  Seconds heard_at_ = 0;
+  std::deque<std::uint64_t> late_answer_ids_;         // the latest of these, oldest first
+  std::size_t in_flight_ = 0;                         // those not given up
+  Seconds last_received_at_ = 0;
   Seconds used_at_ = 0;
-  std::uint64_t answers_ = 0;   // whole ones that came
-  Seconds progress_at_ = 0;     // when the answer that has begun last moved on
-  std::size_t bytes_then_ = 0;  // how much of it was there then
+  std::uint64_t answers_ = 0;          // whole ones that came
+  Seconds progress_at_ = 0;            // when the answer that has begun last moved on
+  std::size_t bytes_at_progress_ = 0;  // how much of it was there then
 };
 
 }  // namespace walkpaddle::net
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -65,7 +65,7 @@
       outbox_(outbox),
       log_(log),
       settings_(settings),
-      max_live_(static_cast<std::size_t>(std::max(1, settings.max_attempts_per_connection))),
+      max_in_flight_(static_cast<std::size_t>(std::max(1, settings.max_attempts_per_connection))),
       idle_close_(settings.endpoint_idle_close * 0.6) {}
 
 UpstreamPool::~UpstreamPool() = default;
@@ -92,7 +92,7 @@
   if (changed.address != address || state == EndpointState::gone) {
     for (auto* connection : changed.connections) {  // what runs goes on; new attempts use new connections
       connection->retire(guard::EndpointClose::moved_or_gone);
-      if (connection->is_up() && connection->live() == 0) connection->stream().close();
+      if (connection->is_connected() && connection->in_flight() == 0) connection->stream().close();
     }
   }
   changed.address = address;
@@ -133,8 +133,8 @@
                                                const Attempt& attempt) const {
   UpstreamConnection* best = nullptr;
   for (auto* connection : endpoint.connections) {
-    if (!connection->accepts(attempt, max_live_)) continue;
-    if (best == nullptr || connection->live() < best->live()) best = connection;
+    if (!connection->accepts(attempt, max_in_flight_)) continue;
+    if (best == nullptr || connection->in_flight() < best->in_flight()) best = connection;
   }
   return best;
 }
@@ -153,12 +153,12 @@
       continue;
     }
     // Prevents an attempt from being written after the other side's end, which would look as if it had run.
-    if (connection->live() == 0 && connection->stream().ended()) {
+    if (connection->in_flight() == 0 && connection->stream().ended()) {
       connection->retire(guard::EndpointClose::by_endpoint);
       connection->stream().close();
       continue;
     }
-    shares_connection = shares_connection || connection->live() > 0;
+    shares_connection = shares_connection || connection->in_flight() > 0;
     it = endpoint.waiting.erase(it);
     attempt.send_over(*connection);
   }
@@ -172,7 +172,7 @@
 
 // As many connections on their way as the waiting attempts fill.
 void UpstreamPool::dial_for_waiting(UpstreamEndpoint& endpoint) {
-  const auto wanted = (endpoint.waiting.size() + max_live_ - 1) / max_live_;
+  const auto wanted = (endpoint.waiting.size() + max_in_flight_ - 1) / max_in_flight_;
   for (auto more = wanted; more > endpoint.dialling && !endpoint.waiting.empty(); --more)
     scheduler_.start_isolated(run_connection(endpoint.index));
 }
@@ -185,14 +185,14 @@
   const int error = has_descriptor ? errno : EMFILE;
   if (socket) return DialStep::started;
   if (!is_own_want(error)) {
-    endpoint.wants_descriptor = false;
+    endpoint.awaits_descriptor = false;
     count.end_dial();
     dial_failed(endpoint, std::strerror(error), guard::EndpointClose::refused);
     return DialStep::failed;
   }
   log_("connect", "{} at {}: {}, {} connections", endpoint.id, text_of(endpoint.address),
        std::strerror(error), connection_count_);
-  endpoint.wants_descriptor = true;
+  endpoint.awaits_descriptor = true;
   if (has_descriptor) close_longest_idle();
   return DialStep::wait_for_descriptor;
 }
@@ -219,7 +219,7 @@
   return true;
 }
 
-bool UpstreamPool::is_connected(UpstreamEndpoint& endpoint, UpstreamConnection& connection, bool in_time) {
+bool UpstreamPool::dial_succeeded(UpstreamEndpoint& endpoint, UpstreamConnection& connection, bool in_time) {
   const int error = connection.stream().error();
   if (!in_time) {
     dial_failed(endpoint, "not up in time", guard::EndpointClose::not_up_in_time);
@@ -250,18 +250,18 @@
     Event pause(scheduler_);
     co_await pause.wait(scheduler_.now() + kDescriptorPause);
     if (to.waiting.empty()) {
-      to.wants_descriptor = false;
+      to.awaits_descriptor = false;
       co_return;
     }
   }
-  to.wants_descriptor = false;
+  to.awaits_descriptor = false;
   count.hold_descriptor();
   UpstreamConnection connection(scheduler_, outbox_, log_, std::move(socket), to);
   const Registration registration(*this, to, connection);
   const bool in_time = co_await connection.stream().writable(scheduler_.now() + settings_.dial_timeout);
   count.end_dial();
-  if (!is_connected(to, connection, in_time)) co_return;
-  connection.came_up();
+  if (!dial_succeeded(to, connection, in_time)) co_return;
+  connection.set_connected();
   place_waiting(to);
   for (;;) {
     const auto input = connection.read(command_listener_);
@@ -277,11 +277,11 @@
 }
 
 void UpstreamPool::connection_ended(UpstreamEndpoint& endpoint, UpstreamConnection& connection) {
-  connection.went_down();
+  connection.set_disconnected();
   count_close(connection.close_reason());
   if (command_listener_ != nullptr) command_listener_->connection_lost(endpoint.index);
-  if (!connection.why().empty() && connection.live() > 0)
-    log_("connection", "{}: {}, {} hops out", endpoint.id, connection.why(), connection.live());
+  if (!connection.why().empty() && connection.in_flight() > 0)
+    log_("connection", "{}: {}, {} hops out", endpoint.id, connection.why(), connection.in_flight());
   connection.end_attempts();
   if (!endpoint.waiting.empty()) dial_for_waiting(endpoint);
 }
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -77,7 +77,7 @@
   void dial_for_waiting(UpstreamEndpoint& endpoint);
   DialStep try_dial(UpstreamEndpoint& endpoint, DialCount& count, Fd& socket);
   void dial_failed(UpstreamEndpoint& endpoint, std::string_view why, guard::EndpointClose reason);
-  bool is_connected(UpstreamEndpoint& endpoint, UpstreamConnection& connection, bool in_time);
+  bool dial_succeeded(UpstreamEndpoint& endpoint, UpstreamConnection& connection, bool in_time);
   bool close_longest_idle();
   Task run_connection(int index);
   void connection_ended(UpstreamEndpoint& endpoint, UpstreamConnection& connection);
@@ -87,7 +87,7 @@
   Outbox& outbox_;
   Log& log_;
   const UpstreamSettings settings_;
-  const std::size_t max_live_;        // attempts on one connection
+  const std::size_t max_in_flight_;   // attempts on one connection
   const Seconds idle_close_;          // well before the other side, so that no attempt crosses its close
   std::size_t connection_count_ = 0;  // of all endpoints, dials included, that hold a descriptor
   std::list<UpstreamConnection*> connections_;
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -611,13 +611,13 @@
       ++served;
       tag = order.tag;
       handle.emplace(dispatcher, 0, 1, order.object_text, 0, 0, scheduler.now() + 9);
-      client->opened(tag, *handle);
+      client->add_request(tag, *handle);
       asked = std::move(client);
     };
   }
   void answer() {
     asked->answer(tag, "RESULT", "etag=1", "one");
-    asked->over(tag);
+    asked->remove_request(tag);
     asked.reset(), handle.reset();
   }
   const std::string answered = resp_array_text({"1", "RESULT", "etag=1", "one"});
@@ -639,7 +639,7 @@
     say(c, s.exec(1) + "GET / HTTP/1.1\r\n\r\n" + s.exec(2));
     UNTIL(s.asked);
     co_await s.look.wait(s.scheduler.now() + 0.2);
-    CHECK_FALSE(s.handle->left());
+    CHECK_FALSE(s.handle->has_client_left());
     s.answer();
     std::string got;
     UNTIL((got += taken(c)).ends_with("|"));
@@ -657,8 +657,8 @@
     UNTIL(s.asked);
     co_await s.look.wait(s.scheduler.now() + 0.1);
     say(c, resp_array_text({"FORGET", "1", ""}));
-    UNTIL(s.handle->left());
-    CHECK(s.handle->left());
+    UNTIL(s.handle->has_client_left());
+    CHECK(s.handle->has_client_left());
     s.scheduler.stop();
   });
 }
@@ -670,7 +670,7 @@
     const auto next = s.exec(2);
     say(c, s.exec(1) + next.substr(0, 20));
     co_await s.look.wait(s.scheduler.now() + 2.4);  // past the time for a whole message
-    CHECK_FALSE(s.handle->left());
+    CHECK_FALSE(s.handle->has_client_left());
     s.answer();
     say(c, next.substr(20));
     std::string got;
