--- a/src/net/attempt.cpp
+++ b/src/net/attempt.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// A deadline that was written into our own buffer goes stale there. Well under the slack that a server's
-// deadline may have (0.15 s, docs/promises.md).
+// A message carries the time that is left, which goes stale while the message waits in the send buffer. The
+// limit is well under the 0.15 s by which a forwarded deadline may exceed the client's (docs/promises.md).
 constexpr Seconds kMaxUnsentTime = 0.1;
 
 }  // namespace
@@ -38,7 +38,7 @@
 
 void Attempt::send_over(UpstreamConnection& connection) {
   const Seconds now = scheduler_.now();
-  // Down to whole milliseconds: never longer than the request has.
+  // Rounded down to whole milliseconds, so that it does not exceed the time that the request has left.
   const Seconds time_left = spec_.timeout_at - scheduler_.now_exactly();
   const auto limit_ms = std::max(1L, static_cast<long>(std::floor(time_left * 1e3)));
   if (!guard_allows(connection, static_cast<Seconds>(limit_ms) / 1e3))
@@ -52,10 +52,10 @@
   state_ = State::written;
   written_at_ = now;
   last_byte_ = connection.stream().written();
-  event_.set();  // its task waits for another time now
+  event_.set();  // next_deadline() has changed
 }
 
-// Asked last before the bytes go: whatever was decided before them may have been overtaken.
+// The guard is asked immediately before the write, because the state may have changed since the decision.
 bool Attempt::guard_allows(const UpstreamConnection& connection, Seconds time_left) {
   if (pool_.guard_ == nullptr || spec_.record == nullptr) return true;
   const auto source_state = spec_.source >= 0 ? pool_.endpoint(spec_.source).state : EndpointState::ready;
@@ -99,7 +99,7 @@
     return finish(endpoint().awaits_descriptor ? AttemptOutcome::not_sent : AttemptOutcome::unreachable);
   }
   if (is_unsent() && now >= written_at_ + kMaxUnsentTime) {
-    connection_->mark_unresponsive();  // no others wait behind it
+    connection_->mark_unresponsive();  // keeps new attempts from queueing behind this one
     return abandon();
   }
   if ((state_ == State::queued || state_ == State::written) && now >= spec_.timeout_at)
@@ -111,7 +111,7 @@
   state_ = State::queued;
   connection_ = nullptr;
   endpoint().waiting.push_back(this);
-  event_.set();  // its task waits for another time now
+  event_.set();  // next_deadline() has changed
 }
 
 // ---- Ends. ---------------------------------------------------------------------------------------------
@@ -129,18 +129,18 @@
   if (!ended() && withdraw()) abandon();
 }
 
-// Only where an answer had to come by now: a server may drop a request with little time left without a word.
-// One that is cancelled may be repeated, so its connection ends in any case: a cancel alone may not arrive
-// there.
+// Whether an endpoint without an answer so far counts as unresponsive. At a final time-out it does only after
+// several mean response times, because a server may silently drop a request with little time left. In all
+// other cases a retry may follow, so the connection must end: a cancel alone may not arrive there.
 bool Attempt::answer_was_due(AttemptOutcome outcome) const {
   constexpr double kMeansUntilDue = 4;  // multiple of the endpoint's mean response time
   return outcome != AttemptOutcome::timed_out || !spec_.is_final ||
          scheduler_.now() - written_at_ > kMeansUntilDue * endpoint().mean_response_time;
 }
 
-// Prevents two attempts of a request from being out at once, and an answer to the first from being taken for
-// the second's: a cancelled one ends only when the cancel must have arrived and what crossed it has come
-// back.
+// A cancelled attempt ends only when the cancel must have arrived and an answer that crossed it must have
+// come back. This keeps two attempts of a request from being in flight at once, and an answer to the first
+// from being taken for the second's.
 void Attempt::cancel_as(AttemptOutcome outcome) {
   if (ended() || state_ == State::cancelling) return;
   if (state_ == State::written && answer_was_due(outcome) && connection_->last_received_at() <= written_at_)
@@ -154,15 +154,16 @@
   result_.outcome = outcome;
   cancel_settled_at_ = scheduler_.now() + 2 * endpoint().least_response_time;
   state_ = State::cancelling;
-  event_.set();  // its task waits for another time now
+  event_.set();  // next_deadline() has changed
 }
 
 void Attempt::send_cancel() {
   if (pool_.settings_.can_cancel) connection_->stream().write(resp_array_text({"cancel", spec_.id_text}));
 }
 
-// Prevents an attempt that waits for a peer that reads nothing from reaching it when its client has long
-// left, its endpoint drains or its window is over: of what the kernel has not taken, nothing was sent.
+// Removes the message from the send buffer while the kernel has taken none of it. Otherwise an attempt that
+// is buffered for a peer that does not read could reach it after the client has left, the endpoint has begun
+// to drain, or the deduplication window has ended.
 bool Attempt::withdraw() {
   if (state_ == State::queued) return true;
   if (state_ != State::written) return false;
@@ -186,8 +187,8 @@
   connection.close_if_drained();
 }
 
-// One of which nothing has left waits again. Prevents a close that follows an answer from looking as if
-// nobody were there: the endpoint had capacity for the next attempt on this connection.
+// An attempt of which no byte was sent is queued again. An endpoint may close a connection after an answer
+// while the next attempt is still buffered for it; that does not make the endpoint unreachable.
 void Attempt::connection_ended(std::uint64_t bytes_handed) {
   if (state_ == State::written && bytes_handed <= first_byte_) return queue_again();
   if (state_ == State::cancelling) return finish(result_.outcome);
--- a/src/net/attempt.h
+++ b/src/net/attempt.h
@@ -1,8 +1,8 @@
 /// \file
-/// One attempt of a request at an endpoint, from its queueing to its end.
+/// One attempt of a request at an endpoint, from the time it is queued until it ends.
 ///
-/// Lifetimes: an Attempt lives in the task of its request, and the scheduler and the pool outlive it. The
-/// texts that its specification views outlive it as well. Threads: the scheduler's one thread.
+/// Lifetimes: the task of the request owns the Attempt. The scheduler, the pool and the texts that the
+/// specification views must outlive it. Threads: everything runs on the scheduler's one thread.
 #pragma once
 
 #include <cstdint>
@@ -22,47 +22,47 @@
 class UpstreamPool;
 struct UpstreamEndpoint;
 
-/// How an attempt ended, as the routing policy is told it, with what goes on to the client.
+/// The outcome of an attempt for the routing policy, and the parts of the answer that go to the client.
 struct AttemptResult {
   AttemptOutcome outcome = AttemptOutcome::not_sent;  ///< how it ended
-  FillOutcome fill = FillOutcome::none;               ///< what the answer tells of its fill
-  AnswerReport report;                                ///< what the answer tells beside
-  bool not_modified = false;                          ///< the client's copy is current: no body comes
-  std::string etag;                                   ///< of the copy, empty where it is not told
-  std::string body;                                   ///< as it came
-  Seconds age = -1;                                   ///< of the copy, -1 where it is not told
-  std::vector<std::uint64_t> tags;                    ///< that the copy names, as stable hashes
-  bool tags_reported = false;                         ///< the answer names tags, if only none
+  FillOutcome fill = FillOutcome::none;               ///< outcome of the fill, as the answer reports it
+  AnswerReport report;                                ///< fill wait and load that the answer reports
+  bool not_modified = false;                          ///< the client's copy is current; there is no body
+  std::string etag;                                   ///< ETag of the copy; empty if not reported
+  std::string body;                                   ///< body of the answer, unchanged
+  Seconds age = -1;                                   ///< age of the copy; -1 if not reported
+  std::vector<std::uint64_t> tags;                    ///< stable hashes of the copy's tags
+  bool tags_reported = false;                         ///< the answer has a list of tags, possibly empty
 };
 
-/// One attempt. It queues at its endpoint until a connection has capacity, is written, and ends with an
-/// answer, a time-out, a cancellation or the end of its connection:
+/// One attempt. It waits in its endpoint's queue until a connection has capacity, is written to that
+/// connection, and ends with an answer, a time-out, a cancellation or the end of the connection:
 ///
 ///     queued -> written -> ended           answered, final time-out, connection lost
-///     written -> queued                    its connection ended, and none of its bytes had left
+///     written -> queued                    the connection ended before any byte was sent
 ///     written -> cancelling -> ended       cancelled, or timed out where a retry may follow
-///     queued -> ended                      abandoned, not begun in time, endpoint not reached
+///     queued -> ended                      abandoned, not started in time, endpoint unreachable
 ///
-/// Its task runs `while (!ended()) if (!co_await wait()) on_timer();`. Destroyed before its end, it is
-/// cancelled at the endpoint too.
+/// The owning task runs `while (!ended()) if (!co_await wait()) on_timer();`. An attempt that is destroyed
+/// before it has ended is cancelled at the endpoint too.
 class Attempt {
  public:
-  /// What is to be attempted.
+  /// What to send, where, and within which time.
   struct Spec {
-    int endpoint = -1;           ///< index in the pool: where to
-    int source = -1;             ///< index in the pool: who supplies a miss; -1 for none
-    std::uint64_t id = 0;        ///< of the request
-    std::string_view id_text;    ///< the same, as the client sent it
-    std::string_view body;       ///< as the client sent it
-    std::string fields;          ///< all but the time left, which is known only when it is written
-    Seconds timeout_at = 0;      ///< on the scheduler's clock
-    Seconds start_by = kNoTime;  ///< written by then, or not at all
-    bool is_final = false;       ///< no other attempt can follow its time-out
-    bool has_effect = false;     ///< its request may not simply run again
-    guard::RequestRecord* record = nullptr;  ///< what the guard knows of its request; null: it is not asked
-    Seconds copies_valid_since = 0;          ///< the purges that it was decided with
+    int endpoint = -1;           ///< target endpoint, as an index in the pool
+    int source = -1;             ///< endpoint that supplies a miss, as an index in the pool; -1 for none
+    std::uint64_t id = 0;        ///< id of the request
+    std::string_view id_text;    ///< the same id as the client wrote it
+    std::string_view body;       ///< body as the client sent it
+    std::string fields;          ///< all fields except the remaining time, which is added on writing
+    Seconds timeout_at = 0;      ///< end of the attempt, on the scheduler's clock
+    Seconds start_by = kNoTime;  ///< the attempt is written by then or not at all
+    bool is_final = false;       ///< no other attempt can follow if this one times out
+    bool has_effect = false;     ///< the request is not idempotent
+    guard::RequestRecord* record = nullptr;  ///< the guard's record of the request; null: no checks
+    Seconds copies_valid_since = 0;  ///< purge bound at the time of the decision: older copies are stale
   };
-  /// Queues it at once, and writes it where a connection has capacity.
+  /// Queues the attempt, and writes it at once if a connection has capacity.
   Attempt(Scheduler& scheduler, UpstreamPool& pool, Spec spec);
   Attempt(const Attempt&) = delete;
   Attempt& operator=(const Attempt&) = delete;
@@ -70,44 +70,46 @@
 
   /// Whether result() is complete.
   bool ended() const { return state_ == State::ended; }
-  /// Awaited: until it has ended or waits for another time (true), or on_timer() is to be called (false).
+  /// Awaits the next change. Gives true if the attempt has ended or its deadline has changed, false if the
+  /// deadline has passed and on_timer() must be called.
   Event::Awaiter wait() { return event_.wait(next_deadline()); }
-  /// The time of wait() has come.
+  /// Handles the deadline of wait().
   void on_timer();
-  /// Cancels it at the endpoint. It ends once no answer can be on its way any more.
+  /// Cancels the attempt at the endpoint. It ends once no answer can be in transit any more.
   void cancel();
-  /// Ends it at once: nothing follows for its request. Cancels it at the endpoint if a byte of it has left.
+  /// Ends the attempt at once, and cancels it at the endpoint if any byte of it was sent; in that case no
+  /// other attempt of the request may follow.
   void abandon();
-  /// Does the same to one of which no byte has left; others go on.
+  /// Like abandon(), but only if no byte of the attempt was sent; otherwise it goes on.
   void abandon_if_unsent();
-  /// How it ended; complete once ended().
+  /// The outcome and the answer, complete once ended().
   AttemptResult& result() { return result_; }
-  /// When it was made, on the scheduler's clock.
+  /// Time of construction, on the scheduler's clock.
   Seconds started_at() const { return started_at_; }
 
  private:
   friend class UpstreamConnection;
   friend class UpstreamPool;
   enum class State {
-    queued,      // at its endpoint
-    written,     // to a connection, whether or not the kernel took it
-    cancelling,  // an answer may still be on its way
+    queued,      // in the endpoint's queue
+    written,     // written to a connection, whether or not the kernel has taken the bytes
+    cancelling,  // cancelled, but an answer may still be in transit
     ended
   };
 
   Seconds next_deadline() const;
   void send_over(UpstreamConnection& connection);
   bool guard_allows(const UpstreamConnection& connection, Seconds time_left);
-  bool is_unsent() const;  // written, and the kernel has taken none of its bytes
-  bool withdraw();         // back to `queued` if none of its bytes has left; else false, and nothing changes
+  bool is_unsent() const;  // whether it is written and the kernel has taken none of its bytes
+  bool withdraw();         // returns to `queued` if no byte was sent; otherwise false, with no change
   void cancel_as(AttemptOutcome outcome);
   bool answer_was_due(AttemptOutcome outcome) const;
   void send_cancel();
-  void release();  // leaves its queue or its connection
+  void release();  // removes the attempt from its queue or connection
   void queue_again();
   void connection_ended(std::uint64_t bytes_handed);
   void finish(AttemptOutcome outcome);
-  void report_to_guard(AttemptOutcome outcome);  // once for each time that the guard let it pass
+  void report_to_guard(AttemptOutcome outcome);  // at most once for each admission by the guard
   UpstreamEndpoint& endpoint() const;
 
   Scheduler& scheduler_;
@@ -115,14 +117,14 @@
   const Spec spec_;
   Event event_;
   State state_ = State::queued;
-  UpstreamConnection* connection_ = nullptr;  // while written or cancelling
-  std::list<Attempt*>::iterator position_;    // among those of the pool that have not ended
-  bool passed_guard_ = false;                 // the guard let it pass, and does not know its end
+  UpstreamConnection* connection_ = nullptr;  // set while written or cancelling
+  std::list<Attempt*>::iterator position_;    // position in the pool's list of attempts that have not ended
+  bool passed_guard_ = false;                 // the guard admitted it and was not yet told its outcome
   Seconds started_at_;
   Seconds written_at_ = 0;
-  Seconds cancel_settled_at_ = 0;  // cancelling: no answer can be on its way after that
-  std::uint64_t first_byte_ = 0;   // its place in the bytes of its connection
-  std::uint64_t last_byte_ = 0;    // one past its end
+  Seconds cancel_settled_at_ = 0;  // while cancelling: no answer can be in transit after this time
+  std::uint64_t first_byte_ = 0;   // offset of the message in the bytes written to the connection
+  std::uint64_t last_byte_ = 0;    // offset one past its end
   AttemptResult result_;
 };
 
