--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -10,15 +10,16 @@
 
 namespace {
 
-// For what is owed to one that does not read, once its requests are over.
+// Time for the client to read its remaining answers after its last request has ended.
 constexpr Seconds kUnreadTimeout = 2;
 
 }  // namespace
 
-// Prevents clients that do not read from filling the memory while all answers together press on it.
+// While the outbox is full, clients that do not read their answers are closed, so that these cannot fill the
+// memory.
 void ClientConnection::answer(const std::string& tag, std::string_view status, std::string_view fields,
                               std::string_view body) {
-  // One of the largest answers waits: a client that reads has less.
+  // About one of the largest answers; a client that reads has less unsent.
   constexpr std::size_t kSlowReaderBytes = 256UL * 1024;
   if (outbox_.full() && stream_.unsent() > kSlowReaderBytes) {
     slow_reader_ = true;
@@ -37,8 +38,8 @@
   return open_.contains(tag) || std::ranges::find(deferred_, tag, &Request::tag) != deferred_.end();
 }
 
-// All ends that are not the client's own go this way. Prevents a close over unread bytes, which resets the
-// connection and takes with it what the client was last sent.
+// Starts an orderly close. To close a socket that has unread bytes would reset the connection, and the client
+// could lose the last answers that were sent to it.
 void ClientConnection::begin_end() {
   if (!is_open()) return;
   phase_ = Phase::ending;
@@ -72,7 +73,7 @@
 }
 
 Seconds ClientConnection::read_deadline() const {
-  constexpr Seconds kPollInterval = 0.1;  // for held requests, and for the end of a late message
+  constexpr Seconds kPollInterval = 0.1;  // while requests are deferred or a message is late
   const bool late = message_is_late();
   const Seconds poll_at = late || !deferred_.empty() ? scheduler_.now() + kPollInterval : kNoTime;
   return late ? poll_at : std::min(message_started_at_ + kMessageTimeout, poll_at);
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -1,8 +1,8 @@
 /// \file
-/// One connection of a client: what is open on it, its phases, and when it is quiet.
+/// One client connection: its open requests, its phases and its timeouts.
 ///
-/// Lifetimes: its task and its requests' tasks hold it together; the scheduler and the outbox outlive it.
-/// Threads: the scheduler's one thread.
+/// Lifetimes: the connection's task and the tasks of its requests share ownership; the scheduler and the
+/// outbox must outlive it. Threads: everything runs on the scheduler's one thread.
 #pragma once
 
 #include <algorithm>
@@ -21,35 +21,39 @@
 
 class RequestHandle;
 
-/// One connection. Its phases:
+/// One client connection. Its phases:
 ///
-///     open -> ending -> shut     nothing more is taken; what was taken is answered; then the answers end
-///     open -> shut               the same where nothing is owed on it
+///     open -> ending -> half_closed   no new requests are accepted, the accepted ones are answered, and then
+///                                     the write side is shut down
+///     open -> half_closed             the same for a connection without outstanding answers
 ///
-/// Shut, what still comes crossed the end of the answers: it is read and dropped until the client's own end
-/// or a bound.
+/// Requests that arrive on a half-closed connection were sent before the client saw its end. They are read
+/// and discarded until the client closes its side or a time limit has passed.
 class ClientConnection {
  public:
-  /// On a socket that was accepted; what is taken by reference outlives it.
+  /// Takes over an accepted socket. `scheduler` and `outbox` must outlive the connection.
   ClientConnection(Scheduler& scheduler, Outbox& outbox, Fd socket)
       : scheduler_(scheduler), outbox_(outbox), stream_(scheduler, outbox, std::move(socket)) {}
-  /// Writes one answer. A client that does not read while all answers press on the memory is closed instead.
+  /// Writes one answer. Closes the connection instead if the client reads too slowly while the outbox is
+  /// full.
   void answer(const std::string& tag, std::string_view status, std::string_view fields = {},
               std::string_view body = {});
-  /// A request is open: `handle` is told if the client leaves, and lives until over().
+  /// Registers an open request. `handle` is notified if the client leaves, and must live until
+  /// remove_request().
   void add_request(const std::string& tag, RequestHandle& handle) { open_.emplace(tag, &handle); }
-  /// A request is answered or given up.
+  /// Removes a request that was answered or that its client no longer waits for.
   void remove_request(const std::string& tag) { open_.erase(tag); }
 
  private:
   friend class ClientListener;
   friend class ClientMessages;
   enum class Phase { open, ending, half_closed };
-  // For the first message, and for the rest of one that has begun. Usual clients need a few round trips.
+  // Time limit for the first message, and for the rest of a message that has begun. It leaves room for the
+  // few round trips that ordinary clients need.
   static constexpr Seconds kMessageTimeout = 2;
 
   bool is_open() const { return phase_ == Phase::open; }
-  // Of the client: requests that are open, or held back.
+  // Number of the client's open and deferred requests.
   std::size_t requests() const { return open_.size() + deferred_.size(); }
   bool awaits_answers() const { return requests() > 0; }
   bool idle() const { return !awaits_answers() && stream_.unsent() == 0; }
@@ -68,15 +72,15 @@
   Outbox& outbox_;
   Stream stream_;
   std::unordered_map<std::string, RequestHandle*> open_;  // by tag
-  std::deque<Request> deferred_;   // come while too much was unread: served once that is read
-  bool has_sent_message_ = false;  // at least one whole message came
+  std::deque<Request> deferred_;   // received while too many answers were unread; started once those are read
+  bool has_sent_message_ = false;  // at least one whole message was received
   Phase phase_ = Phase::open;
-  Seconds close_at_ = 0;            // of ending or shut: closed then
-  bool slow_reader_ = false;        // closed as such
-  Seconds max_accept_delay_ = 0;    // in the listener's queue at most, with what it wrote meanwhile
-  Seconds last_received_at_ = 0;    // when it connected or last spoke
-  Seconds last_answered_at_ = 0;    // when it was last answered
-  Seconds message_started_at_ = 0;  // since when a message has been due whole; kNoTime: none is
+  Seconds close_at_ = 0;            // when an ending or half-closed connection is closed
+  bool slow_reader_ = false;        // the connection was closed because the client read too slowly
+  Seconds max_accept_delay_ = 0;    // longest time that unread messages may have waited before the accept
+  Seconds last_received_at_ = 0;    // when the client connected or last completed a message
+  Seconds last_answered_at_ = 0;    // when an answer was last written
+  Seconds message_started_at_ = 0;  // start of the time limit for the current message; kNoTime: no message
 };
 
 }  // namespace walkpaddle::net
--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-// An error of the caller's connection, which is gone with it: the next one is taken (accept(2), "Error
-// handling").
+// Whether an accept error concerns only the connection that was to be accepted. Such a connection is gone,
+// and the next one can be accepted (accept(2), "Error handling").
 bool is_connection_error(int error) {
   constexpr int kErrors[] = {ECONNABORTED, EPROTO,       ENETDOWN,   ENOPROTOOPT, EHOSTDOWN,
                              ENONET,       EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH};
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-// Takes a connection off the list as its task ends.
+// Removes a connection from the listener's list when its task ends.
 class ClientListener::Registration {
  public:
   Registration(ClientListener& listener, ClientConnection& client) : listener_(listener), client_(client) {}
@@ -63,7 +63,7 @@
 // ---- Accepting. ----------------------------------------------------------------------------------------
 
 Task ClientListener::accept_all() {
-  constexpr Seconds kPause = 0.02;  // without descriptors or memory: until some connections may have closed
+  constexpr Seconds kPause = 0.02;  // without descriptors or memory, until some connections may have closed
   while (listener_.open()) {
     Fd socket = listener_.accept();
     if (socket) {
@@ -74,7 +74,8 @@
     if (error == EINTR || is_connection_error(error)) continue;
     if (error != EAGAIN) {
       accept_failing_since_ = std::min(accept_failing_since_, scheduler_.now());
-      log_("accept", "{}, {} clients connected", std::strerror(error), connections_.size());
+      log_("accept", "cannot accept a connection: {}; {} clients connected", std::strerror(error),
+           connections_.size());
       if (error == EMFILE || error == ENFILE) evict_idle_client();
       co_await listener_.came.wait(scheduler_.now() + kPause);
       continue;
@@ -85,10 +86,10 @@
 }
 
 void ClientListener::accepted(Fd socket) {
-  // One of the largest answers; by itself the kernel's buffer would grow to megabytes.
+  // About one of the largest answers; without the limit the kernel's buffer would grow to megabytes.
   constexpr int kKernelBufferBytes = 256 * 1024;
   if (connections_.size() - closing_ >= max_connections_ && !evict_idle_client()) {
-    count_close(guard::ClientClose::no_place);  // all have open requests: this one is closed at once
+    count_close(guard::ClientClose::no_place);  // none can be evicted: the new connection is closed at once
     return;
   }
   ::setsockopt(socket.get(), SOL_SOCKET, SO_SNDBUF, &kKernelBufferBytes, sizeof kKernelBufferBytes);
@@ -98,13 +99,13 @@
   scheduler_.start_isolated(run_connection(std::move(client)));
 }
 
-// With all places taken one comes to its end: those that said nothing first, then the longest quiet; one with
-// open requests stays, and one whose bytes nobody has read yet. Prevents two losses: of places to clients
-// that ask once and stay, or connect by the hundred and say nothing; and of requests that came while this
-// process stood still. While it ends its descriptor is one of a few beside the places; past those the longest
-// of them goes at once.
+// Half-closes an idle connection at the connection limit: first those without any message so far, then the
+// one that has been idle longest. This keeps clients that send one request and stay connected, or connect by
+// the hundred and send nothing, from using up all connections. Connections with open requests or unread bytes
+// stay, so that no request is lost that arrived while this process was stopped. At most kMaxClosing
+// connections remain half-closed beyond the limit; past that the oldest of them is closed.
 bool ClientListener::evict_idle_client() {
-  constexpr Seconds kNewConnectionGrace = 0.2;  // one that just came may have its first request on the way
+  constexpr Seconds kNewConnectionGrace = 0.2;  // the first request of a new connection may be in transit
   using Phase = ClientConnection::Phase;
   const auto rank = [&](const ClientConnection& client) {
     return std::pair(
@@ -122,7 +123,8 @@
       oldest_half_closed = client;
   }
   if (first == nullptr) return false;
-  log_("client", "closed to make room, quiet for {:.1f} s", scheduler_.now() - first->idle_since());
+  log_("client", "connection closed to make room for another: idle for {:.1f} s",
+       scheduler_.now() - first->idle_since());
   count_close(guard::ClientClose::made_room);
   half_close(*first);
   if (closing_ <= kMaxClosing || oldest_half_closed == nullptr) return true;
@@ -136,18 +138,18 @@
 
 Task ClientListener::run_connection(std::shared_ptr<ClientConnection> client) {
   constexpr Seconds kEndPollInterval = 0.02;
-  constexpr int kReadsPerTurn = 4;  // then others have their turn
+  constexpr int kReadsPerTurn = 4;  // then other connections are served
   auto& stream = client->stream_;
   const Registration registration(*this, *client);
   client->connected();
   for (int reads = 0;;) {
-    const auto came = stream.read();
-    if (came == Stream::Came::end) break;
-    if (came == Stream::Came::bytes) messages_.take(client);
-    if (came == Stream::Came::nothing) client->max_accept_delay_ = 0;  // what had waited with it is read
+    const auto result = stream.read();
+    if (result == Stream::Came::end) break;
+    if (result == Stream::Came::bytes) messages_.take(client);
+    if (result == Stream::Came::nothing) client->max_accept_delay_ = 0;  // later messages did not wait for it
     messages_.serve_deferred(client);
     if (!client->is_open() && may_close(*client)) break;
-    if (came == Stream::Came::bytes) {
+    if (result == Stream::Came::bytes) {
       ++reads;
       if (reads % kReadsPerTurn != 0) continue;
       Event turn(scheduler_);
@@ -164,11 +166,12 @@
   connection_ended(*client);
 }
 
-// One that is still to be answered has its answers first, and may go on writing meanwhile.
+// Closes a connection whose message is overdue. While answers are outstanding it stays open, and the client
+// may complete the message meanwhile.
 bool ClientListener::close_as_late(ClientConnection& client) {
   client.update_message_start();
   if (!client.message_is_late() || client.awaits_answers()) return false;
-  log_("client", "connection closed: no whole message in {} s", ClientConnection::kMessageTimeout);
+  log_("client", "connection closed: no complete message within {} s", ClientConnection::kMessageTimeout);
   count_close(guard::ClientClose::no_whole_message);
   client.begin_end();
   return true;
@@ -184,7 +187,7 @@
 // ---- Ends. ---------------------------------------------------------------------------------------------
 
 void ClientListener::half_close(ClientConnection& client) {
-  // As long as a request may cross the end of the answers, and a little.
+  // Slightly longer than a request may be in transit when the write side is shut down.
   constexpr Seconds kLingerTime = 0.06;
   if (client.phase_ == ClientConnection::Phase::half_closed) return;
   if (guard_ != nullptr &&
@@ -197,7 +200,7 @@
   client.stream_.wake();
 }
 
-// Whether a connection that is not open any more may be closed.
+// Whether a connection that is no longer open may be closed now. Half-closes it once it is idle.
 bool ClientListener::may_close(ClientConnection& client) {
   if (client.phase_ == ClientConnection::Phase::ending) {
     if (client.awaits_answers()) client.postpone_close();
@@ -222,7 +225,8 @@
   return std::ranges::any_of(connections_, [](const auto& entry) { return !entry.first->idle(); });
 }
 
-// A request that crosses the end of the answers is never read as one: its client sees that it was not taken.
+// A request that arrives on a half-closed connection is never executed, and its client sees the connection
+// end without an answer.
 void ClientListener::close_idle() {
   for (const auto& [client, held] : connections_) {
     if (!client->idle() || client->stream_.has_unread()) continue;
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -1,5 +1,5 @@
 /// \file
-/// The clients' side: accepts connections, bounds their number, and ends them.
+/// The listener for clients: accepts connections, bounds their number, and closes them.
 #pragma once
 
 #include <cstdint>
@@ -19,36 +19,37 @@
 
 namespace walkpaddle::net {
 
-/// The connections of all clients, each in its own task.
+/// The connections of all clients, each with its own task.
 ///
-/// Lifetimes: what the constructor takes by reference outlives it, and it outlives the tasks that it started
-/// (Scheduler::drop_tasks). Threads: the scheduler's one thread.
+/// Lifetimes: the references that the constructor takes must outlive it, and it must outlive the tasks that
+/// it started (Scheduler::drop_tasks). Threads: everything runs on the scheduler's one thread.
 class ClientListener {
  public:
   using Serve = ClientMessages::Serve;  ///< starts a request
-  /// Connections past the most that are connected, while they end.
+  /// Half-closed connections in addition to `max_connections`, past which the oldest of them is closed.
   static constexpr std::size_t kMaxClosing = 4;
-  /// `listener` listens already. `max_connections` does not count those that leave.
+  /// `listener` is a listening socket. `max_connections` does not count half-closed connections.
   ClientListener(Scheduler& scheduler, Outbox& outbox, Log& log, Fd listener, std::size_t max_connections,
                  std::vector<config::RequestClassName> classes, Serve serve);
   ClientListener(const ClientListener&) = delete;
   ClientListener& operator=(const ClientListener&) = delete;
 
-  /// Who checks and counts what is done to connections; without one nothing is.
+  /// Sets the guard, which checks closes and counts them; without a guard neither is done.
   void set_guard(guard::Guard& guard);
-  /// What ALIVE is answered with.
+  /// Sets the answer to ALIVE.
   void set_alive_reply(std::string_view reply) { messages_.set_alive_reply(reply); }
   /// Closes the listening socket.
   void stop_accepting() { listener_.close(); }
-  /// Hands the listening socket over to a successor: who comes meanwhile waits there.
+  /// Gives up the listening socket, still open, for a successor. New connections wait in its queue meanwhile.
   Fd hand_over_listener() { return listener_.give(); }
-  /// Shuts each connection on which nothing is owed and nothing is unread.
+  /// Half-closes each connection that has no outstanding answers and no unread bytes.
   void close_idle();
-  /// The program ends: one answer for each request that still waits, and for those to come.
+  /// Answers every open and deferred request without serving it, and rejects later ones; for the end of the
+  /// program.
   void abort_open();
-  /// Whether a client is owed an answer, or bytes of one.
+  /// Whether any client still has an answer, or a part of one, to receive.
   bool has_unsent_answers() const;
-  /// How many are connected, with those that leave.
+  /// Number of connections, half-closed ones included.
   std::size_t count() const { return connections_.size(); }
 
  private:
@@ -69,9 +70,9 @@
   const std::size_t max_connections_;
   ClientMessages messages_;
   guard::Guard* guard_ = nullptr;  // null: no counts, no checks
-  std::size_t closing_ = 0;        // of those connected, shut
-  Seconds accept_failing_since_ =
-      kNoTime;  // callers wait in the listener's queue since then, as accepts fail
+  std::size_t closing_ = 0;        // number of half-closed connections
+  // Start of the present series of failed accepts, while connections wait in the queue; kNoTime: none.
+  Seconds accept_failing_since_ = kNoTime;
   Listener listener_;
   std::unordered_map<ClientConnection*, std::weak_ptr<ClientConnection>> connections_;
 };
--- a/src/net/client_messages.cpp
+++ b/src/net/client_messages.cpp
@@ -9,8 +9,9 @@
 
 namespace walkpaddle::net {
 
-// Prevents a client that asks on and reads nothing from filling the memory: past a few of the largest answers
-// its requests wait here. They are read all the same, as it may give them up or go.
+// Requests of a client that has a few of the largest answers unread are deferred, so that a client that sends
+// requests and does not read cannot fill the memory. Its messages are still read, because it may withdraw
+// requests or disconnect.
 void ClientMessages::serve_deferred(const std::shared_ptr<ClientConnection>& client) {
   constexpr std::size_t kMaxUnsentBytes = 1 << 20;
   auto& held = client->deferred_;
@@ -23,7 +24,7 @@
 
 void ClientMessages::take(const std::shared_ptr<ClientConnection>& client) {
   constexpr std::size_t kMaxWords = 8;
-  constexpr std::size_t kMaxBytes = 64UL * 1024;  // a write brings up to 48,000 bytes
+  constexpr std::size_t kMaxBytes = 64UL * 1024;  // the body of a write has up to 48,000 bytes
   auto& stream = client->stream_;
   RespArray message;
   while (client->phase_ != ClientConnection::Phase::half_closed) {
@@ -31,17 +32,17 @@
     try {
       read_resp_array(stream.in(), kMaxWords, kMaxBytes, message);
       if (message.used == 0) return;
-      // What is given up is heard to the end.
+      // FORGET is handled in the ending phase too.
       const bool forgets = !message.words.empty() && message.words[0] == "FORGET";
       if (open || forgets) handle(client, message.words);
       if (open) client->message_taken();
     } catch (const InputError& e) {
       if (open) {
-        log_("client", "connection closed: {}", e.what());
+        log_("client", "connection closed: malformed message: {}", e.what());
         if (guard_ != nullptr) guard_->counters().closed(guard::ClientClose::unusable_message);
       }
       client->begin_end();
-      if (message.used == 0) break;  // what cannot be read as an array, nor what follows it
+      if (message.used == 0) break;  // without a valid array the start of the next message is unknown
     }
     stream.consume(message.used);
   }
@@ -50,13 +51,13 @@
 
 void ClientMessages::handle(const std::shared_ptr<ClientConnection>& client,
                             const std::vector<std::string_view>& words) {
-  if (words.size() < 2) throw_bad_value("request", "");
+  if (words.size() < 2) throw_bad_value("command", "");
   const auto verb = words[0];
   const std::string tag(words[1]);
   if (parse<std::uint64_t>(tag, "tag") == 0) throw_bad_value("tag", tag);
   if (verb == "ALIVE") return client->answer(tag, alive_reply_);
   if (verb == "FORGET") return forget(*client, tag);
-  if (verb != "EXEC") throw_bad_value("request", verb);
+  if (verb != "EXEC") throw_bad_value("command", verb);
   execute(client, words, tag);
 }
 
@@ -72,18 +73,18 @@
 void ClientMessages::execute(const std::shared_ptr<ClientConnection>& client,
                              const std::vector<std::string_view>& words, const std::string& tag) {
   constexpr std::size_t kMaxOpenRequests = 32;
-  if (client->has_tag(tag)) throw_bad_value("tag, open already", tag);
-  if (client->requests() >= kMaxOpenRequests) throw_bad_value("number of open requests", tag);
-  // The client's time runs since it sent the request, which may have waited for us.
+  if (client->has_tag(tag)) throw_bad_value("tag (already open)", tag);
+  if (client->requests() >= kMaxOpenRequests) throw_bad_value("tag (too many open requests)", tag);
+  // The client's time limit runs from when it sent the request, which may have waited before it was read.
   const Seconds sent_at = scheduler_.now() - std::max(scheduler_.late(), client->max_accept_delay_);
   Request request;
   try {
     request = parse_request(words, classes_, open_ids_, sent_at);
   } catch (const InputError& e) {
-    log_("request", "{}", e.what());
+    log_("request", "malformed request: {}", e.what());
     return client->answer(tag, "ABORTED");
   }
-  if (stopped_) return client->answer(tag, "REJECT");  // nothing was sent on for it
+  if (stopped_) return client->answer(tag, "REJECT");  // no attempt was started
   client->deferred_.push_back(std::move(request));
   serve_deferred(client);
 }
--- a/src/net/client_messages.h
+++ b/src/net/client_messages.h
@@ -1,5 +1,5 @@
 /// \file
-/// The messages of clients: reads them off their connections, answers or hands on what they ask.
+/// The messages of clients: parses them from their connections, and answers them or starts their requests.
 #pragma once
 
 #include <functional>
@@ -16,28 +16,30 @@
 
 namespace walkpaddle::net {
 
-/// EXEC (a request), FORGET (the client waits for one no more) and ALIVE, of all connections.
+/// Handles the messages of all connections: EXEC (a request), FORGET (the client no longer waits for a
+/// request) and ALIVE (a health check).
 ///
-/// Lifetimes: the scheduler, the log and the guard outlive it, and it outlives the requests that it hands on:
-/// they hold their ids in it. Threads: the scheduler's one thread.
+/// Lifetimes: the scheduler, the log and the guard must outlive it. It must outlive the requests that it
+/// starts, because they are registered in its set of open ids. Threads: everything runs on the scheduler's
+/// one thread.
 class ClientMessages {
  public:
-  /// Starts a request, whose task holds its connection until it is answered.
+  /// Starts a request. The request's task shares ownership of the connection until it is answered.
   using Serve = std::function<void(std::shared_ptr<ClientConnection>, Request)>;
 
-  /// `classes`: by their number; `serve` starts a request.
+  /// `classes`: the request classes by index. `serve`: starts a request.
   ClientMessages(Scheduler& scheduler, Log& log, std::vector<config::RequestClassName> classes, Serve serve)
       : scheduler_(scheduler), log_(log), classes_(std::move(classes)), serve_(std::move(serve)) {}
 
-  /// Who counts what ends connections; null: nobody.
+  /// Sets the guard, which counts why connections are closed; without a guard nothing is counted.
   void set_guard(guard::Guard& guard) { guard_ = &guard; }
-  /// What ALIVE is answered with.
+  /// Sets the answer to ALIVE.
   void set_alive_reply(std::string_view reply) { alive_reply_ = reply; }
-  /// From now on requests are rejected, and none that is held back is served.
+  /// From now on new requests are rejected and deferred ones are not started.
   void stop() { stopped_ = true; }
-  /// Takes all whole messages that a connection holds. One that cannot be read ends the connection.
+  /// Handles all whole messages that were received on a connection. A malformed message ends the connection.
   void take(const std::shared_ptr<ClientConnection>& client);
-  /// Serves what is held back while the client reads its answers.
+  /// Starts deferred requests while the client's unread answers are below the limit.
   void serve_deferred(const std::shared_ptr<ClientConnection>& client);
 
  private:
--- a/src/net/client_request.cpp
+++ b/src/net/client_request.cpp
@@ -9,23 +9,24 @@
 
 namespace {
 
-// Digits of that many places and no other bytes, which the parsers of cache servers take for hexadecimal.
+// Parses exactly 16 hexadecimal digits, the form that cache servers accept.
 std::uint64_t parse_hex16(std::string_view text, std::string_view name) {
   constexpr std::size_t kDigits = 16;
   if (text.size() != kDigits) throw_bad_value(name, text);
   return parse<std::uint64_t>(text, name, 16);
 }
 
-// A whole number between two bounds, as plain digits.
+// Parses a whole number from `least` to `most`, written as digits without a sign.
 int parse_whole(std::string_view text, std::string_view name, int least, int most) {
   const int value = parse<int>(text, name);
   if (value < least || value > most || text.front() == '-') throw_bad_value(name, text);
   return value;
 }
 
-// What can stand as a value in a list of fields, and ends no message of a careless reader.
+// Checks that the text can be a value in a list of fields: printable ASCII without ',', '=' and spaces, so
+// that even a lax parser does not take a part of it for the end of the message.
 std::string_view checked_value(std::string_view text, std::string_view name) {
-  constexpr std::size_t kMaxBytes = 64;  // twice a usual key
+  constexpr std::size_t kMaxBytes = 64;  // twice the length of a usual key
   const auto is_allowed = [](char c) { return c > ' ' && c <= '~' && c != ',' && c != '='; };
   if (text.empty() || text.size() > kMaxBytes || !std::ranges::all_of(text, is_allowed))
     throw_bad_value(name, text);
@@ -34,23 +35,23 @@
 
 std::string_view required_field(std::string_view fields, std::string_view name) {
   const auto value = field(fields, name);
-  if (!value) throw_bad_value("request without", name);
+  if (!value) throw_bad_value("request: missing field", name);
   return *value;
 }
 
 }  // namespace
 
 OpenId::OpenId(Ids& ids, std::uint64_t id) : id_(id) {
-  if (!ids.insert(id).second) throw InputError("txn that is open already");
+  if (!ids.insert(id).second) throw InputError("a request with this txn is already open");
   ids_ = &ids;
 }
 
 Request parse_request(const std::vector<std::string_view>& words,
                       const std::vector<config::RequestClassName>& classes, OpenId::Ids& open_ids,
                       Seconds sent_at) {
-  constexpr int kMaxLimitMs = 3'600'000;         // far past any client's
-  constexpr int kMaxPart = 1'000'000;            // far past any object's
-  constexpr std::size_t kMaxBodyBytes = 48'000;  // a write
+  constexpr int kMaxLimitMs = 3'600'000;         // far above the limit of any client
+  constexpr int kMaxPart = 1'000'000;            // far above the number of parts of any object
+  constexpr std::size_t kMaxBodyBytes = 48'000;  // body of a write
   if (words.size() < 4 || words.size() > 5) throw_bad_value("number of words", std::to_string(words.size()));
   Request request;
   request.tag = words[1];
--- a/src/net/client_request.h
+++ b/src/net/client_request.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a client asks to have executed, parsed. No I/O.
+/// The requests of clients, parsed from EXEC messages. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,17 @@
 
 namespace walkpaddle::net {
 
-/// Holds the id of an open request, over all connections, until the request is over. The set outlives it.
+/// Reserves the id of an open request, which is unique over all connections, until the request has ended. The
+/// set must outlive it.
 class OpenId {
  public:
-  using Ids = std::unordered_set<std::uint64_t>;  ///< of all open requests
+  using Ids = std::unordered_set<std::uint64_t>;  ///< ids of all open requests
   OpenId() = default;
-  /// Throws InputError if the id is open already.
+  /// Adds the id to the set. Throws InputError if a request with this id is already open.
   OpenId(Ids& ids, std::uint64_t id);
-  /// Takes the id over.
+  /// Takes over the reservation.
   OpenId(OpenId&& other) noexcept : ids_(std::exchange(other.ids_, nullptr)), id_(other.id_) {}
-  /// Takes the id over; its own goes with `other`.
+  /// Swaps the reservations.
   OpenId& operator=(OpenId&& other) noexcept {
     std::swap(ids_, other.ids_);
     std::swap(id_, other.id_);
@@ -40,28 +41,28 @@
   std::uint64_t id_ = 0;
 };
 
-/// One request. What goes on unchanged stands as the bytes that came.
+/// One request. Values that are forwarded unchanged are kept as the client wrote them.
 struct Request {
-  std::string tag;              ///< of the client, for its answer
-  std::string class_name;       ///< of its class, as it came
-  std::string id_text;          ///< of the request, as it came
-  std::string object_text;      ///< the object's id, as it came
-  std::string part_text;        ///< which part of the object, as it came
-  std::string idempotency_key;  ///< empty for none
-  std::string etag;             ///< of the copy that the client has; empty for none
-  std::string body;             ///< of a write
-  std::uint64_t id = 0;         ///< the id as a number
-  int class_index = 0;          ///< among the settings' classes
+  std::string tag;              ///< the client's tag, which the answer repeats
+  std::string class_name;       ///< name of the request class, as received
+  std::string id_text;          ///< the request's id, as received
+  std::string object_text;      ///< the object's id, as received
+  std::string part_text;        ///< the part of the object, as received
+  std::string idempotency_key;  ///< empty if there is none
+  std::string etag;             ///< ETag of the client's copy; empty if it has none
+  std::string body;             ///< body of a write
+  std::uint64_t id = 0;         ///< the request's id as a number
+  int class_index = 0;          ///< index among the settings' request classes
   int part = 0;                 ///< the part as a number
-  std::uint32_t group = 0;      ///< of the object, for purges
-  bool uncacheable = false;     ///< its class is passed to the origin
-  bool has_effect = false;      ///< its class may not simply run again
-  Seconds deadline = 0;         ///< the client's limit, on the scheduler's clock
-  OpenId open_id;               ///< held until the request is over
+  std::uint32_t group = 0;      ///< the object's group, for purges
+  bool uncacheable = false;     ///< requests of the class bypass the caches
+  bool has_effect = false;      ///< requests of the class are not idempotent
+  Seconds deadline = 0;         ///< end of the client's time limit, on the scheduler's clock
+  OpenId open_id;               ///< reserves the id until the request has ended
 };
 
-/// Parses the words of an EXEC message: verb, tag, class, fields, and a body where there is one. The client's
-/// limit runs from `sent_at`. Throws InputError for what is none, and for an id that is open already.
+/// Parses the words of an EXEC message: command, tag, class, fields, and optionally a body. The client's time
+/// limit runs from `sent_at`. Throws InputError for a malformed message and for an id that is already open.
 Request parse_request(const std::vector<std::string_view>& words,
                       const std::vector<config::RequestClassName>& classes, OpenId::Ids& open_ids,
                       Seconds sent_at);
