--- a/src/net/discovery_codec.cpp
+++ b/src/net/discovery_codec.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-// The events that a frame may hold, as on the wire.
+// The kinds of frames, with their numbers on the wire.
 enum class FrameKind : std::uint8_t { heartbeat, whole_list, list_change, object_purge, group_purge };
 
 constexpr std::size_t kLengthBytes = 4;
-constexpr std::size_t kHeaderBytes = 9;  // number and kind
+constexpr std::size_t kHeaderBytes = 9;  // event number and frame kind
 constexpr std::size_t kEndpointBytes = 27;
-constexpr std::size_t kStateOffset = 10;  // in an endpoint
+constexpr std::size_t kStateOffset = 10;  // offset of the state in an endpoint
 constexpr std::size_t kObjectPurgeBytes = 16;
 constexpr std::size_t kGroupPurgeBytes = 10;
 
-// A number of so many bytes, the highest first.
+// Removes a number of `bytes` bytes in network byte order from the start of `rest`.
 std::uint64_t take_number(std::string_view& rest, std::size_t bytes) {
   std::uint64_t value = 0;
   for (std::size_t n = 0; n < bytes; ++n) value = value << 8 | static_cast<unsigned char>(rest[n]);
@@ -30,7 +30,7 @@
 
 void check_endpoints(std::string_view payload) {
   for (std::size_t at = kStateOffset; at < payload.size(); at += kEndpointBytes)
-    if (payload[at] < 0 || payload[at] > 2) throw_bad_value("member state", std::to_string(payload[at]));
+    if (payload[at] < 0 || payload[at] > 2) throw_bad_value("endpoint state", std::to_string(payload[at]));
 }
 
 bool has_valid_size(FrameKind kind, std::size_t size) {
@@ -109,7 +109,7 @@
   const auto number = take_number(payload, 8);
   const auto kind = checked_kind(take_number(payload, 1), payload);
   if (kind == FrameKind::heartbeat || number <= last) return kLengthBytes + length;
-  // Behind a gap: it counts at once, and will count again once what is missing has come before it.
+  // An event after a gap takes effect at once, and again when it is repeated after the missing events.
   report_event(kind, payload, events);
   seen = number;
   if (number == last + 1) last = number;
--- a/src/net/discovery_codec.h
+++ b/src/net/discovery_codec.h
@@ -1,5 +1,5 @@
 /// \file
-/// The frames of discovery, and the events that they and the configuration hold. No I/O.
+/// Decodes the frames of discovery into watch events, and declares the interface for these events. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,37 +12,38 @@
 
 namespace walkpaddle::net {
 
-/// Where the decoded events go. Times are stamps of discovery's own clock (see DiscoveryClock), 0 for none.
+/// Receives the decoded events. Times are stamps of discovery's own clock (see DiscoveryClock), 0 for none.
 class DiscoveryEvents {
  public:
-  /// The events of a configuration follow, up to end_initial_events(); the newest stamp among them, 0 for
-  /// none.
+  /// The events of the configuration follow, until end_initial_events(). `newest_stamp`: the newest stamp
+  /// among them, 0 if there is none.
   virtual void begin_initial_events(Seconds newest_stamp) = 0;
-  /// What follows happens while it is told.
+  /// The events after this call are live: they are reported while they happen.
   virtual void end_initial_events() = 0;
-  /// Endpoints follow, up to end_endpoint_list(): all that there are, or those that changed.
+  /// Endpoints follow, until end_endpoint_list(). `whole`: all that exist; otherwise those that changed.
   virtual void begin_endpoint_list(bool whole) = 0;
-  /// One endpoint: `kind` is its model, `cell` its group of machines, `started` the stamp of its start.
+  /// One endpoint. `kind`: index of its model; `cell`: its group of machines; `started`: stamp of its start.
   virtual void update_endpoint(std::string_view id, const Address& address, int location, int kind, int cell,
                                EndpointState state, double weight, Seconds started) = 0;
   /// The list is complete.
   virtual void end_endpoint_list() = 0;
-  /// Copies of an object that were made before `at` are not served.
+  /// An object is purged: copies of it that were made before `at` must not be served.
   virtual void purged(std::string_view object, Seconds at) = 0;
-  /// The same for all objects of a group.
+  /// All objects of a group are purged.
   virtual void purged_group(std::uint32_t group, Seconds at) = 0;
 
  protected:
   ~DiscoveryEvents() = default;
 };
 
-/// Takes one frame off the front of `bytes`, and hands its event to `events` if its number is past `last`,
-/// which moves on if it is the next; `seen` is set to its number. Gives the bytes taken, 0 while the frame is
-/// not whole. Throws InputError for what is no frame, of which nothing is handed on.
+/// Decodes the frame at the start of `bytes`. An event with a number above `last` is reported to `events` and
+/// its number stored in `seen`; `last` advances if the event is the next one. Gives the size of the frame in
+/// bytes, 0 while it is incomplete. Throws InputError for a malformed frame, before anything is reported.
 std::size_t read_frame(std::string_view bytes, std::uint64_t& last, DiscoveryEvents& events,
                        std::uint64_t& seen);
 
-/// What is written to discovery first: the last event that is held.
+/// The first message to discovery: the number of the last event that was received, 8 bytes in network byte
+/// order.
 std::string hello_text(std::uint64_t last);
 
 }  // namespace walkpaddle::net
--- a/src/net/resp_parser.cpp
+++ b/src/net/resp_parser.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-// The number of a "*12\r\n" or "$12\r\n" line at the front, which it takes off; false while it is not whole.
+// Parses the number of a line such as "*12\r\n" or "$12\r\n" at the start of `rest`, and removes the line.
+// False while the line is incomplete.
 bool take_length(std::string_view& rest, char prefix, std::size_t max_length, std::size_t& length) {
-  constexpr std::size_t kMaxLineBytes = 12;  // prefix, nine digits, line end
+  constexpr std::size_t kMaxLineBytes = 12;  // prefix, nine digits, CR LF
   if (rest.empty()) return false;
   if (rest.front() != prefix) throw_bad_value("array", rest.substr(0, 1));
   const auto end = rest.substr(0, kMaxLineBytes).find("\r\n");
@@ -37,7 +38,7 @@
     if (!take_length(rest, '$', max_bytes, length)) return;
     max_bytes -= length;
     if (rest.size() < length + 2) return;
-    if (rest.substr(length, 2) != "\r\n") throw_bad_value("end of word", rest.substr(length, 2));
+    if (rest.substr(length, 2) != "\r\n") throw_bad_value("string terminator", rest.substr(length, 2));
     into.words.push_back(rest.substr(0, length));
     rest.remove_prefix(length + 2);
   }
--- a/src/net/resp_parser.h
+++ b/src/net/resp_parser.h
@@ -1,6 +1,5 @@
 /// \file
-/// RESP arrays of bulk strings, and the field lists that stand in them. No I/O. Source: the Redis
-/// serialization protocol.
+/// Arrays of bulk strings in RESP (the Redis serialization protocol), and the field lists in them. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,28 +13,30 @@
 
 namespace walkpaddle::net {
 
-/// One array; it views the bytes that it was read from.
+/// One array. Its strings point into the bytes that it was parsed from.
 struct RespArray {
-  std::vector<std::string_view> words;  ///< its strings
-  std::size_t used = 0;                 ///< bytes that it took, 0 while it is not whole
+  std::vector<std::string_view> words;  ///< the strings of the array
+  std::size_t used = 0;                 ///< encoded size in bytes; 0 while the array is incomplete
 };
-/// Reads the array that `bytes` begins with. Throws InputError for what cannot become one, or claims more
-/// than `max_words` strings or `max_bytes` bytes in all; `into.used` is 0 then.
+/// Parses the array at the start of `bytes`. Throws InputError, with `into.used` 0, for bytes that are not
+/// the start of an array, and for an array with more than `max_words` strings or `max_bytes` bytes of
+/// strings.
 void read_resp_array(std::string_view bytes, std::size_t max_words, std::size_t max_bytes, RespArray& into);
 
-/// The array of these strings, as bytes.
+/// Encodes an array of these strings.
 std::string resp_array_text(std::initializer_list<std::string_view> words);
 
-/// The value of a field in "name=value,name=value" (or "-"); nullopt if it is not there. Throws InputError
-/// for a part without '=' before it.
+/// The value of a field in a list such as "name=value,name=value", where "-" is the empty list; nullopt if
+/// the field is absent. Throws InputError if an entry up to that field has no '='.
 std::optional<std::string_view> field(std::string_view fields, std::string_view name);
 
-/// What the fields of an answer tell beside it.
+/// Measurements that an endpoint reports in the fields of an answer.
 struct AnswerReport {
-  Seconds fill_wait = 0;  ///< until its source's first byte or failure, 0 where it is not told
-  double load = -1;       ///< the share of its capacity in use that it reports, -1 where it does not
+  Seconds fill_wait = 0;  ///< time until the fill source sent its first byte or failed; 0 if not reported
+  double load = -1;       ///< share of the endpoint's capacity in use; -1 if not reported
 };
-/// Parses it; nonsense reads as not told. Throws InputError for a part without '='.
+/// Parses the report from an answer's fields. Values that are no numbers count as not reported. Throws
+/// InputError for an entry without '='.
 AnswerReport parse_answer_report(std::string_view fields);
 
 }  // namespace walkpaddle::net
