--- a/bench/replication.cpp
+++ b/bench/replication.cpp
@@ -40,7 +40,7 @@
   Task spread(const char* what, int from, int box) {
     auto& s = fleet.scheduler();
     Event e(s);
-    const auto line = fmt::format("s-{:08x}: draining as the fleet has it", 0xb0 + box);
+    const auto line = fmt::format("s-{:08x}: draining according to the fleet", 0xb0 + box);
     const Seconds told = s.now();
     fleet.says(from, box, lab::Fleet::Says::draining);
     std::vector<Seconds> took(static_cast<std::size_t>(sizes.routers), -1);
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -25,9 +25,10 @@
   return "";
 }
 
-// What breaks off counts as told 2 s later, what falls silent 4 s later: the pauses stay well under the one,
-// and one empty frame of each second that is missing, with a dial, under the other. The time runs from the
-// last whole frame, so that one that trickles or stops midway is silence too.
+// Events count as delivered 2 s after the connection broke and 4 s after it fell silent. The reconnect delays
+// stay well below the 2 s. The silence timeout allows for one missing heartbeat, of which discovery sends one
+// a second, and stays below the 4 s together with a dial. It runs from the last whole frame, so that a frame
+// that trickles or stops midway counts as silence too.
 constexpr Seconds kSilenceTimeout = 2.2;
 constexpr Seconds kDialTimeout = 0.5;
 constexpr Seconds kInitialReconnectDelay = 0.05;
@@ -56,7 +57,7 @@
                                 scheduler_.now());
 }
 
-// Who is not in a whole list is gone, for attempts that wait as for the policy.
+// Endpoints that a complete list does not contain are gone, for queued attempts as well as for the policy.
 void DiscoveryClient::end_endpoint_list() {
   for (int endpoint = 0; list_is_whole_ && endpoint < upstream_.endpoint_count(); ++endpoint) {
     if (in_list_.contains(endpoint)) continue;
@@ -77,7 +78,7 @@
     policy.update_endpoint(endpoint, listing.hash, listing.location, listing.kind, listing.cell,
                            listing.state, listing.weight,
                            clock_.started_at(endpoint, listing.started, scheduler_.now()));
-    log_("facts", "{}: {} as the fleet has it", upstream_.id(endpoint), state_name(listing.state));
+    log_("facts", "{}: {} according to the fleet", upstream_.id(endpoint), state_name(listing.state));
   }
   policy.end_endpoint_list();
 }
@@ -92,7 +93,7 @@
 
 // ---- The connection. -----------------------------------------------------------------------------------
 
-// Names the stream that follow() closes, while it lives.
+// Lets follow() close the stream while it exists.
 class DiscoveryClient::StreamInUse {
  public:
   StreamInUse(DiscoveryClient& client, Stream& stream) : client_(client) { client_.stream_ = &stream; }
@@ -116,7 +117,8 @@
   if (!spare_descriptor_) spare_descriptor_ = Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC));
 }
 
-// Invalid with errno if refused at once.
+// Releases the spare descriptor if no other is free. The result is invalid, with errno set, if the dial
+// failed at once.
 Fd DiscoveryClient::dial_with_spare() {
   Fd socket = dial(address_);
   if (socket || (errno != EMFILE && errno != ENFILE)) return socket;
@@ -138,41 +140,42 @@
       const bool in_time = co_await stream.writable(scheduler_.now() + kDialTimeout);
       const int error = stream.error();
       const bool connected = in_time && error == 0;
-      if (!connected) progress.why = in_time ? std::strerror(error) : "not up in time";
+      if (!connected) progress.why = in_time ? std::strerror(error) : "connect timed out";
       if (connected) stream.write(hello_text(last_));
       progress.progress_at = scheduler_.now();
       while (connected) {
         const Input input = read_frames(stream, progress);
         if (input == Input::end) break;
         if (input == Input::frames) continue;
-        const bool woken = co_await stream.readable(progress.progress_at + kSilenceTimeout);
-        if (woken && scheduler_.now() < progress.progress_at + kSilenceTimeout) continue;
-        progress.why = "silent";
+        const bool has_input = co_await stream.readable(progress.progress_at + kSilenceTimeout);
+        if (has_input && scheduler_.now() < progress.progress_at + kSilenceTimeout) continue;
+        progress.why = "no complete frame in time";
         break;
       }
     }
-    hold_spare();  // what the connection held is free at this moment
+    hold_spare();  // the connection's descriptor has just become free
     if (progress.received_frame) pause = kInitialReconnectDelay;
     if (std::exchange(address_changed_, false)) {
-      pause = kInitialReconnectDelay / 2;  // the next is the first again
+      pause = kInitialReconnectDelay / 2;  // the loop doubles it to the initial delay
       continue;
     }
-    log_("bus", "{}: {}, event {} is the last; again in {:.2f} s", text_of(address_), progress.why, last_,
-         pause);
+    log_("bus", "no connection to {}: {}; last event {}; reconnecting in {:.2f} s", text_of(address_),
+         progress.why, last_, pause);
     co_await reconnect_now_.wait(scheduler_.now() + pause);
     address_changed_ = false;
   }
 }
 
-// A large frame on a slow line is no silence as long as it moves on; a small one has to come whole.
+// A large frame on a slow connection makes progress with every kLeastProgressBytes; a small one only when it
+// is complete.
 DiscoveryClient::Input DiscoveryClient::read_frames(Stream& stream, Progress& progress) {
   constexpr std::size_t kLeastProgressBytes = 4096;
-  const auto came = stream.read();
-  if (came == Stream::Came::end) return Input::end;
-  if (came == Stream::Came::nothing) return Input::none;
+  const auto result = stream.read();
+  if (result == Stream::Came::end) return Input::end;
+  if (result == Stream::Came::nothing) return Input::none;
   const auto bytes_before = stream.in().size();
   if (!take_frames(stream)) {
-    progress.why = "a frame that cannot be used";
+    progress.why = "unusable frame";
     return Input::end;
   }
   const auto bytes = stream.in().size();
@@ -206,18 +209,18 @@
       }
     }
   } catch (const InputError& e) {
-    log_("bus", "{}", e.what());
+    log_("bus", "malformed frame: {}", e.what());
     return false;
   }
 }
 
-// Numbers that are missing are asked for again, by a new connection from the last that is held; until they
-// came the ages of all copies are bounded. If discovery leaves the same out twice it will not tell them: all
-// copies from before then count as old, and what follows is taken.
+// Missing events are requested again, by a new connection that starts from the last event before the gap;
+// until they arrive the age of all copies is bounded. If discovery omits the same events a second time, it
+// will not send them: all copies from before now count as stale, and the events after the gap are accepted.
 bool DiscoveryClient::accept_gap(std::uint64_t held, std::uint64_t seen) {
   const bool asked_again = std::exchange(gap_after_, held) == held;
-  log_("bus", "events {} to {} never came{}", held + 1, seen - 1,
-       asked_again ? ", asked again: given up" : "");
+  log_("bus", "events {} to {} are missing{}", held + 1, seen - 1,
+       asked_again ? " after a second request; continuing without them" : "; requesting them again");
   dispatcher_.purges().set_discovery_gap(!asked_again);
   if (!asked_again) return false;
   dispatcher_.purges().discovery_purges_lost(scheduler_.now());
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -1,5 +1,6 @@
 /// \file
-/// Follows discovery: the list of endpoints and the purges, first as known at the start, then as they come.
+/// The client of discovery: receives the endpoint list and purges, first from the configuration and then as
+/// live watch events.
 #pragma once
 
 #include <cstddef>
@@ -17,14 +18,14 @@
 
 namespace walkpaddle::net {
 
-/// Hands the events of discovery to the pool, the purges and the routing policy, and keeps a connection to
-/// it.
+/// Keeps a connection to discovery, and passes its watch events to the upstream pool, the purge registry and
+/// the routing policy.
 ///
-/// Lifetimes: what it takes by reference or pointer outlives it; its task is dropped (Scheduler::drop_tasks)
-/// before it goes. Threads: the scheduler's one thread.
+/// Lifetimes: everything that it takes by reference or pointer must outlive it. Its task must be dropped
+/// (Scheduler::drop_tasks) before it is destroyed. Threads: everything runs on the scheduler's one thread.
 class DiscoveryClient final : public DiscoveryEvents {
  public:
-  /// What is taken by reference outlives it.
+  /// Starts nothing yet; see follow().
   DiscoveryClient(Scheduler& scheduler, Outbox& outbox, Log& log, RequestDispatcher& dispatcher,
                   UpstreamPool& upstream)
       : scheduler_(scheduler),
@@ -34,18 +35,19 @@
         upstream_(upstream),
         reconnect_now_(scheduler) {}
 
-  /// The events of the configuration were handed over, up to number `last`.
+  /// The events of the configuration, up to number `last`, have been passed to this object.
   void set_last_event(std::uint64_t last) {
     last_ = last;
     has_initial_list_ = true;
   }
-  /// Whether the list that was known at the start has been handed over.
+  /// Whether the endpoint list of the configuration has been received.
   bool has_initial_list() const { return has_initial_list_; }
-  /// What the fleet observes of endpoints; null: nothing is shared.
+  /// Sets the replicated endpoint observations; null if routers share none.
   void set_observations(replica::ObservationTracker* observations) { observations_ = observations; }
-  /// Where the fleet's observations are worse than the list, the policy goes by them.
+  /// Passes the fleet's observations to the routing policy where they are worse than the endpoint list.
   void apply_observations();
-  /// Follows discovery at this address, from the last event held on; a second call moves to another address.
+  /// Connects to discovery at this address and follows the events after the last one received. A further call
+  /// moves to another address.
   void follow(const Address& address);
 
   void begin_initial_events(Seconds newest_stamp) override {
@@ -62,12 +64,12 @@
  private:
   class StreamInUse;
   enum class Input { none, frames, end };
-  // How one connection goes on.
+  // The progress of one connection.
   struct Progress {
-    Seconds progress_at = 0;            // when a frame last came whole, or a large one moved on
-    std::size_t bytes_at_progress = 0;  // how much of a frame was there as it last moved on
-    bool received_frame = false;        // at least one whole
-    std::string why = "closed";         // it ended
+    Seconds progress_at = 0;            // when the last whole frame, or enough of a large one, was received
+    std::size_t bytes_at_progress = 0;  // how much of an incomplete frame was there at that time
+    bool received_frame = false;        // whether at least one whole frame was received
+    std::string why = "closed";         // why the connection ended, for the log
   };
 
   Task follow_all();
@@ -84,19 +86,19 @@
   UpstreamPool& upstream_;
   DiscoveryClock clock_;
   static constexpr std::uint64_t kNoGap = ~std::uint64_t{};
-  std::uint64_t last_ = 0;            // event held, without a gap before it
-  std::uint64_t gap_after_ = kNoGap;  // the last before a gap that is asked for again
+  std::uint64_t last_ = 0;            // number of the last event that was received without a gap before it
+  std::uint64_t gap_after_ = kNoGap;  // number of the last event before a gap that is requested again
   Address address_;
   bool following_ = false;
   bool address_changed_ = false;
   bool has_initial_list_ = false;
-  bool list_is_whole_ = false;       // the list that is being told
-  std::unordered_set<int> in_list_;  // so far
-  Stream* stream_ = nullptr;         // the connection in use, if there is one
+  bool list_is_whole_ = false;       // whether the list that is being received is complete
+  std::unordered_set<int> in_list_;  // endpoints of that list so far
+  Stream* stream_ = nullptr;         // the current connection; null: none
   replica::ObservationTracker* observations_ = nullptr;
   Event reconnect_now_;
-  // Held while there is no connection. Prevents clients and attempts from taking the descriptor of one that
-  // broke, which would leave the router without its list.
+  // A reserved descriptor, released when a dial finds no other. Without it clients and attempts could take
+  // the descriptor of a broken connection, which would leave the router without its endpoint list.
   Fd spare_descriptor_;
 };
 
--- a/src/net/discovery_clock.cpp
+++ b/src/net/discovery_clock.cpp
@@ -23,7 +23,7 @@
 }
 
 Seconds DiscoveryClock::started_at(int endpoint, Seconds stamp, Seconds now) {
-  // Whether or not it arrived, an event counts as told so long after it happened (the protocol page,
+  // An event counts as delivered this long after it happened, whether or not it arrived (the protocol page,
   // "Figures").
   constexpr Seconds kMaxEventDelay = 7;
   if (stamp <= 0) return 0;
@@ -31,7 +31,7 @@
   if (start.stamp == stamp) return start.at;
   if (!reads_initial_events_) observe(stamp, now);
   Seconds at = offset_ ? std::min(now, stamp + *offset_) : now;
-  // Older than it can be: discovery's clock was set back since.
+  // The event seems older than a live event can be: discovery's clock was set back.
   if (!reads_initial_events_ && at < last_received_at_ - kMaxEventDelay) {
     at = now;
     offset_ = now - stamp;
--- a/tests/replica_sockets.cpp
+++ b/tests/replica_sockets.cpp
@@ -101,7 +101,7 @@
     fleet.says(3, 1, Says::draining);
     fleet.says(5, 2, Says::draining);
     co_await pause(1);
-    const auto line = [](int b) { return box(b) + ": draining as the fleet has it"; };
+    const auto line = [](int b) { return box(b) + ": draining according to the fleet"; };
     const bool apart = logged(2, line(1)) && logged(6, line(2)) && !logged(6, line(1)) && !logged(2, line(2));
     for (int a = 0; a < kRouters; ++a)
       for (int b = a + 1; b < kRouters; ++b) fleet.cut(a, b, 0);
@@ -116,7 +116,7 @@
     co_await pause(2);
     bool anew = true;
     for (int n = 0; n < kRouters; ++n)
-      anew = anew && (n == 4 || logged(n, box(3) + ": listed as the fleet has it"));
+      anew = anew && (n == 4 || logged(n, box(3) + ": listed according to the fleet"));
     say("a restart told to one router reaches the others as a new start", anew);
     s.start(count(1));
     co_await done.wait();
