--- a/src/net/endpoint_answer.cpp
+++ b/src/net/endpoint_answer.cpp
@@ -57,7 +57,7 @@
 }
 
 void store_answer(const EndpointAnswer& answer, AttemptResult& result) {
-  constexpr std::size_t kMaxTags = 32;  // more than are remembered of an object
+  constexpr std::size_t kMaxTags = 32;  // more than the purge index remembers of an object
   result.fill = answer.fill;
   result.report = parse_answer_report(answer.fields);
   result.not_modified = answer.not_modified;
--- a/src/net/endpoint_answer.h
+++ b/src/net/endpoint_answer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Parses what an endpoint answers to an attempt. No I/O.
+/// Parses the answers of endpoints to attempts. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,24 @@
 
 struct AttemptResult;
 
-/// What every answer has, and what tells whose it is. It views the words that it was parsed from.
+/// One answer. Its texts point into the words that it was parsed from.
 struct EndpointAnswer {
-  std::uint64_t id = 0;                            ///< of the request
-  AttemptOutcome outcome = AttemptOutcome::error;  ///< how the attempt ended
-  FillOutcome fill = FillOutcome::none;            ///< what the answer tells of its fill
+  std::uint64_t id = 0;                            ///< id of the request
+  AttemptOutcome outcome = AttemptOutcome::error;  ///< outcome of the attempt
+  FillOutcome fill = FillOutcome::none;            ///< outcome of the fill, as the answer reports it
   bool not_modified = false;                       ///< the client's copy is current
-  Seconds age = -1;                                ///< of the copy, -1 where it is not told
-  std::string_view etag;                           ///< of the copy, empty where it is not told
-  std::string_view fields;                         ///< all of them
-  std::string_view body;                           ///< empty where none came
+  Seconds age = -1;                                ///< age of the copy; -1 if not reported
+  std::string_view etag;                           ///< ETag of the copy; empty if not reported
+  std::string_view fields;                         ///< the whole list of fields
+  std::string_view body;                           ///< empty if there is none
 };
 
-/// Parses the words of an answer: the request's id, a word for the outcome, fields, a body. Throws
-/// InputError.
+/// Parses the words of an answer: the request's id, the outcome, and optionally fields and a body. Throws
+/// InputError if the id, the outcome or a field is malformed.
 EndpointAnswer parse_endpoint_answer(const std::vector<std::string_view>& words);
 
-/// Takes what goes on to the client out of an answer, with the rest of its fields. The outcome is left out.
-/// Throws InputError for a field that is none.
+/// Copies the answer, with its tags and reported measurements, to `result`; only the outcome is left as it
+/// is. Throws InputError for a malformed field.
 void store_answer(const EndpointAnswer& answer, AttemptResult& result);
 
 }  // namespace walkpaddle::net
--- a/src/net/purge_notifier.h
+++ b/src/net/purge_notifier.h
@@ -1,6 +1,5 @@
 /// \file
-/// Notifies cache servers of purges, where they understand them: the command "purges" and its answers, see
-/// docs/purges.md.
+/// Notifies cache servers of purges, if they support it, by the command "purges" (see docs/purges.md).
 #pragma once
 
 #include <string>
@@ -14,21 +13,22 @@
 
 namespace walkpaddle::net {
 
-/// Sends what PurgeDelivery wants to be sent over the connections of the pool, and hands back what cache
-/// servers answer.
+/// Sends the messages of PurgeDelivery over the connections of the pool, and passes the answers of cache
+/// servers back to it.
 ///
-/// Lifetime: all that the constructor takes outlives it; the pool calls it for as long as the pool lives, and
-/// the scheduler's tasks are dropped (Scheduler::drop_tasks) before it goes. Threads: the scheduler's.
+/// Lifetimes: the references that the constructor takes must outlive it. The pool calls it until the
+/// scheduler's tasks are dropped (Scheduler::drop_tasks), which must happen before it is destroyed. Threads:
+/// everything runs on the scheduler's one thread.
 class PurgeNotifier final : CommandListener {
  public:
-  /// `run` names this run of log positions: cursors of another run mean nothing.
+  /// `run`: identifies the series of log positions; cursors of another run are not comparable.
   PurgeNotifier(Scheduler& scheduler, Log& log, purge::PurgeRegistry& purges, UpstreamPool& upstream,
                 std::string run);
   PurgeNotifier(const PurgeNotifier&) = delete;
   PurgeNotifier& operator=(const PurgeNotifier&) = delete;
 
  private:
-  // Throws InputError for an answer that cannot be read: the pool ends the connection.
+  // Throws InputError for a malformed answer, upon which the pool ends the connection.
   void command_answered(int server, const std::vector<std::string_view>& words) override;
   void connection_lost(int server) override { purges_.delivery().connection_lost(server); }
   Task notify_all();
