--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-// ---- One request. --------------------------------------------------------------------------------------
+// ---- RequestHandle. ------------------------------------------------------------------------------------
 
 RequestHandle::RequestHandle(RequestDispatcher& dispatcher, int class_index, std::uint64_t object,
                              std::string_view object_name, int part, std::uint32_t group, Seconds deadline,
@@ -42,7 +42,7 @@
   valid_since_ = since;
   record_.purged(since);
   dispatcher_.input().copies_made_since(slot_, since);
-  if (attempt_ != nullptr) attempt_->abandon_if_unsent();  // decided before the purge
+  if (attempt_ != nullptr) attempt_->abandon_if_unsent();  // it was decided before the purge
 }
 
 void RequestHandle::attempt_ended(AttemptOutcome outcome, FillOutcome fill, Seconds duration,
@@ -65,7 +65,7 @@
   event_.set();
 }
 
-// ---- All requests. -------------------------------------------------------------------------------------
+// ---- RequestDispatcher. --------------------------------------------------------------------------------
 
 RequestDispatcher::RequestDispatcher(Scheduler& scheduler, std::uint32_t seed,
                                      const config::Settings& settings, purge::PurgeRegistry& purges,
@@ -126,7 +126,7 @@
   if (answers_report_load_ && load >= 0) input().load_reported(endpoint, load);
 }
 
-// ---- Turns. --------------------------------------------------------------------------------------------
+// ---- Polling the policy. -------------------------------------------------------------------------------
 
 Task RequestDispatcher::run_timer() {
   for (;;) {
@@ -137,10 +137,11 @@
   }
 }
 
-// A poll asks again for each request that waits, thousands of times a second if each turn did it. So polls
-// keep the settings' least time between two; the first after a quiet while comes at once.
+// Each poll makes the policy reconsider every waiting request, and there can be thousands of turns a second.
+// Polls therefore keep a minimum interval, which the settings give; the first after a longer pause runs at
+// once.
 void RequestDispatcher::on_turn_end() {
-  // At once, before anything that was decided before them goes out.
+  // New purges are applied first, before anything that was decided without them is sent.
   if (std::exchange(purges_version_, purges_.version()) != purges_.version()) {
     for (auto* handle : handles_)
       if (handle != nullptr) handle->update_purges();
@@ -153,7 +154,7 @@
   for (;;) {
     co_await poll_wanted_.wait();
     Event due(scheduler_);
-    co_await due.wait(last_poll_at_ + poll_interval_);  // the turn that this makes ends with the poll
+    co_await due.wait(last_poll_at_ + poll_interval_);  // the turn that this starts polls at its end
     poll_pending_ = false;
   }
 }
@@ -174,7 +175,7 @@
   using Kind = Decision::Kind;
   if (decision.kind == Kind::wake_up) return wake_up_at(decision.time);
   auto* const handle = decision.request >= 0 ? handles_[static_cast<std::size_t>(decision.request)] : nullptr;
-  if (handle == nullptr) return;  // poll_discovery: discovery tells of itself
+  if (handle == nullptr) return;  // also for poll_discovery: discovery sends its events unasked
   if (decision.kind == Kind::cancel) {
     if (handle->attempt_ != nullptr && decision.attempt == handle->attempts_ - 1) handle->attempt_->cancel();
     return;
--- a/src/net/request_handler.cpp
+++ b/src/net/request_handler.cpp
@@ -13,7 +13,7 @@
 
 using RequestEnd = rollout::RequestOutcome;
 
-// Down to whole milliseconds; never 0, which means something else.
+// The time in whole milliseconds, rounded down but at least 1, because 0 has another meaning.
 std::string whole_ms(Seconds time) {
   return std::to_string(std::max(1L, static_cast<long>(std::floor(time * 1e3))));
 }
@@ -40,8 +40,8 @@
   return decision.kind == Decision::Kind::reject || decision.kind == Decision::Kind::fail;
 }
 
-// One request in its task. Destroyed before it was answered, it is answered as failed: also where memory runs
-// out midway.
+// The state of one request. If it is destroyed before the request was answered, also because memory has run
+// out, the client is told that the request failed.
 class RequestTask {
  public:
   RequestTask(Scheduler& scheduler, Log& log, RequestDispatcher& dispatcher, UpstreamPool& upstream,
@@ -55,8 +55,8 @@
   void shed(const Decision& decision);
   Attempt::Spec attempt_spec(const Decision& decision);
   void attempt_started(Attempt& attempt);
-  bool attempt_ended(const Decision& decision, Attempt& attempt);  // true: it is answered
-  void close();                                                    // after its answer
+  bool attempt_ended(const Decision& decision, Attempt& attempt);  // true if the request was answered
+  void close();                                                    // to be called after the answer
 
  private:
   void check_not_modified(int endpoint, AttemptResult& result);
@@ -104,7 +104,7 @@
   try {
     if (may_answer()) client_.answer(request_.tag, "ABORTED");
   } catch (const std::bad_alloc&) {
-    // Not even memory for one word: the client sees its connection's end or its own limit.
+    // Without memory for the answer the client sees its connection end or its time limit pass.
   }
   client_.remove_request(request_.tag);
 }
@@ -126,7 +126,7 @@
 void RequestTask::shed(const Decision& decision) {
   const bool rejected = decision.kind == Decision::Kind::reject &&
                         guard_.may_refuse(handle_.record()) == guard::Invariant::none;
-  log_("shed", "{}: {} after {} attempts: {}", request_.id_text, rejected ? "refused" : "failed", attempts_,
+  log_("shed", "{}: {} after {} attempts: {}", request_.id_text, rejected ? "rejected" : "failed", attempts_,
        to_string(decision.reason));
   auto& counters = guard_.counters();
   ++(rejected ? counters.shed : counters.failed);
@@ -164,33 +164,33 @@
   if (attempts_ > 1) ++guard_.counters().retries;
 }
 
-// Prevents a copy from being called current though the server named another, or the client has none.
+// Turns a "not modified" answer into an error if it names another copy than the client's, or the client has
+// none.
 void RequestTask::check_not_modified(int endpoint, AttemptResult& result) {
   if (!result.not_modified) return;
   if (guard_.may_call_current(handle_.record(), request_.etag, result.etag) == guard::Invariant::none) return;
-  log_("answer", "{}: still_good for '{}' where the client has '{}'", upstream_.id(endpoint), result.etag,
+  log_("answer", "{}: still_good for copy '{}', but the client has '{}'", upstream_.id(endpoint), result.etag,
        request_.etag);
   result.outcome = AttemptOutcome::error;
   result.not_modified = false;
 }
 
-// Prevents an answer from before a purge: of an attempt that was under way as it came, or of a cache that
-// confirmed it and answers old all the same.
+// Discards copies from before a purge. They come from attempts that were in flight when the purge arrived, or
+// from a cache that confirmed the purge and still serves an old copy.
 void RequestTask::check_copy(const Decision& decision, const Attempt& attempt, AttemptResult& result) {
   if (result.outcome != AttemptOutcome::served || dispatcher_.purges().replication() == nullptr ||
       request_.uncacheable)
     return;
   result.outcome = evaluate_copy(attempt, result, decision.max_age);
   if (result.outcome == AttemptOutcome::stale)
-    log_("old", "{}: a copy of {:.3f} s where {:.3f} s were allowed; set aside",
-         upstream_.id(decision.endpoint), result.age, decision.max_age);
+    log_("old", "{}: copy of {:.3f} s discarded, the limit is {:.3f} s", upstream_.id(decision.endpoint),
+         result.age, decision.max_age);
 }
 
-// Where the age is told it is the sending that it is counted back from: a copy is taken for as old as it may
-// be.
+// A reported age is counted back from the start of the attempt, so that a copy counts as old as it may be.
 AttemptOutcome RequestTask::evaluate_copy(const Attempt& attempt, const AttemptResult& result,
                                           Seconds max_age) {
-  constexpr Seconds kRounding = 0.002;  // whole milliseconds, up at one side and down at the other
+  constexpr Seconds kRounding = 0.002;  // both sides round to whole milliseconds, one up and the other down
   auto& purges = dispatcher_.purges();
   const Seconds now = scheduler_.now();
   const bool age_reported = result.age >= 0;
@@ -222,7 +222,7 @@
   const auto size = static_cast<double>(result.body.size());
   if (served && may_answer()) answer(result);
   if (!served && !handle_.has_client_left())
-    log_("attempt", "{}: {} of {:.3f} s at {} ended {}", request_.id_text, attempts_, duration,
+    log_("attempt", "{}: attempt {} of {:.3f} s at {} ended as {}", request_.id_text, attempts_, duration,
          upstream_.id(decision.endpoint), to_string(result.outcome));
   const Seconds transfer_time = transfer_rate_ > 0 ? size / transfer_rate_ : 0;
   dispatcher_.load_reported(decision.endpoint, result.report.load);
@@ -252,8 +252,8 @@
     Attempt attempt(scheduler, upstream, task.attempt_spec(*decision));
     task.attempt_started(attempt);
     while (!attempt.ended()) {
-      const bool woken = co_await attempt.wait();
-      if (!woken) attempt.on_timer();
+      const bool changed = co_await attempt.wait();
+      if (!changed) attempt.on_timer();
     }
     if (task.attempt_ended(*decision, attempt)) break;
     if (task.count_if_left()) co_return;
--- a/src/net/request_handler.h
+++ b/src/net/request_handler.h
@@ -1,5 +1,5 @@
 /// \file
-/// The life of one request, from its receipt to its answer.
+/// The task that handles one request, from its receipt to its answer.
 #pragma once
 
 #include <memory>
@@ -12,15 +12,15 @@
 
 namespace walkpaddle::net {
 
-/// The task of one request: asks the policy, carries each decision out, and answers the client once. To be
-/// started isolated (Scheduler::start_isolated): an exception that leaves it ends this request alone, which
-/// is answered as failed all the same.
+/// Handles one request: carries out the policy's decisions and answers the client once. The task must be
+/// started with Scheduler::start_isolated, so that an exception ends this request alone; the client still
+/// gets the answer that its request failed.
 ///
-/// Lifetimes: the task holds the client's connection and the request until it ends; all that is taken by
-/// reference outlives it. Its parts go in the order: attempt, answer owed, handle at the dispatcher, request,
-/// connection. Threads: the scheduler's one thread.
+/// Lifetimes: the task shares ownership of the client's connection and owns the request; the references that
+/// it takes must outlive it. It is torn down in this order: attempt, answer that is still due, handle at the
+/// dispatcher, request, connection. Threads: everything runs on the scheduler's one thread.
 ///
-/// `transfer_rate`: bytes a second of one transfer to a client, 0 if it is not told.
+/// `transfer_rate`: bytes per second of one transfer to a client, 0 if unknown.
 Task serve(Scheduler& scheduler, Log& log, RequestDispatcher& dispatcher, UpstreamPool& upstream,
            std::shared_ptr<ClientConnection> client, Request request, double transfer_rate);
 
