--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-// Bytes of one answer follow each other within a round trip; where they stop, or trickle, nothing on this
-// connection will be answered any more. A hundredth of a usual transfer's pace brings more than
-// kLeastProgressBytes in that time.
+// The bytes of one answer follow one another within a round trip. If they stop or trickle, no answer can be
+// expected on this connection any more. A hundredth of the usual transfer rate still delivers more than
+// kLeastProgressBytes in this time.
 constexpr Seconds kMaxStall = 0.4;
 constexpr std::size_t kLeastProgressBytes = 1024;
 
 }  // namespace
 
 void UpstreamEndpoint::add_response_time(Seconds time) {
-  constexpr double kWeight = 0.1;  // of one answer in the mean
+  constexpr double kWeight = 0.1;  // weight of one answer in the mean
   least_response_time = std::min(least_response_time, time);
   mean_response_time += (time - mean_response_time) * kWeight;
 }
@@ -82,12 +82,12 @@
   --in_flight_;
 }
 
-// Prevents an answer that comes late, or twice, from being taken for that of the request's next attempt:
-// where one may come, or would make an effect happen twice, no other attempt of the request goes over this
-// connection. Others may: a dial and a place at the endpoint for each cost more than an attempt that ends too
-// soon.
+// A late or repeated answer must not be taken for that of the request's next attempt. If an answer may still
+// arrive, or the request has an effect that must not happen twice, no other attempt of the request uses this
+// connection. Otherwise the connection is used again: a dial and a place at the endpoint for each attempt
+// would cost more than an attempt that ends too soon.
 void UpstreamConnection::forget(const Attempt& attempt, bool may_be_answered) {
-  constexpr std::size_t kMaxLateAnswers = 64;  // more than can be given up in the time of one round trip
+  constexpr std::size_t kMaxLateAnswers = 64;  // more than can be released within one round trip
   const auto id = attempt.spec_.id;
   open_.erase(id);
   if (!may_be_answered && !attempt.spec_.has_effect) return;
@@ -114,12 +114,12 @@
 UpstreamConnection::Input UpstreamConnection::read(CommandListener* listener) {
   const bool had_begun = answer_begun();
   const auto answers_before = answers_;
-  const auto came = stream_.read();
-  if (came == Stream::Came::end) return Input::end;
-  if (came == Stream::Came::nothing) return Input::none;
+  const auto result = stream_.read();
+  if (result == Stream::Came::end) return Input::end;
+  if (result == Stream::Came::nothing) return Input::none;
   last_received_at_ = scheduler_.now();
   if (!take_answers(listener)) {
-    end_as("an answer that cannot be read", guard::EndpointClose::answer_unusable);
+    end_as("malformed answer", guard::EndpointClose::answer_unusable);
     return Input::end;
   }
   const auto bytes = stream_.in().size();
@@ -128,7 +128,7 @@
     bytes_at_progress_ = bytes;
   }
   if (answer_begun() && last_received_at_ >= progress_at_ + kMaxStall) {
-    end_as("an answer that trickles", guard::EndpointClose::answer_trickles);
+    end_as("answer arrives too slowly", guard::EndpointClose::answer_trickles);
     return Input::end;
   }
   return Input::answers;
@@ -143,7 +143,7 @@
 
 bool UpstreamConnection::timed_out(Seconds idle_close) {
   if (answer_begun() && scheduler_.now() >= progress_at_ + kMaxStall) {
-    end_as("an answer that stopped midway", guard::EndpointClose::answer_stopped);
+    end_as("answer stopped before its end", guard::EndpointClose::answer_stopped);
     return true;
   }
   if (in_flight_ == 0 && scheduler_.now() >= used_at_ + idle_close) {
@@ -155,7 +155,7 @@
 
 bool UpstreamConnection::take_answers(CommandListener* listener) {
   constexpr std::size_t kMaxWords = 8;
-  constexpr std::size_t kMaxBytes = 248'000;  // the largest object, and fields
+  constexpr std::size_t kMaxBytes = 248'000;  // the largest object with its fields
   RespArray answer;
   try {
     for (;;) {
@@ -166,7 +166,7 @@
       ++answers_;
     }
   } catch (const InputError& e) {
-    log_("answer", "{}", e.what());
+    log_("answer", "malformed answer: {}", e.what());
     return false;
   }
 }
--- a/src/net/upstream_connection.h
+++ b/src/net/upstream_connection.h
@@ -1,10 +1,9 @@
 /// \file
-/// One connection to an endpoint, with the attempts that are out over it, and what the pool holds of an
-/// endpoint.
+/// One connection to an endpoint with its attempts in flight, and the pool's record of an endpoint.
 ///
-/// Lifetimes: a connection lives in its task (UpstreamPool::run_connection), and its endpoint, the scheduler
-/// and the outbox outlive it. Attempts may go before or after it: each unlinks itself from the other.
-/// Threads: the scheduler's one thread.
+/// Lifetimes: a connection is owned by its task (UpstreamPool::run_connection). Its endpoint, the scheduler
+/// and the outbox must outlive it. Attempts may be destroyed before or after the connection: each unlinks
+/// itself from the other. Threads: everything runs on the scheduler's one thread.
 #pragma once
 
 #include <cstdint>
@@ -27,103 +26,107 @@
 class UpstreamConnection;
 struct EndpointAnswer;
 
-/// Hears of the commands that go beside the attempts.
+/// Receives the answers to commands, which share the connections with the attempts.
 class CommandListener {
  public:
-  /// The words of an answer to a command. Throws InputError for one that cannot be read: the connection ends.
+  /// Handles the answer to a command, given as its words. Throws InputError for a malformed answer, which
+  /// ends the connection.
   virtual void command_answered(int endpoint, const std::vector<std::string_view>& words) = 0;
-  /// A connection that had come up is lost, and with it the commands that were not answered.
+  /// An established connection was lost, and with it all commands that were not answered.
   virtual void connection_lost(int endpoint) = 0;
 
  protected:
   ~CommandListener() = default;
 };
 
-/// What the pool holds of one endpoint.
+/// The pool's record of one endpoint.
 struct UpstreamEndpoint {
-  int index = -1;                              ///< in the pool
-  std::string id;                              ///< as discovery names it
-  Address address;                             ///< as discovery last told it
-  EndpointState state = EndpointState::gone;   ///< as discovery last told it
-  std::list<UpstreamConnection*> connections;  ///< owned by their tasks
-  std::size_t dialling = 0;                    ///< connections that are not up yet
-  bool awaits_descriptor = false;  ///< its dial waits for one: this router's own want, no sign of its health
-  /// Least time from an attempt to its answer; at first more than any way between machines.
+  int index = -1;                              ///< index in the pool
+  std::string id;                              ///< the endpoint's name in discovery
+  Address address;                             ///< the address that discovery last reported
+  EndpointState state = EndpointState::gone;   ///< the state that discovery last reported
+  std::list<UpstreamConnection*> connections;  ///< connections, which their tasks own
+  std::size_t dialling = 0;                    ///< number of dials that have not ended
+  /// A dial waits for a descriptor. This is a shortage of this router, no sign of the endpoint's health.
+  bool awaits_descriptor = false;
+  /// Least time from writing an attempt to its answer; initially more than between any two machines.
   Seconds least_response_time = 0.05;
-  /// Exponentially weighted mean time from an attempt to its answer; at first that of a slow server.
+  /// Exponentially weighted mean of the same time; initially that of a slow server.
   Seconds mean_response_time = 0.1;
-  std::vector<Attempt*> waiting;  ///< for a connection with capacity, in the order of their coming
+  std::vector<Attempt*> waiting;  ///< attempts that wait for a connection with capacity, oldest first
 
-  /// Takes one answer into the response times.
+  /// Adds the response time of one answer to the statistics.
   void add_response_time(Seconds time);
 };
 
-/// One connection and the attempts over it.
+/// One connection to an endpoint, with the attempts on it.
 class UpstreamConnection {
  public:
-  /// What read() found.
+  /// Result of read().
   enum class Input {
-    none,     ///< nothing more for now
-    answers,  ///< bytes, of which whole answers were handed on
-    end       ///< the connection has ended, why() says why
+    none,     ///< nothing to read for now
+    answers,  ///< bytes were read, and the answers completed by them were handled
+    end       ///< the connection has ended; why() gives the reason
   };
 
-  /// On a socket whose dial has begun; what is taken by reference outlives it.
+  /// Takes over a socket whose dial has begun. The references must outlive the connection.
   UpstreamConnection(Scheduler& scheduler, Outbox& outbox, Log& log, Fd socket, UpstreamEndpoint& endpoint);
   UpstreamConnection(const UpstreamConnection&) = delete;
   UpstreamConnection& operator=(const UpstreamConnection&) = delete;
 
-  /// Bytes in and out.
+  /// The byte stream.
   Stream& stream() { return stream_; }
-  const Stream& stream() const { return stream_; }  ///< the same, to look at
-  /// When bytes last came, or it came up.
+  const Stream& stream() const { return stream_; }  ///< the byte stream, for reading its state
+  /// When bytes were last received, or else when the connection was established.
   Seconds last_received_at() const { return last_received_at_; }
-  /// When it last carried an attempt or an answer, or came up.
+  /// When an attempt was last written or an answer received, or else when the connection was established.
   Seconds used_at() const { return used_at_; }
-  /// How many attempts are out over it that have not been given up.
+  /// Number of attempts in flight on the connection, without released ones.
   std::size_t in_flight() const { return in_flight_; }
-  /// Connected.
+  /// Whether the connection is established.
   bool is_connected() const { return connected_; }
-  /// Up, and new attempts may use it.
+  /// Whether it is established and accepts new attempts.
   bool usable() const { return connected_ && !retired_; }
-  /// Up, without attempts, and new ones may use it.
+  /// Whether it is usable and has no attempts in flight.
   bool idle() const { return usable() && in_flight_ == 0; }
-  /// No new attempts go over it, those that are out end.
+  /// Whether it accepts no new attempts; those in flight may finish.
   bool retired() const { return retired_; }
-  /// Whether this attempt may be written to it, with at most `max_in_flight` in all.
+  /// Whether this attempt may be written to it, given a limit of `max_in_flight` attempts.
   bool accepts(const Attempt& attempt, std::size_t max_in_flight) const;
 
-  /// It is connected.
+  /// Marks the connection as established.
   void set_connected();
-  /// Its task ends: nothing more goes over it.
+  /// Marks the connection as ended: nothing more is written to it.
   void set_disconnected() { connected_ = false; }
-  /// From now on no new attempts go over it; `reason` is what its close is counted as.
+  /// Stops accepting new attempts. Its close is counted under `reason`.
   void retire(guard::EndpointClose reason);
-  /// The same as an answer was due and nothing was heard; an earlier reason stays.
+  /// Retires the connection because an answer is overdue and nothing was received. An earlier reason stays.
   void mark_unresponsive() { retired_ = true; }
-  /// Closes it if it is retired and has no attempts.
+  /// Closes the connection if it is retired and has no attempts in flight.
   void close_if_drained();
-  /// What its close is to be counted as.
+  /// The reason under which its close is counted.
   guard::EndpointClose close_reason() const { return retired_ ? retire_reason_ : end_reason_; }
-  /// Why it ended, for the log; empty where that is usual.
+  /// Why the connection ended, for the log; empty if it was idle.
   std::string_view why() const { return why_; }
 
-  /// Writes an attempt, whose answer is expected from now on.
+  /// Writes an attempt; its answer is expected from now on.
   void send(Attempt& attempt, std::string_view message, Seconds now);
-  /// Takes an attempt back out of what is still to be sent; false, and all stays, if some of it has left.
+  /// Removes an unsent attempt from the send buffer. False, without any change, if a byte of it was sent.
   bool withdraw(Attempt& attempt);
-  /// Gives an attempt up, whose answer may still come or not.
+  /// Ends the wait for an attempt's answer. `may_be_answered`: an answer may still arrive.
   void release(const Attempt& attempt, bool may_be_answered);
-  /// Unlinks the attempts that are out, without ending them: the pool's tasks go first.
+  /// Unlinks the attempts in flight without ending them, for when the pool's tasks are dropped first.
   void detach_attempts();
-  /// It has ended: each attempt that is out ends or waits again.
+  /// Ends each attempt in flight, or queues it again, because the connection has ended.
   void end_attempts();
 
-  /// Takes what came and hands on the answers; `listener` hears of commands' answers and may be null.
+  /// Reads what has arrived and handles whole answers. Answers to commands go to `listener`, which may be
+  /// null.
   Input read(CommandListener* listener);
-  /// Until when nothing has to come; then timed_out() is asked. `idle_close`: when a quiet one is closed.
+  /// The time at which timed_out() must be called if nothing arrives. `idle_close`: the time without use
+  /// after which the connection is closed.
   Seconds read_deadline(Seconds idle_close) const;
-  /// The time of read_deadline() may have come. True: it has, and the connection ends.
+  /// Whether the time of read_deadline() has passed, so that the connection must end.
   bool timed_out(Seconds idle_close);
 
  private:
@@ -140,16 +143,17 @@
   bool connected_ = false;
   bool retired_ = false;
   guard::EndpointClose retire_reason_ = guard::EndpointClose::silent;
-  std::string_view why_ = "closed by the other side";
+  std::string_view why_ = "closed by the endpoint";
   guard::EndpointClose end_reason_ = guard::EndpointClose::by_endpoint;
-  std::unordered_map<std::uint64_t, Attempt*> open_;  // by request; null: given up, an answer may still come
-  std::deque<std::uint64_t> late_answer_ids_;         // the latest of these, oldest first
-  std::size_t in_flight_ = 0;                         // those not given up
+  std::unordered_map<std::uint64_t, Attempt*>
+      open_;                                   // by request; null: released, an answer may still arrive
+  std::deque<std::uint64_t> late_answer_ids_;  // ids of the latest released ones, oldest first
+  std::size_t in_flight_ = 0;                  // number of attempts that were not released
   Seconds last_received_at_ = 0;
   Seconds used_at_ = 0;
-  std::uint64_t answers_ = 0;          // whole ones that came
-  Seconds progress_at_ = 0;            // when the answer that has begun last moved on
-  std::size_t bytes_at_progress_ = 0;  // how much of it was there then
+  std::uint64_t answers_ = 0;          // number of whole answers received
+  Seconds progress_at_ = 0;            // when the incomplete answer last made progress
+  std::size_t bytes_at_progress_ = 0;  // how much of it was there at that time
 };
 
 }  // namespace walkpaddle::net
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -7,7 +7,7 @@
 
 namespace walkpaddle::net {
 
-// Counts one connection among those that are dialled, and among those that hold a descriptor.
+// Counts one connection while it is being dialled and while it holds a descriptor.
 class UpstreamPool::DialCount {
  public:
   DialCount(std::size_t& holding, std::size_t& dialling) : holding_(holding), dialling_(dialling) {
@@ -35,7 +35,8 @@
   bool dial_over_ = false;
 };
 
-// Lists a connection while its task lives, also when that is dropped before those of its attempts.
+// Lists a connection while its task exists, and unlinks its attempts in case the task is dropped before
+// theirs.
 class UpstreamPool::Registration {
  public:
   Registration(UpstreamPool& pool, UpstreamEndpoint& endpoint, UpstreamConnection& connection)
@@ -90,7 +91,7 @@
 void UpstreamPool::update_endpoint(int index, const Address& address, EndpointState state) {
   auto& changed = endpoint(index);
   if (changed.address != address || state == EndpointState::gone) {
-    for (auto* connection : changed.connections) {  // what runs goes on; new attempts use new connections
+    for (auto* connection : changed.connections) {  // attempts in flight go on; new ones use new connections
       connection->retire(guard::EndpointClose::moved_or_gone);
       if (connection->is_connected() && connection->in_flight() == 0) connection->stream().close();
     }
@@ -104,14 +105,14 @@
 }
 
 bool UpstreamPool::send_command(int index, std::string_view text) {
-  auto& to = endpoint(index);
-  if (to.state == EndpointState::gone) return false;
-  const auto connection = std::ranges::find_if(to.connections, &UpstreamConnection::usable);
-  if (connection != to.connections.end()) {
+  auto& target = endpoint(index);
+  if (target.state == EndpointState::gone) return false;
+  const auto connection = std::ranges::find_if(target.connections, &UpstreamConnection::usable);
+  if (connection != target.connections.end()) {
     (*connection)->stream().write(text);
     return true;
   }
-  if (to.dialling == 0) scheduler_.start_isolated(run_connection(index));
+  if (target.dialling == 0) scheduler_.start_isolated(run_connection(index));
   return false;
 }
 
@@ -122,11 +123,11 @@
 // ---- Attempts on connections. --------------------------------------------------------------------------
 
 void UpstreamPool::start(Attempt& attempt) {
-  auto& to = endpoint(attempt.spec_.endpoint);
+  auto& target = endpoint(attempt.spec_.endpoint);
   attempt.position_ = attempts_.insert(attempts_.end(), &attempt);
-  to.waiting.push_back(&attempt);
-  place_waiting(to);
-  if (!attempt.ended() && attempt.state_ == Attempt::State::queued) dial_for_waiting(to);
+  target.waiting.push_back(&attempt);
+  place_waiting(target);
+  if (!attempt.ended() && attempt.state_ == Attempt::State::queued) dial_for_waiting(target);
 }
 
 UpstreamConnection* UpstreamPool::least_loaded(const UpstreamEndpoint& endpoint,
@@ -139,11 +140,11 @@
   return best;
 }
 
-// Gives waiting attempts to the connections that have capacity, to the one with the fewest. Where that has
-// some already, another is dialled for those to come: what spoils one answer costs all that share its
-// connection.
+// Assigns waiting attempts to connections with capacity, each to the one with the fewest attempts. If that
+// one is already in use, another connection is dialled for later attempts, because a fault in one answer
+// costs all attempts that share the connection.
 void UpstreamPool::place_waiting(UpstreamEndpoint& endpoint) {
-  constexpr std::size_t kMaxSpread = 24;  // connections to one endpoint, dialled while others have capacity
+  constexpr std::size_t kMaxSpread = 24;  // connections to one endpoint up to which this is done
   bool shares_connection = false;
   for (auto it = endpoint.waiting.begin(); it != endpoint.waiting.end();) {
     auto& attempt = **it;
@@ -152,7 +153,7 @@
       ++it;
       continue;
     }
-    // Prevents an attempt from being written after the other side's end, which would look as if it had run.
+    // An attempt that is written after the endpoint has closed its side would count as possibly run.
     if (connection->in_flight() == 0 && connection->stream().ended()) {
       connection->retire(guard::EndpointClose::by_endpoint);
       connection->stream().close();
@@ -168,17 +169,17 @@
     scheduler_.start_isolated(run_connection(endpoint.index));
 }
 
-// ---- Dials. --------------------------------------------------------------------------------------------
+// ---- Dialling. -----------------------------------------------------------------------------------------
 
-// As many connections on their way as the waiting attempts fill.
+// Dials until there are enough pending connections for all waiting attempts.
 void UpstreamPool::dial_for_waiting(UpstreamEndpoint& endpoint) {
   const auto wanted = (endpoint.waiting.size() + max_in_flight_ - 1) / max_in_flight_;
   for (auto more = wanted; more > endpoint.dialling && !endpoint.waiting.empty(); --more)
     scheduler_.start_isolated(run_connection(endpoint.index));
 }
 
-// Prevents connections from taking the descriptors of clients and of discovery: past their part of them a
-// dial waits until one is free.
+// The number of connections is limited, so that they do not take the descriptors of clients and of discovery.
+// At the limit a dial waits until a descriptor is free.
 UpstreamPool::DialStep UpstreamPool::try_dial(UpstreamEndpoint& endpoint, DialCount& count, Fd& socket) {
   const bool has_descriptor = connection_count_ < settings_.max_connections || close_longest_idle();
   if (has_descriptor) socket = dial(endpoint.address);
@@ -190,7 +191,7 @@
     dial_failed(endpoint, std::strerror(error), guard::EndpointClose::refused);
     return DialStep::failed;
   }
-  log_("connect", "{} at {}: {}, {} connections", endpoint.id, text_of(endpoint.address),
+  log_("connect", "dial to {} at {} postponed: {}; {} connections", endpoint.id, text_of(endpoint.address),
        std::strerror(error), connection_count_);
   endpoint.awaits_descriptor = true;
   if (has_descriptor) close_longest_idle();
@@ -200,13 +201,12 @@
 void UpstreamPool::dial_failed(UpstreamEndpoint& endpoint, std::string_view why,
                                guard::EndpointClose reason) {
   count_close(reason);
-  log_("connect", "{} at {}: {}", endpoint.id, text_of(endpoint.address), why);
+  log_("connect", "connection to {} at {} failed: {}", endpoint.id, text_of(endpoint.address), why);
   if (endpoint.dialling > 0 || std::ranges::any_of(endpoint.connections, &UpstreamConnection::usable)) return;
   for (auto* attempt : std::exchange(endpoint.waiting, {})) attempt->finish(AttemptOutcome::unreachable);
 }
 
-// With all descriptors taken, an idle connection to another endpoint goes: its descriptor is free at the
-// turn's end.
+// Closes the connection that has been idle longest, to free a descriptor. It is free at the end of the turn.
 bool UpstreamPool::close_longest_idle() {
   UpstreamConnection* longest = nullptr;
   for (auto* connection : connections_) {
@@ -222,7 +222,7 @@
 bool UpstreamPool::dial_succeeded(UpstreamEndpoint& endpoint, UpstreamConnection& connection, bool in_time) {
   const int error = connection.stream().error();
   if (!in_time) {
-    dial_failed(endpoint, "not up in time", guard::EndpointClose::not_up_in_time);
+    dial_failed(endpoint, "connect timed out", guard::EndpointClose::not_up_in_time);
     return false;
   }
   if (error != 0) {
@@ -230,50 +230,50 @@
     return false;
   }
   if (!connection.retired()) return true;
-  // Moved or gone meanwhile: those that wait go by what is listed now.
+  // The endpoint has moved or is gone. Attempts that still wait use its present address.
   count_close(guard::EndpointClose::moved_or_gone);
   if (!endpoint.waiting.empty()) dial_for_waiting(endpoint);
   return false;
 }
 
-// ---- The task of one connection. -----------------------------------------------------------------------
+// ---- Connection task. ----------------------------------------------------------------------------------
 
 Task UpstreamPool::run_connection(int index) {
-  constexpr Seconds kDescriptorPause = 0.02;  // until some connections may have closed
-  auto& to = endpoint(index);
-  DialCount count(connection_count_, to.dialling);
+  constexpr Seconds kDescriptorPause = 0.02;  // time in which some connections may close
+  auto& target = endpoint(index);
+  DialCount count(connection_count_, target.dialling);
   Fd socket;
   for (;;) {
-    const DialStep step = try_dial(to, count, socket);
+    const DialStep step = try_dial(target, count, socket);
     if (step == DialStep::failed) co_return;
     if (step == DialStep::started) break;
     Event pause(scheduler_);
     co_await pause.wait(scheduler_.now() + kDescriptorPause);
-    if (to.waiting.empty()) {
-      to.awaits_descriptor = false;
+    if (target.waiting.empty()) {
+      target.awaits_descriptor = false;
       co_return;
     }
   }
-  to.awaits_descriptor = false;
+  target.awaits_descriptor = false;
   count.hold_descriptor();
-  UpstreamConnection connection(scheduler_, outbox_, log_, std::move(socket), to);
-  const Registration registration(*this, to, connection);
+  UpstreamConnection connection(scheduler_, outbox_, log_, std::move(socket), target);
+  const Registration registration(*this, target, connection);
   const bool in_time = co_await connection.stream().writable(scheduler_.now() + settings_.dial_timeout);
   count.end_dial();
-  if (!dial_succeeded(to, connection, in_time)) co_return;
+  if (!dial_succeeded(target, connection, in_time)) co_return;
   connection.set_connected();
-  place_waiting(to);
+  place_waiting(target);
   for (;;) {
     const auto input = connection.read(command_listener_);
     if (input == UpstreamConnection::Input::end) break;
     if (input == UpstreamConnection::Input::answers) {
-      place_waiting(to);
+      place_waiting(target);
       continue;
     }
-    const bool woken = co_await connection.stream().readable(connection.read_deadline(idle_close_));
-    if (!woken && connection.timed_out(idle_close_)) break;
+    const bool has_input = co_await connection.stream().readable(connection.read_deadline(idle_close_));
+    if (!has_input && connection.timed_out(idle_close_)) break;
   }
-  connection_ended(to, connection);
+  connection_ended(target, connection);
 }
 
 void UpstreamPool::connection_ended(UpstreamEndpoint& endpoint, UpstreamConnection& connection) {
@@ -281,7 +281,8 @@
   count_close(connection.close_reason());
   if (command_listener_ != nullptr) command_listener_->connection_lost(endpoint.index);
   if (!connection.why().empty() && connection.in_flight() > 0)
-    log_("connection", "{}: {}, {} hops out", endpoint.id, connection.why(), connection.in_flight());
+    log_("connection", "{}: {}; {} attempts in flight", endpoint.id, connection.why(),
+         connection.in_flight());
   connection.end_attempts();
   if (!endpoint.waiting.empty()) dial_for_waiting(endpoint);
 }
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -1,9 +1,9 @@
 /// \file
-/// The connections to cache servers, parents and origins: dials them, and places attempts on them.
+/// The pool of connections to cache servers, parents and origins: dials them and assigns attempts to them.
 ///
-/// Lifetimes: what the constructor takes outlives the pool. Its connections live in tasks of the scheduler,
-/// which are dropped (Scheduler::drop_tasks) before it goes; so do attempts, in those of their requests.
-/// Threads: the scheduler's one thread.
+/// Lifetimes: the references that the constructor takes must outlive the pool. Connections and attempts are
+/// owned by tasks of the scheduler, which must be dropped (Scheduler::drop_tasks) before the pool is
+/// destroyed. Threads: everything runs on the scheduler's one thread.
 #pragma once
 
 #include <cstdint>
@@ -23,45 +23,47 @@
 
 namespace walkpaddle::net {
 
-/// What the platform and the machine allow.
+/// Limits of the platform and the machine.
 struct UpstreamSettings {
-  std::size_t max_connections = 2;       ///< of all endpoints together, dials included
-  int max_attempts_per_connection = 32;  ///< at once; at least 1 is taken
-  Seconds dial_timeout = 1;              ///< from a dial until it must be up
-  Seconds endpoint_idle_close = 60;      ///< an endpoint closes a connection that was quiet so long
-  bool can_cancel = false;               ///< endpoints understand "cancel"
+  std::size_t max_connections = 2;       ///< limit for all endpoints together, dials included
+  int max_attempts_per_connection = 32;  ///< attempts in flight at once; values below 1 count as 1
+  Seconds dial_timeout = 1;              ///< time limit for establishing a connection
+  Seconds endpoint_idle_close = 60;      ///< endpoints close a connection after this time without use
+  bool can_cancel = false;               ///< endpoints support the command "cancel"
 };
 
-/// The connections, by endpoint. Endpoints are small indices, given at first sight and never taken back.
+/// The connections by endpoint. Endpoints are named by small indices, which are assigned on first use and
+/// never reused.
 class UpstreamPool {
  public:
-  /// What is taken by reference outlives it.
+  /// Opens no connections yet. The references must outlive the pool.
   UpstreamPool(Scheduler& scheduler, Outbox& outbox, Log& log, const UpstreamSettings& settings);
   UpstreamPool(const UpstreamPool&) = delete;
   UpstreamPool& operator=(const UpstreamPool&) = delete;
   ~UpstreamPool();
 
-  /// The index of the endpoint with that id, which is given one at first sight.
+  /// The index of the endpoint with this id. A new endpoint is assigned one.
   int endpoint_index(std::string_view id);
-  /// The index of the endpoint with that id, -1 if it was never seen.
+  /// The index of the endpoint with this id, -1 if it has none.
   int find_endpoint(std::string_view id) const;
-  /// How many indices are given.
+  /// Number of endpoints with an index.
   int endpoint_count() const { return static_cast<int>(endpoints_.size()); }
   /// The id of an endpoint.
   std::string_view id(int index) const { return endpoint(index).id; }
-  /// Its address, as discovery last told it.
+  /// The address that discovery last reported for an endpoint.
   const Address& address(int index) const { return endpoint(index).address; }
-  /// Whether discovery lists it as ready.
+  /// Whether discovery lists the endpoint as ready.
   bool is_ready(int index) const { return endpoint(index).state == EndpointState::ready; }
-  /// What discovery tells of an endpoint. Attempts that wait for one that is not ready any more end unsent.
+  /// Updates an endpoint from discovery. If it is no longer ready, unsent attempts at it or with it as their
+  /// source are abandoned.
   void update_endpoint(int index, const Address& address, EndpointState state);
 
-  /// Who hears of the answers to commands; it outlives the pool's tasks.
+  /// Sets the receiver of answers to commands, which must outlive the pool's tasks.
   void set_command_listener(CommandListener& listener) { command_listener_ = &listener; }
-  /// Writes a command beside the attempts: over one connection, in order. False: there is none yet, one is
-  /// dialled.
+  /// Writes a command to an established connection of the endpoint. False if there is none; unless the
+  /// endpoint is gone, one is then being dialled.
   bool send_command(int index, std::string_view text);
-  /// Who checks and counts attempts; without one nothing is checked or counted.
+  /// Sets the guard, which checks and counts attempts; without a guard neither is done.
   void set_guard(guard::Guard& guard) { guard_ = &guard; }
 
  private:
@@ -88,10 +90,10 @@
   Log& log_;
   const UpstreamSettings settings_;
   const std::size_t max_in_flight_;   // attempts on one connection
-  const Seconds idle_close_;          // well before the other side, so that no attempt crosses its close
-  std::size_t connection_count_ = 0;  // of all endpoints, dials included, that hold a descriptor
+  const Seconds idle_close_;          // well before the endpoint's close, so that no attempt crosses it
+  std::size_t connection_count_ = 0;  // connections that hold a descriptor, dials included
   std::list<UpstreamConnection*> connections_;
-  std::list<Attempt*> attempts_;  // those that have not ended
+  std::list<Attempt*> attempts_;  // attempts that have not ended
   std::vector<std::unique_ptr<UpstreamEndpoint>> endpoints_;
   std::unordered_map<std::string, int> index_;
   CommandListener* command_listener_ = nullptr;
