--- a/src/net/attempt.cpp
+++ b/src/net/attempt.cpp
@@ -114,7 +114,7 @@
   event_.set();  // next_deadline() has changed
 }
 
-// ---- Ends. ---------------------------------------------------------------------------------------------
+// ---- Ending. -------------------------------------------------------------------------------------------
 
 void Attempt::cancel() { cancel_as(AttemptOutcome::cancelled); }
 
--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -114,7 +114,7 @@
   };
   ClientConnection* first = nullptr;
   ClientConnection* oldest_half_closed = nullptr;
-  for (const auto& [client, held] : connections_) {
+  for (const auto& [client, owner] : connections_) {
     if (client->is_open() && client->idle() && (first == nullptr || rank(*client) < rank(*first)) &&
         !client->stream_.has_unread())
       first = client;
@@ -134,7 +134,7 @@
   return true;
 }
 
-// ---- The task of one connection. -----------------------------------------------------------------------
+// ---- Connection task. ----------------------------------------------------------------------------------
 
 Task ClientListener::run_connection(std::shared_ptr<ClientConnection> client) {
   constexpr Seconds kEndPollInterval = 0.02;
@@ -146,7 +146,8 @@
     const auto result = stream.read();
     if (result == Stream::Came::end) break;
     if (result == Stream::Came::bytes) messages_.take(client);
-    if (result == Stream::Came::nothing) client->max_accept_delay_ = 0;  // later messages did not wait for it
+    if (result == Stream::Came::nothing)
+      client->max_accept_delay_ = 0;  // later messages did not wait for the accept
     messages_.serve_deferred(client);
     if (!client->is_open() && may_close(*client)) break;
     if (result == Stream::Came::bytes) {
@@ -184,7 +185,7 @@
   client.notify_client_left();
 }
 
-// ---- Ends. ---------------------------------------------------------------------------------------------
+// ---- Closing. ------------------------------------------------------------------------------------------
 
 void ClientListener::half_close(ClientConnection& client) {
   // Slightly longer than a request may be in transit when the write side is shut down.
@@ -211,7 +212,7 @@
 
 void ClientListener::abort_open() {
   messages_.stop();
-  for (const auto& [client, held] : connections_) {
+  for (const auto& [client, owner] : connections_) {
     for (const auto& [tag, handle] : std::exchange(client->open_, {})) {
       if (guard_ == nullptr || guard_->may_answer(handle->record()) == guard::Invariant::none)
         client->answer(tag, "ABORTED");
@@ -228,7 +229,7 @@
 // A request that arrives on a half-closed connection is never executed, and its client sees the connection
 // end without an answer.
 void ClientListener::close_idle() {
-  for (const auto& [client, held] : connections_) {
+  for (const auto& [client, owner] : connections_) {
     if (!client->idle() || client->stream_.has_unread()) continue;
     if (client->is_open()) count_close(guard::ClientClose::program_ends);
     half_close(*client);
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -26,7 +26,7 @@
 class ClientListener {
  public:
   using Serve = ClientMessages::Serve;  ///< starts a request
-  /// Half-closed connections in addition to `max_connections`, past which the oldest of them is closed.
+  /// Number of half-closed connections, beyond `max_connections`, above which the oldest of them is closed.
   static constexpr std::size_t kMaxClosing = 4;
   /// `listener` is a listening socket. `max_connections` does not count half-closed connections.
   ClientListener(Scheduler& scheduler, Outbox& outbox, Log& log, Fd listener, std::size_t max_connections,
--- a/src/net/client_messages.cpp
+++ b/src/net/client_messages.cpp
@@ -14,10 +14,10 @@
 // requests or disconnect.
 void ClientMessages::serve_deferred(const std::shared_ptr<ClientConnection>& client) {
   constexpr std::size_t kMaxUnsentBytes = 1 << 20;
-  auto& held = client->deferred_;
-  while (!held.empty() && !stopped_ && client->stream_.unsent() <= kMaxUnsentBytes) {
-    auto request = std::move(held.front());
-    held.pop_front();
+  auto& deferred = client->deferred_;
+  while (!deferred.empty() && !stopped_ && client->stream_.unsent() <= kMaxUnsentBytes) {
+    auto request = std::move(deferred.front());
+    deferred.pop_front();
     serve_(client, std::move(request));
   }
 }
--- a/src/net/discovery_codec.cpp
+++ b/src/net/discovery_codec.cpp
@@ -99,7 +99,7 @@
 
 std::size_t read_frame(std::string_view bytes, std::uint64_t& last, DiscoveryEvents& events,
                        std::uint64_t& seen) {
-  constexpr std::size_t kMaxFrameBytes = 4u << 20;  // a list of 150,000 endpoints
+  constexpr std::size_t kMaxFrameBytes = 4u << 20;  // room for a list of 150,000 endpoints
   if (bytes.size() < kLengthBytes) return 0;
   const auto length = take_number(bytes, kLengthBytes);
   if (length < kHeaderBytes || length > kMaxFrameBytes)
