--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -231,7 +231,7 @@
       settings.ms("specifics.parent_warms_in"), settings.ms("rules.overload_for")};
   policy.set_slow_start(caches, parents);
   const auto weights = settings.text("weights");
-  policy.set_weight_meaning(weights == "nominal" || weights == "rough");
+  policy.set_weights_are_transfers(weights == "nominal" || weights == "rough");
   policy.set_discovery_polling(settings.text("registry_mode") == "ask");
   apply_live_settings(settings, policy);
 }
@@ -254,7 +254,7 @@
   policy.set_fills({sibling_fills, settings.flag("specifics.merges_fills"), reporting,
                     settings.number("specifics.client_kb_per_s")});
   const bool retry_after = settings.flag("allowed.retry_after");
-  policy.set_client_habits(
+  policy.set_client_settings(
       {settings.flag("client_habits.marks_retry"), retry_after ? settings.ms("allowed.max_retry_after") : 0});
 }
 
--- a/src/guard/counters.h
+++ b/src/guard/counters.h
@@ -21,7 +21,7 @@
   program_ends,
   count
 };
-constexpr std::array<std::string_view, static_cast<std::size_t>(ClientClose::count)> kClientCloses = {
+constexpr std::array<std::string_view, static_cast<std::size_t>(ClientClose::count)> kClientCloseNames = {
     "by_client",        "made_room",   "no_place",    "no_whole_message",
     "unusable_message", "slow_reader", "program_ends"};
 
@@ -39,16 +39,16 @@
   silent,          // an answer was due, and nothing was heard
   count
 };
-constexpr std::array<std::string_view, static_cast<std::size_t>(EndpointClose::count)> kEndpointCloses = {
+constexpr std::array<std::string_view, static_cast<std::size_t>(EndpointClose::count)> kEndpointCloseNames = {
     "by_endpoint",     "refused",         "not_up_in_time", "idle",          "made_room",
     "answer_unusable", "answer_trickles", "answer_stopped", "moved_or_gone", "silent"};
 
 struct Counters {
-  std::array<std::uint64_t, kClientCloses.size()> client_closes{};
-  std::array<std::uint64_t, kEndpointCloses.size()> endpoint_closes{};
+  std::array<std::uint64_t, kClientCloseNames.size()> client_closes{};
+  std::array<std::uint64_t, kEndpointCloseNames.size()> endpoint_closes{};
   std::array<std::uint64_t, 10> attempts_ended{};  // by Verdict
   std::uint64_t served = 0, shed = 0, failed = 0, left = 0;
-  std::uint64_t attempts = 0, retries = 0, not_followed = 0;  // not_followed: times that the watch was lost
+  std::uint64_t attempts = 0, retries = 0, lost_watches = 0;  // lost_watches: times that the watch was lost
 
   void closed(ClientClose why) { ++client_closes[static_cast<std::size_t>(why)]; }
   void closed(EndpointClose why) { ++endpoint_closes[static_cast<std::size_t>(why)]; }
--- a/src/guard/guard.h
+++ b/src/guard/guard.h
@@ -32,7 +32,7 @@
   ready_when_serving,
   count
 };
-constexpr std::array<std::string_view, static_cast<std::size_t>(Invariant::count)> kInvariants = {
+constexpr std::array<std::string_view, static_cast<std::size_t>(Invariant::count)> kInvariantNames = {
     "none",
     "answer_once",
     "refusal_harmless",
@@ -51,32 +51,32 @@
 class RequestRecord {
  public:
   struct Rule {
-    Idempotency effect = Idempotency::idempotent;
-    Seconds window = 0;  // of a keyed effect: how long repeats of it are dropped
+    Idempotency idempotency = Idempotency::idempotent;
+    Seconds deduplication_window = 0;  // of a keyed idempotency: how long repeats of it are dropped
   };
   RequestRecord(std::uint64_t id, Rule rule, Seconds expires) : id_(id), rule_(rule), expires_(expires) {}
   std::uint64_t id() const { return id_; }
-  void client_left() { left_ = true; }
-  void purged(Seconds since) { copies_since_ = since; }  // copies made before are purged
-  Seconds copies_made_since() const { return copies_since_; }
+  void client_left() { client_left_ = true; }
+  void purged(Seconds since) { valid_since_ = since; }  // copies made before are purged
+  Seconds valid_since() const { return valid_since_; }
 
  private:
   friend class Guard;
   std::uint64_t id_;
   Rule rule_;
   Seconds expires_;
-  Seconds ran_at_ = -1;  // when the first attempt began that may have run
-  Seconds copies_since_ = 0;
-  int out_ = 0;
-  bool left_ = false, answered_ = false;
+  Seconds may_have_run_at_ = -1;  // when the first attempt began that may have run
+  Seconds valid_since_ = 0;
+  int in_flight_ = 0;
+  bool client_left_ = false, answered_ = false;
 };
 
 // Of an attempt that is about to be written.
-struct AttemptFacts {
+struct PlannedAttempt {
   EndpointState endpoint = EndpointState::gone, source = EndpointState::gone;  // as discovery last told them
   bool connection_ended = false;                                               // as far as is known
   Seconds deadline = 0;                                                        // the span that is passed on
-  Seconds copies_made_since = 0;  // the purges that it was decided with
+  Seconds valid_since = 0;  // the purges that it was decided with
 };
 
 class Guard {
@@ -85,16 +85,17 @@
   explicit Guard(Report report) : report_(std::move(report)) {}
 
   // Each gives Invariant::none, or what the step would break; then it must not be taken.
-  Invariant may_begin(RequestRecord& request, const AttemptFacts& attempt, Seconds now);
+  Invariant may_begin(RequestRecord& request, const PlannedAttempt& attempt, Seconds now);
   Invariant may_answer(RequestRecord& request);
-  Invariant may_refuse(const RequestRecord& request);  // to answer with the promise that nothing ran
-  Invariant may_call_current(const RequestRecord& request, std::string_view held, std::string_view named);
-  Invariant may_take(bool connection_open);  // a request that was read
-  Invariant may_end_answers(std::size_t requests_open, std::size_t bytes_unsent);
-  Invariant may_say_ready(bool list_read, bool serving);
+  Invariant may_reject(const RequestRecord& request);  // to answer with the promise that nothing ran
+  Invariant may_answer_not_modified(const RequestRecord& request, std::string_view client_etag,
+                                    std::string_view endpoint_etag);
+  Invariant may_accept_request(bool connection_open);  // a request that was read
+  Invariant may_half_close(std::size_t requests_open, std::size_t bytes_unsent);
+  Invariant may_report_ready(bool list_read, bool serving);
 
   // Every attempt that may_begin() let pass ends once.
-  void attempt_ended(RequestRecord& request, AttemptOutcome verdict, Seconds began);
+  void attempt_ended(RequestRecord& request, AttemptOutcome outcome, Seconds began);
 
   std::uint64_t violations(Invariant invariant) const {
     return violations_[static_cast<std::size_t>(invariant)];
@@ -104,12 +105,12 @@
   const Counters& counters() const { return counters_; }
 
  private:
-  Invariant refused(Invariant invariant, std::uint64_t request);
-  Invariant check(const RequestRecord& request, const AttemptFacts& attempt, Seconds now) const;
+  Invariant record_violation(Invariant invariant, std::uint64_t request);
+  Invariant check(const RequestRecord& request, const PlannedAttempt& attempt, Seconds now) const;
 
   const Report report_;
   Counters counters_;
-  std::array<std::uint64_t, kInvariants.size()> violations_{};
+  std::array<std::uint64_t, kInvariantNames.size()> violations_{};
 };
 
 }  // namespace walkpaddle::guard
--- a/src/net/attempt.cpp
+++ b/src/net/attempt.cpp
@@ -59,11 +59,11 @@
 bool Attempt::guard_allows(const UpstreamConnection& connection, Seconds time_left) {
   if (pool_.guard_ == nullptr || spec_.record == nullptr) return true;
   const auto source_state = spec_.source >= 0 ? pool_.endpoint(spec_.source).state : EndpointState::ready;
-  const guard::AttemptFacts facts{.endpoint = endpoint().state,
-                                  .source = source_state,
-                                  .connection_ended = !connection.stream().writable_still(),
-                                  .deadline = time_left,
-                                  .copies_made_since = spec_.copies_valid_since};
+  const guard::PlannedAttempt facts{.endpoint = endpoint().state,
+                                    .source = source_state,
+                                    .connection_ended = !connection.stream().writable_still(),
+                                    .deadline = time_left,
+                                    .valid_since = spec_.copies_valid_since};
   passed_guard_ = pool_.guard_->may_begin(*spec_.record, facts, scheduler_.now()) == guard::Invariant::none;
   return passed_guard_;
 }
--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -192,7 +192,7 @@
   constexpr Seconds kLingerTime = 0.06;
   if (client.phase_ == ClientConnection::Phase::half_closed) return;
   if (guard_ != nullptr &&
-      guard_->may_end_answers(client.requests(), client.stream_.unsent()) != guard::Invariant::none)
+      guard_->may_half_close(client.requests(), client.stream_.unsent()) != guard::Invariant::none)
     return;
   client.phase_ = ClientConnection::Phase::half_closed;
   ++closing_;
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -41,7 +41,7 @@
   if (since == valid_since_) return;
   valid_since_ = since;
   record_.purged(since);
-  dispatcher_.input().copies_made_since(slot_, since);
+  dispatcher_.input().set_valid_since(slot_, since);
   if (attempt_ != nullptr) attempt_->abandon_if_unsent();  // it was decided before the purge
 }
 
@@ -161,7 +161,7 @@
 
 void RequestDispatcher::poll_policy() {
   last_poll_at_ = scheduler_.now();
-  input().copies_no_older_than(purges_.copy_age_limit(last_poll_at_));
+  input().set_max_copy_age(purges_.copy_age_limit(last_poll_at_));
   while (const auto decision = policy_->next()) carry_out(*decision);
 }
 
--- a/src/net/request_handler.cpp
+++ b/src/net/request_handler.cpp
@@ -125,7 +125,7 @@
 
 void RequestTask::shed(const Decision& decision) {
   const bool rejected = decision.kind == Decision::Kind::reject &&
-                        guard_.may_refuse(handle_.record()) == guard::Invariant::none;
+                        guard_.may_reject(handle_.record()) == guard::Invariant::none;
   log_("shed", "{}: {} after {} attempts: {}", request_.id_text, rejected ? "rejected" : "failed", attempts_,
        to_string(decision.reason));
   auto& counters = guard_.counters();
@@ -168,7 +168,8 @@
 // none.
 void RequestTask::check_not_modified(int endpoint, AttemptResult& result) {
   if (!result.not_modified) return;
-  if (guard_.may_call_current(handle_.record(), request_.etag, result.etag) == guard::Invariant::none) return;
+  if (guard_.may_answer_not_modified(handle_.record(), request_.etag, result.etag) == guard::Invariant::none)
+    return;
   log_("answer", "{}: still_good for copy '{}', but the client has '{}'", upstream_.id(endpoint), result.etag,
        request_.etag);
   result.outcome = AttemptOutcome::error;
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -6,18 +6,18 @@
 namespace walkpaddle::routing {
 
 Seconds retry_after(const ClientSettings& clients) {
-  constexpr Seconds kLongest = 0.25;
-  return std::min(clients.longest_retry_after, kLongest);
+  constexpr Seconds kMaxRetryAfter = 0.25;
+  return std::min(clients.max_retry_after, kMaxRetryAfter);
 }
 
 Seconds capacity_deadline(const RequestState& request, const RequestClass& request_class,
                           const ServiceTimes& service_times) {
-  constexpr Seconds kShortest = 0.05;
+  constexpr Seconds kMinWait = 0.05;
   const Seconds objective = request_class.latency_objective;
   const Seconds spare = objective + request_class.latency_objective_stretch * service_times.work(request) -
                         service_times.expected_latency(request);
-  return std::min(request.received_at + std::clamp(spare / 2, kShortest, objective),
-                  request.expires - 2 * kShortestAttempt);
+  return std::min(request.received_at + std::clamp(spare / 2, kMinWait, objective),
+                  request.expires - 2 * kMinAttemptDuration);
 }
 
 void AdmissionQueue::request_decision(int index) {
@@ -28,9 +28,9 @@
 }
 
 void AdmissionQueue::request_decision_after(int index, Seconds pause) {
-  constexpr Seconds kBeforeExpiry = 0.01;
+  constexpr Seconds kExpiryMargin = 0.01;
   const auto& request = requests_[static_cast<std::size_t>(index)];
-  due_.insert({std::min(context_.now + pause, request.expires - kBeforeExpiry), index});
+  due_.insert({std::min(context_.now + pause, request.expires - kExpiryMargin), index});
 }
 
 void AdmissionQueue::wait_for_capacity(int index, Seconds deadline) {
@@ -47,13 +47,13 @@
 }
 
 std::vector<int> AdmissionQueue::take_ready() {
-  constexpr Seconds kLeastWork = 0.001;
+  constexpr Seconds kMinWork = 0.001;
   for (const int index : waiting_for_capacity_) request_decision(index);
   waiting_for_capacity_.clear();
   const auto rank = [&](int index) {
     const auto& request = requests_[static_cast<std::size_t>(index)];
     const auto& request_class = context_.classes[static_cast<std::size_t>(request.request_class)];
-    const double priority = request_class.priority / std::max(kLeastWork, service_times_.work(request));
+    const double priority = request_class.priority / std::max(kMinWork, service_times_.work(request));
     return std::pair(-priority, -request.received_at);
   };
   std::stable_sort(ready_.begin(), ready_.end(), [&](int a, int b) { return rank(a) < rank(b); });
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -13,7 +13,7 @@
 namespace walkpaddle::routing {
 
 /// No attempt ends well in less.
-constexpr Seconds kShortestAttempt = 0.015;
+constexpr Seconds kMinAttemptDuration = 0.015;
 
 /// How long the client of a shed request is told to wait (Retry-After), in seconds; 0: it is told nothing.
 Seconds retry_after(const ClientSettings& clients);
--- a/src/routing/attempt_accounting.h
+++ b/src/routing/attempt_accounting.h
@@ -22,7 +22,7 @@
     EndpointTable& endpoints;           ///< whose limits are used
     SlowStart& slow_start;              ///< whose budgets are spent
     const ServiceTimes& service_times;  ///< for the work of an attempt
-    FillKnowledge& fills;               ///< the link, and the probability of a fill
+    FillEstimates& fills;               ///< the link, and the probability of a fill
     ReferenceCounters& counters;        ///< which cache has a copy
   };
   /// Keeps the references.
--- a/src/routing/concurrency_limit.cpp
+++ b/src/routing/concurrency_limit.cpp
@@ -4,16 +4,16 @@
 
 namespace walkpaddle::routing {
 
-void ConcurrencyLimit::divide_among(int routers, double least_floor) {
-  constexpr double kSmallMachine = 32;   // attempts that a small machine has in flight
-  constexpr double kLeastInitial = 1.5;  // of one router
-  constexpr double kMachinesFloor = 8;   // what one machine still does
-  limit_ = std::clamp(kSmallMachine / routers, kLeastInitial, limit_);
-  floor_ = std::clamp(kMachinesFloor / routers, least_floor, floor_);
+void ConcurrencyLimit::divide_among(int routers, double min_floor) {
+  constexpr double kSmallMachineAttempts = 32;  // attempts that a small machine has in flight
+  constexpr double kMinInitial = 1.5;           // of one router
+  constexpr double kMachineFloor = 8;           // what one machine still does
+  limit_ = std::clamp(kSmallMachineAttempts / routers, kMinInitial, limit_);
+  floor_ = std::clamp(kMachineFloor / routers, min_floor, floor_);
 }
 
 bool ConcurrencyLimit::admits(double weight, Seconds now) const {
-  return in_flight_ <= 0 ? now >= rests_until_ : in_flight_ + weight <= limit_;
+  return in_flight_ <= 0 ? now >= paused_until_ : in_flight_ + weight <= limit_;
 }
 
 namespace {
@@ -29,28 +29,28 @@
 void ConcurrencyLimit::reserve(double weight) { in_flight_ = without_rounding_error(in_flight_ + weight); }
 
 void ConcurrencyLimit::release(double weight, Seconds took, Seconds now) {
-  constexpr Seconds kLongestRest = 20;  // some clients' patience
+  constexpr Seconds kMaxPause = 20;  // some clients' patience
   in_flight_ = without_rounding_error(in_flight_ - weight);
-  half_used_ = in_flight_ + weight > limit_ / 2;
-  if (limit_ < 1) rests_until_ = now + std::min(kLongestRest, (1 / limit_ - 1) * took);
+  was_half_used_ = in_flight_ + weight > limit_ / 2;
+  if (limit_ < 1) paused_until_ = now + std::min(kMaxPause, (1 / limit_ - 1) * took);
 }
 
 void ConcurrencyLimit::record_lost(Seconds now) {
-  if (late_share_ > kTooManyLate / 3) record_answer(1, now);
+  if (late_share_ > kMaxLateShare / 3) record_answer(1, now);
 }
 
 void ConcurrencyLimit::record_answer(double lateness, Seconds now, Queueing queueing) {
   // The share is of ten answers, or, where hundreds of routers see few each, of ten seconds; one alone is
   // never the half.
-  constexpr double kLeastGain = 0.1;
-  constexpr double kMostGain = 0.3;
-  constexpr Seconds kAveragedOver = 10;
+  constexpr double kMinGain = 0.1;
+  constexpr double kMaxGain = 0.3;
+  constexpr Seconds kTimeConstant = 10;
   constexpr double kGrowthUnderOne = 0.1;
   late_share_ +=
-      (lateness - late_share_) * std::clamp((now - last_answer_at_) / kAveragedOver, kLeastGain, kMostGain);
+      (lateness - late_share_) * std::clamp((now - last_answer_at_) / kTimeConstant, kMinGain, kMaxGain);
   last_answer_at_ = now;
-  if (late_share_ > kTooManyLate) return reduce(now);
-  if (lateness > 0 || !half_used_) return;
+  if (late_share_ > kMaxLateShare) return reduce(now);
+  if (lateness > 0 || !was_half_used_) return;
   if (limit_ < 1)
     limit_ += kGrowthUnderOne;
   else
@@ -58,12 +58,12 @@
 }
 
 void ConcurrencyLimit::reduce(Seconds now) {
-  constexpr Seconds kOneCongestion = 0.5;  // about an answer's time
-  constexpr double kFactor = 0.8;
+  constexpr Seconds kMinReductionInterval = 0.5;  // about an answer's time
+  constexpr double kDecrease = 0.8;
   congested_ = true;
-  if (now - reduced_at_ < kOneCongestion) return;
+  if (now - reduced_at_ < kMinReductionInterval) return;
   reduced_at_ = now;
-  limit_ = std::max(floor_, limit_ * kFactor);
+  limit_ = std::max(floor_, limit_ * kDecrease);
 }
 
 void ConcurrencyLimit::restart_at(double initial) {
--- a/src/routing/concurrency_limit.h
+++ b/src/routing/concurrency_limit.h
@@ -13,7 +13,7 @@
 class ConcurrencyLimit {
  public:
   /// Share of late answers above which the limit is reduced. Sizes vary: a tenth looks late on a good day.
-  static constexpr double kTooManyLate = 0.15;
+  static constexpr double kMaxLateShare = 0.15;
 
   /// Where a limit begins, and how far it may be reduced.
   struct Bounds {
@@ -29,9 +29,9 @@
 
   /// Takes this router's part where `routers` share the resource. Each starts with its part of a small
   /// machine's work: three attempts at least, or objects move between caches. The floor comes down to this
-  /// router's part of what one machine still does, but not below `least_floor`; under one attempt where many
+  /// router's part of what one machine still does, but not below `min_floor`; under one attempt where many
   /// share it.
-  void divide_among(int routers, double least_floor = 1);
+  void divide_among(int routers, double min_floor = 1);
 
   /// Whether so much more may go out. A limit under one is a share of the time: after each use it rests.
   /// Prevents floors of one each that sum to many times what a source can do, where hundreds of routers share
@@ -67,10 +67,10 @@
   double floor_ = Bounds{}.floor;
   double in_flight_ = 0;
   double late_share_ = 0;
-  bool half_used_ = false;  // when the last one ended: more would have been used
-  bool congested_ = false;  // until then it may grow by one with each answer
+  bool was_half_used_ = false;  // when the last one ended: more would have been used
+  bool congested_ = false;      // until then it may grow by one with each answer
   Seconds reduced_at_ = kLongAgo;
-  Seconds rests_until_ = 0;
+  Seconds paused_until_ = 0;
   Seconds last_answer_at_ = 0;
 };
 
--- a/src/routing/endpoint.h
+++ b/src/routing/endpoint.h
@@ -22,13 +22,13 @@
   /// @{
   std::uint64_t hash = 0;         ///< stable hash of its name
   int location = -1;              ///< index among the settings' locations
-  int cell = -1;                  ///< those of one cell share what they have seen
+  int cell = -1;                  ///< those of one cell share what they have ever_listed
   Role role = Role::cache;        ///< by its model
   double weight = 1;              ///< its size against others, above 0
   bool listed = false;            ///< and not gone
   bool ready = false;             ///< and not draining
-  bool seen = false;              ///< it was listed at least once
-  bool named = false;             ///< in the complete list that is being read
+  bool ever_listed = false;       ///< it was listed at least once
+  bool in_current_list = false;   ///< in the complete list that is being read
   bool counted = false;           ///< among the ready ones here,
   Role counted_as = Role::cache;  ///< ... of this role
   /// @}
@@ -43,13 +43,13 @@
 
   /// \name Health (OutlierDetector)
   /// @{
-  double failure_rate = 0;           ///< of the last attempts, about ten
-  Seconds ejected_until = kLongAgo;  ///< no attempt goes there before
-  Seconds ejection_time = 0;         ///< of the last ejection; doubled with each
-  int trials_left = 0;               ///< half-open: so many have to be served, one at a time
-  bool unreachable = false;          ///< no connection came up, and no answer since
-  Seconds heard_at = kLongAgo;       ///< last answer of any kind
-  Seconds answer_gap = 0.1;          ///< mean time between two answers while attempts are in flight
+  double failure_rate = 0;             ///< of the last attempts, about ten
+  Seconds ejected_until = kLongAgo;    ///< no attempt goes there before
+  Seconds ejection_time = 0;           ///< of the last ejection; doubled with each
+  int trials_left = 0;                 ///< half-open: so many have to be served, one at a time
+  bool unreachable = false;            ///< no connection came up, and no answer since
+  Seconds last_answer_at = kLongAgo;   ///< last answer of any kind
+  Seconds mean_answer_interval = 0.1;  ///< mean time between two answers while attempts are in flight
   /// @}
 
   /// \name Load (AttemptAccounting, OutcomeEvaluator)
--- a/src/routing/endpoint_order.cpp
+++ b/src/routing/endpoint_order.cpp
@@ -49,12 +49,12 @@
 
 // The first few, by insertion into a short list: nearly all fail the first comparison.
 void EndpointOrder::Ranking::rank_first() {
-  ranked_.reserve(kRankedAtFirst + 1);
+  ranked_.reserve(kInitiallyRanked + 1);
   for (const auto& e : order_->all_) {
     const Ranked r{cost_of(e), e.index};
-    if (ranked_.size() == kRankedAtFirst && !(r < ranked_.back())) continue;
+    if (ranked_.size() == kInitiallyRanked && !(r < ranked_.back())) continue;
     ranked_.insert(std::upper_bound(ranked_.begin(), ranked_.end(), r), r);
-    if (ranked_.size() > kRankedAtFirst) ranked_.pop_back();
+    if (ranked_.size() > kInitiallyRanked) ranked_.pop_back();
   }
   complete_ = ranked_.size() == order_->all_.size();
 }
--- a/src/routing/endpoint_order.h
+++ b/src/routing/endpoint_order.h
@@ -48,7 +48,7 @@
     void rank_all();
     double cost_of(const Endpoint& endpoint) const;
 
-    static constexpr std::size_t kRankedAtFirst = 8;  // more are seldom tried
+    static constexpr std::size_t kInitiallyRanked = 8;  // more are seldom tried
     const EndpointOrder* order_;
     std::uint64_t object_;
     bool complete_ = false;
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -18,13 +18,13 @@
 void EndpointTable::begin_list(bool complete) {
   list_complete_ = complete;
   if (!complete) return;
-  for (auto& endpoint : endpoints_) endpoint.named = false;
+  for (auto& endpoint : endpoints_) endpoint.in_current_list = false;
 }
 
 EndpointTable::Change EndpointTable::update(int index, const Listing& listing) {
   auto& endpoint = find_or_add(index);
-  const bool first = !endpoint.seen;
-  const bool returns = endpoint.seen && !endpoint.listed;
+  const bool first = !endpoint.ever_listed;
+  const bool returns = endpoint.ever_listed && !endpoint.listed;
   endpoint.hash = listing.hash;
   endpoint.location = listing.location;
   endpoint.cell = listing.cell;
@@ -34,14 +34,14 @@
   endpoint.listed = listing.state != EndpointState::gone;
   changed_.push_back(index);
   if (!endpoint.listed) return Change::gone;
-  endpoint.seen = true;
-  endpoint.named = true;
+  endpoint.ever_listed = true;
+  endpoint.in_current_list = true;
   if (first) {
-    constexpr double kLeastFillsFloor = 0.05;  // where all routers share a parent or the origin
+    constexpr double kMinSharedFillFloor = 0.05;  // where all routers share a parent or the origin
     const bool is_cache = endpoint.role == Role::cache;
-    const int routers = is_cache ? context_.placement.routers_here : context_.placement.routers;
+    const int routers = is_cache ? context_.placement.routers_in_location : context_.placement.routers;
     endpoint.attempts.divide_among(routers);
-    endpoint.fills.divide_among(routers, is_cache ? 1 : kLeastFillsFloor);
+    endpoint.fills.divide_among(routers, is_cache ? 1 : kMinSharedFillFloor);
   }
   return returns ? Change::returned : Change::known;
 }
@@ -50,7 +50,7 @@
   if (list_complete_) {
     for (int index = 0; index < size(); ++index) {
       auto& endpoint = (*this)[index];
-      if (!endpoint.listed || endpoint.named) continue;
+      if (!endpoint.listed || endpoint.in_current_list) continue;
       endpoint.listed = false;
       changed_.push_back(index);
     }
@@ -70,10 +70,10 @@
     order_[role].add(index, endpoint.hash, endpoint.weight);
   else
     order_[role].remove(index);
-  if (endpoint.counted) --ready_here_[static_cast<std::size_t>(endpoint.counted_as)];
+  if (endpoint.counted) --ready_count_[static_cast<std::size_t>(endpoint.counted_as)];
   endpoint.counted = here && endpoint.ready;
   endpoint.counted_as = endpoint.role;
-  if (endpoint.counted) ++ready_here_[role];
+  if (endpoint.counted) ++ready_count_[role];
 }
 
 EndpointOrder::Ranking EndpointTable::ranked(Role role, std::uint64_t object) const {
--- a/src/routing/endpoint_table.h
+++ b/src/routing/endpoint_table.h
@@ -55,7 +55,7 @@
   /// The origin with the lowest index, -1 for none.
   int first_origin() const;
   /// How many of a role are ready here.
-  int ready_here(Role role) const { return ready_here_[static_cast<std::size_t>(role)]; }
+  int ready_count(Role role) const { return ready_count_[static_cast<std::size_t>(role)]; }
 
  private:
   Role role_of(int kind) const;
@@ -64,7 +64,7 @@
   const PolicyContext& context_;
   std::vector<Endpoint> endpoints_;
   std::array<EndpointOrder, kRoles> order_;  // by role: those that an attempt may go to
-  std::array<int, kRoles> ready_here_{};     // of these, the ready ones
+  std::array<int, kRoles> ready_count_{};    // of these, the ready ones
   bool list_complete_ = false;               // the list that is being read
   std::vector<int> changed_;                 // endpoints that it has named so far
 };
--- a/src/routing/freshness.h
+++ b/src/routing/freshness.h
@@ -8,9 +8,9 @@
 
 /// What bounds the age of a copy.
 struct FreshnessBounds {
-  Seconds class_max_age = 0;    ///< of the request's class; 0: no limit
-  Seconds copies_since = 0;     ///< copies made before are purged; 0: none
-  Seconds oldest_anywhere = 0;  ///< no older copy of any object will do; 0: no limit
+  Seconds class_max_age = 0;  ///< of the request's class; 0: no limit
+  Seconds valid_since = 0;    ///< copies made before are purged; 0: none
+  Seconds max_copy_age = 0;   ///< no older copy of any object will do; 0: no limit
 };
 
 /// The oldest copy that will do: 0 for the class's own limit, never 0 where a purge covers it. It goes with
--- a/src/routing/outcome_evaluation.cpp
+++ b/src/routing/outcome_evaluation.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kOwnTimeMargin = 1.2;  // a known sending time, with the network's part
+constexpr double kSendingMargin = 1.2;  // a known sending time, with the network's part
 
 }  // namespace
 
@@ -60,9 +60,9 @@
   if (proves_endpoint_alive(e.report.outcome)) parts_.outliers.record_answer(e.attempt.endpoint);
   if (!e.has_source || fill == FillOutcome::source_unreachable || fill == FillOutcome::no_fill_capacity)
     return;
-  const bool source_spoke =
+  const bool source_answered =
       e.report.outcome == AttemptOutcome::served ? !e.hit : fill >= FillOutcome::source_rejected;
-  if (source_spoke) parts_.outliers.record_answer(e.attempt.source);
+  if (source_answered) parts_.outliers.record_answer(e.attempt.source);
 }
 
 // ---- served ----------------------------------------------------------------------------------------------
@@ -73,7 +73,7 @@
   const bool is_cache = e.endpoint.role == Role::cache;
   parts_.slow_start.record_served(
       e.endpoint, is_cache ? parts_.service_times.mean_work(e.request.request_class) : e.work);
-  judge_lateness(e);
+  estimate_lateness(e);
   record_times(e);
   record_limits(e);
   record_origin(e);
@@ -91,9 +91,9 @@
   parts_.outliers.record_success(e.attempt.endpoint);
 }
 
-void OutcomeEvaluator::judge_lateness(Evidence& e) const {
+void OutcomeEvaluator::estimate_lateness(Evidence& e) const {
   // With neither sizes nor loads told, a late answer may be a big object's: it speaks less of congestion.
-  constexpr double kDoubtful = 0.8;
+  constexpr double kUncertainLateness = 0.8;
   const Seconds took = e.report.took;
   const Seconds sending = e.report.sending;
   const Seconds objective = e.request_class.latency_objective;
@@ -101,18 +101,19 @@
   // Past a known own time a wait is a queue: a quarter of the objective ends fast growth, twice the objective
   // is late.
   const Seconds stretch = e.request_class.latency_objective_stretch * e.work;
-  const Seconds allowance = sending > 0 ? kOwnTimeMargin * e.work + objective : stretch;
-  if (took > objective + std::min(allowance, stretch)) e.lateness = size_or_load_known ? 1 : kDoubtful;
-  if (sending > 0 && took - kOwnTimeMargin * sending < objective / 4)
+  const Seconds allowance = sending > 0 ? kSendingMargin * e.work + objective : stretch;
+  if (took > objective + std::min(allowance, stretch))
+    e.lateness = size_or_load_known ? 1 : kUncertainLateness;
+  if (sending > 0 && took - kSendingMargin * sending < objective / 4)
     e.queueing = ConcurrencyLimit::Queueing::none;
 }
 
 // No queue is to be expected there.
-bool OutcomeEvaluator::quiet(const Endpoint& endpoint) const {
-  constexpr double kQuietLoad = 0.7;
-  constexpr double kQuietInFlight = 3;
-  return endpoint.reported_load >= 0 ? endpoint.reported_load < kQuietLoad
-                                     : endpoint.attempts.in_flight() < kQuietInFlight;
+bool OutcomeEvaluator::lightly_loaded(const Endpoint& endpoint) const {
+  constexpr double kLightLoad = 0.7;
+  constexpr double kLightInFlight = 3;
+  return endpoint.reported_load >= 0 ? endpoint.reported_load < kLightLoad
+                                     : endpoint.attempts.in_flight() < kLightInFlight;
 }
 
 void OutcomeEvaluator::record_times(const Evidence& e) {
@@ -120,17 +121,19 @@
   if (e.request.size_from_client || e.report.sending > 0) return;
   if (e.hit) {
     const auto source =
-        e.endpoint.reported_load >= 0 ? QuietMean::Evidence::reported : QuietMean::Evidence::guessed;
-    parts_.service_times.record_sending(e.request.request_class, e.report.took, quiet(e.endpoint), source);
+        e.endpoint.reported_load >= 0 ? UnqueuedMean::Evidence::reported : UnqueuedMean::Evidence::inferred;
+    parts_.service_times.record_sending(e.request.request_class, e.report.took, lightly_loaded(e.endpoint),
+                                        source);
   }
-  if (!e.request_class.uncacheable && quiet(e.endpoint)) estimate_size(e);
+  if (!e.request_class.uncacheable && lightly_loaded(e.endpoint)) estimate_size(e);
 }
 
-// With no sizes told, what a quiet cache took past the wait for its source stands for the size, for the parts
-// to come: else one of ten big objects looks late on a quiet link, and limits stay at their floors.
+// With no sizes told, what a lightly_loaded cache took past the wait for its source stands for the size, for
+// the parts to come: else one of ten big objects looks late on a lightly_loaded link, and limits stay at
+// their floors.
 void OutcomeEvaluator::estimate_size(const Evidence& e) {
-  const bool link_is_quiet = parts_.fills.link.late_share() < ConcurrencyLimit::kTooManyLate / 2;
-  if (!e.hit && (e.report.waited <= 0 || !link_is_quiet)) return;
+  const bool link_is_uncongested = parts_.fills.link.late_share() < ConcurrencyLimit::kMaxLateShare / 2;
+  if (!e.hit && (e.report.waited <= 0 || !link_is_uncongested)) return;
   auto& known = parts_.counters.at(e.request.object, parts_.context.now).kbytes;
   const auto kbytes =
       static_cast<float>((e.report.took - e.report.waited) * parts_.context.fills.client_rate);
@@ -176,7 +179,7 @@
   if (e.request_class.in_parts && e.report.fill != FillOutcome::from_origin && found)
     counter.count = std::max<float>(counter.count, 2 * kForwardingThreshold);
   if (e.endpoint.role != Role::cache || e.request_class.uncacheable) return;
-  if (!e.hit && !e.request.keep_fill) return;
+  if (!e.hit && !e.request.cache_fill) return;
   auto& copy = parts_.counters.at(e.request.copy, now);
   copy.cache = e.attempt.endpoint;
   copy.cached_at = now;
@@ -185,7 +188,7 @@
 // ---- failed ----------------------------------------------------------------------------------------------
 
 // The request's time was used up, so that the end says little.
-bool OutcomeEvaluator::used_up_its_time(const Evidence& e) const {
+bool OutcomeEvaluator::ended_at_deadline(const Evidence& e) const {
   constexpr Seconds kMargin = 0.02;
   return e.report.outcome == AttemptOutcome::timed_out && parts_.context.now > e.request.expires - kMargin;
 }
@@ -195,7 +198,7 @@
   const auto outcome = e.report.outcome;
   const auto fill = e.report.fill;
   reduce_origin(e);
-  if (fill >= FillOutcome::source_rejected) return blame_source(e);
+  if (fill >= FillOutcome::source_rejected) return record_source_failure(e);
   // The cache had just answered a probe; where nothing is told, its fill's error is the source's.
   if (outcome == AttemptOutcome::error && fill == FillOutcome::none && e.request.cache_probed &&
       e.has_source) {
@@ -203,12 +206,12 @@
     e.attempt.endpoint_failed = false;
     return parts_.outliers.record_failure(e.attempt.source, OutlierDetector::Severity::soft);
   }
-  if (outcome == AttemptOutcome::not_cached) return blame_missing_copy(e);
-  if (outcome == AttemptOutcome::rejected) return blame_rejection(e);
-  if (used_up_its_time(e)) {
+  if (outcome == AttemptOutcome::not_cached) return record_missing_copy(e);
+  if (outcome == AttemptOutcome::rejected) return record_rejection(e);
+  if (ended_at_deadline(e)) {
     const Seconds now = parts_.context.now;
-    const bool over_link = e.attempt.may_fill || e.endpoint.role != Role::cache;
-    (over_link ? parts_.fills.link : e.endpoint.attempts).record_lost(now);
+    const bool uses_link = e.attempt.may_fill || e.endpoint.role != Role::cache;
+    (uses_link ? parts_.fills.link : e.endpoint.attempts).record_lost(now);
     if (e.attempt.may_fill) parts_.endpoints[e.attempt.source].fills.record_lost(now);
     return;
   }
@@ -228,14 +231,15 @@
   const int origin = e.endpoint.role == Role::origin ? e.attempt.endpoint : e.attempt.origin;
   if (origin < 0) return;
   auto& fills = parts_.endpoints[origin].fills;
-  if (used_up_its_time(e)) return fills.record_lost(parts_.context.now);
-  const bool untold = e.attempt.origin >= 0 && e.report.fill == FillOutcome::none &&
-                      e.report.outcome != AttemptOutcome::not_cached;
-  if (e.report.fill == FillOutcome::origin_failed || e.report.outcome == AttemptOutcome::rejected || untold)
+  if (ended_at_deadline(e)) return fills.record_lost(parts_.context.now);
+  const bool unreported = e.attempt.origin >= 0 && e.report.fill == FillOutcome::none &&
+                          e.report.outcome != AttemptOutcome::not_cached;
+  if (e.report.fill == FillOutcome::origin_failed || e.report.outcome == AttemptOutcome::rejected ||
+      unreported)
     fills.reduce(parts_.context.now);
 }
 
-void OutcomeEvaluator::blame_source(const Evidence& e) {
+void OutcomeEvaluator::record_source_failure(const Evidence& e) {
   const Seconds now = parts_.context.now;
   const auto fill = e.report.fill;
   e.attempt.source_failed = e.has_source && fill != FillOutcome::no_fill_capacity;
@@ -248,7 +252,7 @@
   if (fill == FillOutcome::no_fill_capacity) e.endpoint.fills.reduce(now);
 }
 
-void OutcomeEvaluator::blame_missing_copy(const Evidence& e) {
+void OutcomeEvaluator::record_missing_copy(const Evidence& e) {
   if (!e.attempt.cached_only) {
     e.attempt.source_failed = false;
     e.attempt.endpoint_failed = e.has_source;
@@ -256,7 +260,7 @@
   }
   const auto source_role = parts_.endpoints[e.attempt.source].role;
   if (source_role == Role::parent) {
-    e.request.parents_lack_it = true;
+    e.request.missing_at_parent = true;
     e.request.cache_probed = true;
   }
   e.attempt.source_failed = source_role == Role::cache;
@@ -264,7 +268,7 @@
   forget_copy(e.request, e.attempt.source);
 }
 
-void OutcomeEvaluator::blame_rejection(const Evidence& e) {
+void OutcomeEvaluator::record_rejection(const Evidence& e) {
   const Seconds now = parts_.context.now;
   if (e.has_source && parts_.context.fills.reporting != FillReporting::all) {
     parts_.endpoints[e.attempt.source].fills.reduce(now);
--- a/src/routing/outcome_evaluation.h
+++ b/src/routing/outcome_evaluation.h
@@ -34,7 +34,7 @@
     OutlierDetector& outliers;     ///< health of endpoints
     SlowStart& slow_start;         ///< cold endpoints
     ServiceTimes& service_times;   ///< how long answers take
-    FillKnowledge& fills;          ///< the link, and how many attempts miss
+    FillEstimates& fills;          ///< the link, and how many attempts miss
     ReferenceCounters& counters;   ///< sizes and copies
     std::mt19937& random;          ///< phases of endpoints that start
   };
@@ -59,7 +59,7 @@
     ConcurrencyLimit::Queueing queueing = ConcurrencyLimit::Queueing::possible;
   };
   Evidence evidence_of(RequestState& request, AttemptState& attempt, const AttemptReport& report);
-  void judge_lateness(Evidence& evidence) const;
+  void estimate_lateness(Evidence& evidence) const;
   void record_alive(const Evidence& evidence);
   void record_served(Evidence& evidence);
   void record_recovery(const Evidence& evidence);
@@ -69,14 +69,14 @@
   void record_origin(const Evidence& evidence);
   void record_source(const Evidence& evidence);
   void record_copy(const Evidence& evidence);
-  bool quiet(const Endpoint& endpoint) const;
+  bool lightly_loaded(const Endpoint& endpoint) const;
 
   void record_failed(const Evidence& evidence);
   void reduce_origin(const Evidence& evidence);
-  void blame_source(const Evidence& evidence);
-  void blame_missing_copy(const Evidence& evidence);
-  void blame_rejection(const Evidence& evidence);
-  bool used_up_its_time(const Evidence& evidence) const;
+  void record_source_failure(const Evidence& evidence);
+  void record_missing_copy(const Evidence& evidence);
+  void record_rejection(const Evidence& evidence);
+  bool ended_at_deadline(const Evidence& evidence) const;
   void mark_unreachable(Endpoint& endpoint);
   void forget_copy(const RequestState& request, int cache);
 
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr double kFailureGain = 0.1;      // of the failure rate: about ten attempts
-constexpr double kTooManyFailures = 0.3;  // rate above which a soft failure ejects
+constexpr double kFailureGain = 0.1;     // of the failure rate: about ten attempts
+constexpr double kMaxFailureRate = 0.3;  // rate above which a soft failure ejects
 
 }  // namespace
 
@@ -29,7 +29,7 @@
   auto& endpoint = endpoints_[index];
   endpoint.failure_rate += (1 - endpoint.failure_rate) * kFailureGain;
   const bool hard = severity == Severity::hard;
-  const bool too_many = endpoint.failure_rate > kTooManyFailures || endpoint.trials_left > 0;
+  const bool too_many = endpoint.failure_rate > kMaxFailureRate || endpoint.trials_left > 0;
   if ((!hard && !too_many) || ejected(endpoint)) return;
   ++(hard ? ejections_.unreachable : ejections_.failing);
   eject(endpoint);
@@ -44,23 +44,23 @@
 }
 
 void OutlierDetector::record_answer(int index) {
-  constexpr Seconds kLongestGap = 1;
+  constexpr Seconds kMaxInterval = 1;
   constexpr double kGain = 0.1;
   auto& endpoint = endpoints_[index];
-  if (endpoint.heard_at > 0) {
-    const Seconds waiting_since = std::max(endpoint.heard_at, endpoint.busy_since);
-    endpoint.answer_gap +=
-        (std::min(kLongestGap, context_.now - waiting_since) - endpoint.answer_gap) * kGain;
+  if (endpoint.last_answer_at > 0) {
+    const Seconds waiting_since = std::max(endpoint.last_answer_at, endpoint.busy_since);
+    endpoint.mean_answer_interval +=
+        (std::min(kMaxInterval, context_.now - waiting_since) - endpoint.mean_answer_interval) * kGain;
   }
-  endpoint.heard_at = context_.now;
+  endpoint.last_answer_at = context_.now;
 }
 
 bool OutlierDetector::silent(const Endpoint& endpoint, Seconds sent_at) const {
-  constexpr double kGaps = 8;
+  constexpr double kIntervals = 8;
   constexpr Seconds kShortest = 0.6;
   constexpr Seconds kLongest = 5;
-  const Seconds since = std::max({endpoint.heard_at, endpoint.busy_since, sent_at});
-  return context_.now - since > std::clamp(kGaps * endpoint.answer_gap, kShortest, kLongest);
+  const Seconds since = std::max({endpoint.last_answer_at, endpoint.busy_since, sent_at});
+  return context_.now - since > std::clamp(kIntervals * endpoint.mean_answer_interval, kShortest, kLongest);
 }
 
 int OutlierDetector::silent_endpoint(const AttemptState& attempt) const {
--- a/src/routing/policy.cpp
+++ b/src/routing/policy.cpp
@@ -51,15 +51,15 @@
   void set_slow_start(const SlowStartSettings& caches, const SlowStartSettings& parents) override {
     slow_start_.set(caches, parents);
   }
-  void set_weight_meaning(bool weights_are_transfers) override {
+  void set_weights_are_transfers(bool weights_are_transfers) override {
     context_.weights_are_transfers = weights_are_transfers;
   }
-  void set_client_habits(const ClientSettings& clients) override { context_.clients = clients; }
+  void set_client_settings(const ClientSettings& clients) override { context_.clients = clients; }
   void set_discovery_polling(bool must_poll) override { context_.polls_discovery = must_poll; }
 
-  WarmStartSnapshot snapshot() const override { return take_snapshot(learnt_); }
+  WarmStartSnapshot snapshot() const override { return take_snapshot(warm_start_state_); }
   void restore_snapshot(const WarmStartSnapshot& snapshot) override {
-    routing::restore_snapshot(learnt_, snapshot, random_);
+    routing::restore_snapshot(warm_start_state_, snapshot, random_);
   }
   Ejections ejections() const override { return outliers_.ejections(); }
 
@@ -76,8 +76,8 @@
   void load_reported(int endpoint, double busy) override;
   void attempt_ended(int request, int attempt, AttemptOutcome outcome, FillOutcome fill, Seconds took,
                      Seconds waited, Seconds sending, bool request_over) override;
-  void copies_made_since(int request, Seconds made) override { at(request).copies_since = made; }
-  void copies_no_older_than(Seconds age) override { oldest_copy_ = age; }
+  void set_valid_since(int request, Seconds made) override { at(request).valid_since = made; }
+  void set_max_copy_age(Seconds age) override { max_copy_age_ = age; }
   void timer_fired() override;
 
   std::optional<Decision> next() override;
@@ -109,21 +109,21 @@
   SlowStart slow_start_;
   ServiceTimes service_times_;
   ReferenceCounters counters_;
-  FillKnowledge fills_;
+  FillEstimates fills_;
   std::vector<RequestState> requests_;
   AttemptAccounting accounting_;
   RouteSelector routes_;
   OutcomeEvaluator outcomes_;
   AdmissionQueue queue_;
   StuckAttempts stuck_attempts_;
-  LearntState learnt_;
+  WarmStartState warm_start_state_;
   std::vector<Decision> decisions_;
   std::size_t next_decision_ = 0;
-  Seconds wakes_at_ = kNever;  // the host was asked to call then
+  Seconds wake_up_at_ = kNever;  // the host was asked to call then
   Seconds tick_at_ = 0;
   Seconds halve_at_ = 0;
   Seconds poll_at_ = 0;
-  Seconds oldest_copy_ = 0;  // that will do for any object; 0: no limit
+  Seconds max_copy_age_ = 0;  // that will do for any object; 0: no limit
 };
 
 Policy::Policy(std::uint32_t seed)
@@ -137,13 +137,13 @@
       outcomes_({context_, endpoints_, outliers_, slow_start_, service_times_, fills_, counters_, random_}),
       queue_(context_, requests_, service_times_),
       stuck_attempts_({context_, endpoints_, outliers_, service_times_, requests_}),
-      learnt_{context_, endpoints_, slow_start_, service_times_, fills_, counters_} {}
+      warm_start_state_{context_, endpoints_, slow_start_, service_times_, fills_, counters_} {}
 
 // ---- settings and endpoints ------------------------------------------------------------------------------
 
 void Policy::set_placement(const RouterPlacement& placement) {
   context_.placement = placement;
-  fills_.link.divide_among(placement.routers_here);
+  fills_.link.divide_among(placement.routers_in_location);
 }
 
 void Policy::add_request_class(const RequestClass& request_class) {
@@ -153,21 +153,20 @@
 
 void Policy::update_endpoint(int endpoint, std::uint64_t hash, int location, int kind, int cell,
                              EndpointState state, double weight, Seconds started) {
-  constexpr Seconds kClockStep = 1e-3;
+  constexpr Seconds kStartTolerance = 1e-3;
   const auto change = endpoints_.update(endpoint, {hash, location, kind, cell, state, weight});
   if (change == EndpointTable::Change::gone) return;
   auto& updated = endpoints_[endpoint];
-  const bool start_is_told = started > updated.started + kClockStep && started > 0;
+  const bool new_start = started > updated.started + kStartTolerance && started > 0;
   // Back from being gone with no new start told: taken as fresh.
   const bool returned = change == EndpointTable::Change::returned && !slow_start_.is_cold(updated);
-  if (!start_is_told && !returned) return;
-  slow_start_.restart(updated, start_is_told ? started : context_.now, service_times_.mean_request(),
-                      random_);
+  if (!new_start && !returned) return;
+  slow_start_.restart(updated, new_start ? started : context_.now, service_times_.mean_request(), random_);
 }
 
 void Policy::endpoint_list_failed() {
-  constexpr Seconds kPollAgain = 1;
-  poll_at_ = context_.now + kPollAgain;
+  constexpr Seconds kPollRetryDelay = 1;
+  poll_at_ = context_.now + kPollRetryDelay;
 }
 
 void Policy::load_reported(int endpoint, double busy) {
@@ -203,7 +202,7 @@
     counter.count_retry();
   else if (part == 0)
     counter.count += 1;
-  request.keep_fill = counter.count > kForwardingThreshold;
+  request.cache_fill = counter.count > kForwardingThreshold;
 }
 
 void Policy::set_represented_requests(int request, double in_flight, double requests) {
@@ -228,8 +227,8 @@
 void Policy::shed(int index, ShedReason reason) {
   auto& request = at(index);
   expect_retry(request);
-  const bool unrun = may_reject(request, class_of(request));
-  decisions_.push_back({.kind = unrun ? Decision::Kind::reject : Decision::Kind::fail,
+  const bool never_ran = may_reject(request, class_of(request));
+  decisions_.push_back({.kind = never_ran ? Decision::Kind::reject : Decision::Kind::fail,
                         .request = index,
                         .time = retry_after(context_.clients),
                         .reason = reason});
@@ -239,7 +238,7 @@
 // ---- decisions -------------------------------------------------------------------------------------------
 
 ShedReason Policy::reason_to_shed(const RequestState& request) const {
-  if (context_.now > request.expires - kShortestAttempt) return ShedReason::deadline_exceeded;
+  if (context_.now > request.expires - kMinAttemptDuration) return ShedReason::deadline_exceeded;
   if (static_cast<int>(request.attempts.size()) >= context_.retries.max_attempts)
     return ShedReason::attempts_used;
   if (!may_retry(request, class_of(request), context_.now)) return ShedReason::not_idempotent;
@@ -271,8 +270,8 @@
 // is mostly the location's later, and its copy stays at the rank that leaves first. A probe leaves what it
 // finds as it is.
 int Policy::retention_rank(const RequestState& request, const Route& route) const {
-  if (request.keep_fill) return kMiddleRank;
-  return context_.placement.routers_here > 1 && route.source != route.endpoint ? kLowestRank : 0;
+  if (request.cache_fill) return kMiddleRank;
+  return context_.placement.routers_in_location > 1 && route.source != route.endpoint ? kLowestRank : 0;
 }
 
 void Policy::forward(int index, const Route& route) {
@@ -293,7 +292,7 @@
     // After a failure, no attempt waits for a fill that may be lost.
     decision.join_fill = context_.fills.coalesces && std::ranges::none_of(request.attempts, failed);
     decision.max_age =
-        copy_age_limit({request_class.max_age, request.copies_since, oldest_copy_}, context_.now);
+        copy_age_limit({request_class.max_age, request.valid_since, max_copy_age_}, context_.now);
   }
   // Prevents an attempt that waits for its connection until those that drop repeats have forgotten the one
   // before it.
@@ -318,8 +317,9 @@
     ended.endpoint_failed = ended.endpoint_failed && !request_class.uncacheable;
     return queue_.request_decision_after(request, pause_after_rejection(fill, state.rejections++));
   }
-  const bool at_once = outcome == AttemptOutcome::unreachable || outcome == AttemptOutcome::connection_broken;
-  if (at_once && ++state.immediate_failures > 1) {
+  const bool failed_at_once =
+      outcome == AttemptOutcome::unreachable || outcome == AttemptOutcome::connection_broken;
+  if (failed_at_once && ++state.immediate_failures > 1) {
     const int attempts_left = context_.retries.max_attempts - static_cast<int>(state.attempts.size());
     return queue_.request_decision_after(
         request, pause_after_immediate_failure(state.expires - context_.now, attempts_left));
@@ -330,21 +330,21 @@
 // ---- the host's pulls ------------------------------------------------------------------------------------
 
 void Policy::timer_fired() {
-  constexpr Seconds kEarly = 1e-6;
-  if (context_.now >= wakes_at_ - kEarly) wakes_at_ = kNever;
+  constexpr Seconds kTimerTolerance = 1e-6;
+  if (context_.now >= wake_up_at_ - kTimerTolerance) wake_up_at_ = kNever;
 }
 
 void Policy::tick() {
-  constexpr Seconds kTick = 0.05;   // well under any patience
-  constexpr Seconds kHalving = 30;  // the design's
-  tick_at_ = context_.now + kTick;
+  constexpr Seconds kTickInterval = 0.05;   // well under any patience
+  constexpr Seconds kHalvingInterval = 30;  // the design's
+  tick_at_ = context_.now + kTickInterval;
   if (context_.now >= halve_at_) {
     if (halve_at_ > 0) counters_.halve();
-    halve_at_ = context_.now + kHalving;
+    halve_at_ = context_.now + kHalvingInterval;
   }
   stuck_attempts_.eject_silent_endpoints();
   if (context_.retries.can_cancel) stuck_attempts_.cancel(decisions_);
-  slow_start_.update_warm_rates(kTick);
+  slow_start_.update_warm_rates(kTickInterval);
   // Once; again only after a failed call.
   if (!context_.polls_discovery || context_.now < poll_at_) return;
   poll_at_ = kNever;
@@ -364,8 +364,8 @@
   queue_.wake_due();
   for (const int index : queue_.take_ready()) decide(index);
   const Seconds next_due = std::min(tick_at_, queue_.next_due());
-  if (next_due < wakes_at_) {
-    wakes_at_ = next_due;
+  if (next_due < wake_up_at_) {
+    wake_up_at_ = next_due;
     decisions_.push_back({.kind = Decision::Kind::wake_up, .time = next_due});
   }
   return take_decision();
--- a/src/routing/policy.h
+++ b/src/routing/policy.h
@@ -35,9 +35,9 @@
   /// Of cold endpoints, by role.
   virtual void set_slow_start(const SlowStartSettings& caches, const SlowStartSettings& parents) = 0;
   /// Endpoints' weights are links, in transfers at a client's rate.
-  virtual void set_weight_meaning(bool weights_are_transfers) = 0;
+  virtual void set_weights_are_transfers(bool weights_are_transfers) = 0;
   /// May be set again.
-  virtual void set_client_habits(const ClientSettings& clients) = 0;
+  virtual void set_client_settings(const ClientSettings& clients) = 0;
   /// The endpoint list comes only when it is asked for.
   virtual void set_discovery_polling(bool must_poll) = 0;
   /// @}
@@ -81,9 +81,9 @@
                              Seconds waited, Seconds sending, bool request_over) = 0;
   /// Copies made before `made` are purged, for this request's object: told with the request and whenever it
   /// moves; 0 for none.
-  virtual void copies_made_since(int request, Seconds made) = 0;
+  virtual void set_valid_since(int request, Seconds made) = 0;
   /// No older copy of any object will do; 0 for no limit.
-  virtual void copies_no_older_than(Seconds age) = 0;
+  virtual void set_max_copy_age(Seconds age) = 0;
   /// A wake_up decision's time has come.
   virtual void timer_fired() = 0;
   /// @}
--- a/src/routing/reference_counter.cpp
+++ b/src/routing/reference_counter.cpp
@@ -21,14 +21,14 @@
 }
 
 void ReferenceCounters::Entry::expect_retry(Seconds now) {
-  constexpr int kMostExpected = 20;
-  expected_retries = std::min(expected_retries + 1, kMostExpected);
+  constexpr int kMaxExpected = 20;
+  expected_retries = std::min(expected_retries + 1, kMaxExpected);
   retry_expected_at = now;
 }
 
 bool ReferenceCounters::Entry::retry_expected(Seconds now) const {
-  constexpr Seconds kRetriesComeWithin = 2;
-  return expected_retries > 0 && now - retry_expected_at < kRetriesComeWithin;
+  constexpr Seconds kRetryWindow = 2;
+  return expected_retries > 0 && now - retry_expected_at < kRetryWindow;
 }
 
 void ReferenceCounters::Entry::count_retry() {
--- a/src/routing/reference_counter.h
+++ b/src/routing/reference_counter.h
@@ -19,7 +19,7 @@
 class ReferenceCounters {
  public:
   /// About as long as pooled caches keep what they had.
-  static constexpr Seconds kCachesKeep = 10;
+  static constexpr Seconds kCopyLifetime = 10;
 
   /// One object, or one part of it.
   struct Entry {
@@ -39,7 +39,7 @@
     /// It was: one less is expected.
     void count_retry();
     /// `cache` still has it, as far as caches keep things.
-    bool recently_cached(Seconds now) const { return cache >= 0 && now - cached_at < kCachesKeep; }
+    bool recently_cached(Seconds now) const { return cache >= 0 && now - cached_at < kCopyLifetime; }
   };
   /// The entry of an object, made anew where there is none: a full set gives up its lowest count, of equals
   /// the one longest unused. The reference stands until another object is asked for.
--- a/src/routing/request_state.h
+++ b/src/routing/request_state.h
@@ -30,9 +30,9 @@
 struct RequestState {
   bool open = false;                     ///< it waits for an answer
   bool awaits_decision = false;          ///< it is decided in this turn
-  bool keep_fill = false;                ///< its object's reference counter is above the forwarding threshold
+  bool cache_fill = false;               ///< its object's reference counter is above the forwarding threshold
   bool cache_probed = false;             ///< a cache was asked for what it holds
-  bool parents_lack_it = false;          ///< a parent that was asked only for what it holds had none
+  bool missing_at_parent = false;        ///< a parent that was asked only for what it holds had none
   bool had_error = false;                ///< an endpoint answered it with an error
   bool size_from_client = false;         ///< the client said how large it is
   int request_class = 0;                 ///< index among the classes
@@ -49,7 +49,7 @@
   Seconds expires = 0;                   ///< its deadline
   Seconds may_have_run_at = kNever;      ///< sending time of the first attempt that is not proved unrun
   int may_have_run_on = -1;              ///< its endpoint
-  Seconds copies_since = 0;              ///< copies made before are purged; 0 for none
+  Seconds valid_since = 0;               ///< copies made before are purged; 0 for none
   std::vector<AttemptState> attempts{};  ///< in the order of their sending
 };
 
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -60,17 +60,17 @@
 
 Seconds pause_after_rejection(FillOutcome fill, int earlier) {
   constexpr Seconds kFirst = 0.02;
-  constexpr Seconds kFirstOfOrigin = 0.5;  // an origin that failed takes longer to recover
-  constexpr int kMostDoublings = 4;
-  const Seconds first = fill == FillOutcome::origin_failed ? kFirstOfOrigin : kFirst;
-  return first * (1 << std::min(kMostDoublings, earlier));
+  constexpr Seconds kFirstAfterOriginFailure = 0.5;  // an origin that failed takes longer to recover
+  constexpr int kMaxDoublings = 4;
+  const Seconds first = fill == FillOutcome::origin_failed ? kFirstAfterOriginFailure : kFirst;
+  return first * (1 << std::min(kMaxDoublings, earlier));
 }
 
 Seconds pause_after_immediate_failure(Seconds time_left, int attempts_left) {
-  constexpr double kPartOfTimeLeft = 0.25;
-  constexpr Seconds kShortest = 0.02;
-  constexpr Seconds kLongest = 0.5;
-  return std::clamp(kPartOfTimeLeft * time_left / std::max(1, attempts_left), kShortest, kLongest);
+  constexpr double kShareOfTimeLeft = 0.25;
+  constexpr Seconds kMin = 0.02;
+  constexpr Seconds kMax = 0.5;
+  return std::clamp(kShareOfTimeLeft * time_left / std::max(1, attempts_left), kMin, kMax);
 }
 
 }  // namespace walkpaddle::routing
--- a/src/routing/route_selection.cpp
+++ b/src/routing/route_selection.cpp
@@ -59,16 +59,16 @@
 
   // In requests of mean work. Less would move hot objects about, more congest a cache.
   double fair_share(const Endpoint& cache) {
-    constexpr double kAlwaysFair = 8;
-    constexpr double kOverMean = 1.3;
-    constexpr double kLeastWeight = 1e-9;
-    if (cache.attempts.in_flight() + weight_ <= kAlwaysFair) return kAlwaysFair;
-    if (!totals_) totals_ = add_up();
-    return std::max(kAlwaysFair, kOverMean * (totals_->in_flight + 1) * cache.weight /
-                                     std::max(totals_->weight, kLeastWeight));
+    constexpr double kMinFairShare = 8;
+    constexpr double kMeanMultiple = 1.3;
+    constexpr double kMinWeight = 1e-9;
+    if (cache.attempts.in_flight() + weight_ <= kMinFairShare) return kMinFairShare;
+    if (!totals_) totals_ = sum_usable();
+    return std::max(kMinFairShare, kMeanMultiple * (totals_->in_flight + 1) * cache.weight /
+                                       std::max(totals_->weight, kMinWeight));
   }
 
-  Totals add_up() {
+  Totals sum_usable() {
     Totals totals;
     for (std::size_t place = 0; place < caches_.size(); ++place) {
       const auto& cache = parts_.endpoints[caches_.at(place)];
@@ -99,31 +99,32 @@
   const double weight = parts_.service_times.weight(request);
   const auto copy = known_copy(request);
   auto caches = parts_.endpoints.ranked(Role::cache, request.copy);
-  CacheCapacity takes(*this, request, caches);
+  CacheCapacity can_take(*this, request, caches);
   const double fill = weight * (request.cache_probed ? 1 : fills.cache_misses.mean());
 
   // Where answers tell nothing, a probe does: a hit, or nothing there and then a fill. A lookup names no
   // source: what its client's misses draw is the cache's own doing, and unseen.
   const bool probe = parts_.context.fills.reporting == FillReporting::none && !request.cache_probed;
   if (probe || request.represented_requests > 0)
-    if (const int cache = first_usable(caches, takes); cache >= 0) return {cache, cache, false};
+    if (const int cache = first_usable(caches, can_take); cache >= 0) return {cache, cache, false};
 
   const int cache = first_usable(caches, [&](int index) {
-    if (!takes(index)) return false;
+    if (!can_take(index)) return false;
     if (copy.recent && copy.cache == index) return true;
     return parts_.endpoints[index].fills.admits(fill, now) && fills.link.admits(fill, now);
   });
   if (cache >= 0)
-    if (const auto route = fill_through(request, cache, copy); route.source >= 0) return route;
+    if (const auto route = select_fill(request, cache, copy); route.source >= 0) return route;
   // No capacity for a fill: the cache that would hold the object is asked for what it holds, once. Prevents
   // hits that wait behind fills, whatever holds those up.
   if (!request.cache_probed)
-    if (const int held = first_usable(caches, takes); held >= 0) return {held, held, false};
-  return past_the_caches(request);
+    if (const int cache_to_probe = first_usable(caches, can_take); cache_to_probe >= 0)
+      return {cache_to_probe, cache_to_probe, false};
+  return select_without_cache(request);
 }
 
 bool RouteSelector::sibling_supplies(const RequestState& request, int cache, const KnownCopy& copy) const {
-  if (request.keep_fill || parts_.context.fills.siblings == SiblingFills::none) return false;
+  if (request.cache_fill || parts_.context.fills.siblings == SiblingFills::none) return false;
   if (!copy.recent || copy.cache == cache) return false;
   const auto& sibling = parts_.endpoints[copy.cache];
   return parts_.outliers.usable(sibling) && !failed_from(request, copy.cache) &&
@@ -131,7 +132,7 @@
 }
 
 // With the cache chosen, who supplies a miss; no source where nobody can.
-Route RouteSelector::fill_through(const RequestState& request, int cache, const KnownCopy& copy) const {
+Route RouteSelector::select_fill(const RequestState& request, int cache, const KnownCopy& copy) const {
   if (sibling_supplies(request, cache, copy)) return {cache, copy.cache, true};
   Route route{cache, select_source(request), false};
   if (route.source < 0) return route;
@@ -141,19 +142,19 @@
   const double weight = parts_.service_times.weight(request) * parts_.fills.parent_misses.mean();
   route.cached_only = parts_.endpoints[route.source].role == Role::parent && origin >= 0 &&
                       !parts_.endpoints[origin].fills.admits(weight, parts_.context.now);
-  if (route.cached_only && request.parents_lack_it) route.source = -1;
+  if (route.cached_only && request.missing_at_parent) route.source = -1;
   return route;
 }
 
 // No cache of the location can take it: straight to a parent. Never because the caches are merely full.
-Route RouteSelector::past_the_caches(const RequestState& request) const {
+Route RouteSelector::select_without_cache(const RequestState& request) const {
   const double work = parts_.service_times.cold_work(request.request_class);
   const double weight = parts_.service_times.weight(request);
   auto caches = parts_.endpoints.ranked(Role::cache, request.copy);
-  const auto left = [&](int index) {
+  const auto can_take = [&](int index) {
     return !failed_at(request, index) && parts_.slow_start.admits(parts_.endpoints[index], work);
   };
-  if (!parts_.context.roles.direct || first_usable(caches, left) >= 0 ||
+  if (!parts_.context.roles.direct || first_usable(caches, can_take) >= 0 ||
       !parts_.fills.link.admits(weight, parts_.context.now))
     return {};
   const int endpoint = select_source(request);
--- a/src/routing/route_selection.h
+++ b/src/routing/route_selection.h
@@ -22,11 +22,11 @@
 };
 
 /// What is known of misses, and of the link that fills come over.
-struct FillKnowledge {
+struct FillEstimates {
   ConcurrencyLimit link{
       {.initial = 8, .floor = 1.5}};  ///< this router's fills over the location's incoming link
-  QuietMean cache_misses{0.5};        ///< share of attempts at a cache that draw a fill
-  QuietMean parent_misses{0.5};       ///< share of fills that a parent fetches from the origin
+  UnqueuedMean cache_misses{0.5};     ///< share of attempts at a cache that draw a fill
+  UnqueuedMean parent_misses{0.5};    ///< share of fills that a parent fetches from the origin
 };
 
 /// Chooses the endpoint and the source of an attempt.
@@ -39,7 +39,7 @@
     const OutlierDetector& outliers;    ///< which of them are usable
     const SlowStart& slow_start;        ///< what cold ones may be sent
     const ServiceTimes& service_times;  ///< the weight of an attempt
-    const FillKnowledge& fills;         ///< whether the link has capacity
+    const FillEstimates& fills;         ///< whether the link has capacity
     ReferenceCounters& counters;        ///< which cache lately had an object
   };
   /// Keeps the references.
@@ -58,8 +58,8 @@
     int cache = -1;
     bool recent = false;
   };
-  Route fill_through(const RequestState& request, int cache, const KnownCopy& copy) const;
-  Route past_the_caches(const RequestState& request) const;
+  Route select_fill(const RequestState& request, int cache, const KnownCopy& copy) const;
+  Route select_without_cache(const RequestState& request) const;
   int select_source(const RequestState& request) const;
   KnownCopy known_copy(const RequestState& request) const;
   bool sibling_supplies(const RequestState& request, int cache, const KnownCopy& copy) const;
--- a/src/routing/service_time.cpp
+++ b/src/routing/service_time.cpp
@@ -13,30 +13,30 @@
 
 }  // namespace
 
-QuietMean QuietMean::restored(double mean, int samples, int unproved) {
-  QuietMean restored(mean);
-  restored.quiet_mean_ = mean;
+UnqueuedMean UnqueuedMean::restored(double mean, int samples, int unconfirmed) {
+  UnqueuedMean restored(mean);
+  restored.unqueued_mean_ = mean;
   restored.samples_ = samples;
-  restored.quiet_samples_ = samples;
-  restored.unproved_ = unproved;
+  restored.unqueued_samples_ = samples;
+  restored.unconfirmed_ = unconfirmed;
   return restored;
 }
 
-void QuietMean::add(double value, bool quiet, Evidence evidence) {
-  constexpr int kAveragedOver = 50;  // seconds of answers
-  constexpr int kEnoughReported = 2;
-  constexpr int kEnoughGuessed = 10;
-  unproved_ = std::max(0, unproved_ - 1);
-  if (quiet) {
-    ++quiet_samples_;
-    quiet_mean_ += (value - quiet_mean_) / std::min(quiet_samples_, kAveragedOver);
+void UnqueuedMean::add(double value, bool unqueued, Evidence evidence) {
+  constexpr int kSampleWindow = 50;  // seconds of answers
+  constexpr int kMinReportedSamples = 2;
+  constexpr int kMinInferredSamples = 10;
+  unconfirmed_ = std::max(0, unconfirmed_ - 1);
+  if (unqueued) {
+    ++unqueued_samples_;
+    unqueued_mean_ += (value - unqueued_mean_) / std::min(unqueued_samples_, kSampleWindow);
   }
-  if (quiet_samples_ >= (evidence == Evidence::reported ? kEnoughReported : kEnoughGuessed)) {
-    mean_ = quiet_mean_;
+  if (unqueued_samples_ >= (evidence == Evidence::reported ? kMinReportedSamples : kMinInferredSamples)) {
+    mean_ = unqueued_mean_;
     return;
   }
   ++samples_;
-  mean_ = mean_ + (value - mean_) / std::min(samples_, kAveragedOver);
+  mean_ = mean_ + (value - mean_) / std::min(samples_, kSampleWindow);
 }
 
 void ServiceTimes::add_class(const RequestClass& request_class) {
@@ -46,9 +46,9 @@
 }
 
 void ServiceTimes::restore(int request_class, double mean, int samples) {
-  constexpr int kMostSamples = 10;  // as many answers of the last start as a guess takes
+  constexpr int kMaxSamples = 10;  // as many answers of the last start as a guess takes
   sending_[index_of(request_class)] =
-      QuietMean::restored(mean, std::min(samples, kMostSamples), kMostSamples);
+      UnqueuedMean::restored(mean, std::min(samples, kMaxSamples), kMaxSamples);
 }
 
 Seconds ServiceTimes::mean_work(int request_class) const { return sending_[index_of(request_class)].mean(); }
@@ -60,15 +60,15 @@
 
 Seconds ServiceTimes::cold_work(int request_class) const {
   const auto& sending = sending_[index_of(request_class)];
-  if (sending.proved()) return sending.mean();
+  if (sending.confirmed()) return sending.mean();
   return std::max(sending.mean(), context_.classes[index_of(request_class)].latency_objective);
 }
 
 double ServiceTimes::weight(const RequestState& request) const {
-  constexpr double kLeast = 0.1;
-  constexpr double kMost = 5;
+  constexpr double kMin = 0.1;
+  constexpr double kMax = 5;
   if (request.represented_requests > 0) return request.represented_in_flight;
-  return std::clamp(work(request) / mean_request_, kLeast, kMost);
+  return std::clamp(work(request) / mean_request_, kMin, kMax);
 }
 
 const ServiceTimes::Excess& ServiceTimes::excess(const RequestState& request) const {
@@ -79,7 +79,7 @@
   return (request.kbytes > 0 ? work(request) : 0) + excess(request).mean;
 }
 
-Seconds ServiceTimes::patience(const RequestState& request) const {
+Seconds ServiceTimes::loss_timeout(const RequestState& request) const {
   constexpr double kDeviations = 8;
   return expected_latency(request) + kDeviations * excess(request).deviation;
 }
@@ -97,9 +97,9 @@
   excess.mean += (over - excess.mean) * kGain;
 }
 
-void ServiceTimes::record_sending(int request_class, Seconds sending, bool quiet,
-                                  QuietMean::Evidence evidence) {
-  sending_[index_of(request_class)].add(sending, quiet, evidence);
+void ServiceTimes::record_sending(int request_class, Seconds sending, bool unqueued,
+                                  UnqueuedMean::Evidence evidence) {
+  sending_[index_of(request_class)].add(sending, unqueued, evidence);
 }
 
 }  // namespace walkpaddle::routing
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -21,12 +21,12 @@
 }
 
 void SlowStart::restart(Endpoint& endpoint, Seconds started, Seconds mean_request, std::mt19937& random) {
-  constexpr double kFirstLimit = 2;  // grows with its answers
+  constexpr double kInitialLimit = 2;  // grows with its answers
   endpoint.started = started;
   if (!is_cold(endpoint)) return;
   if (!std::exchange(endpoint.may_be_cold, true)) starting_.push_back(endpoints_.index_of(endpoint));
-  endpoint.attempts.restart_at(kFirstLimit);
-  endpoint.fills.restart_at(kFirstLimit);
+  endpoint.attempts.restart_at(kInitialLimit);
+  endpoint.fills.restart_at(kInitialLimit);
   endpoint.budget_spent = mean_request * std::uniform_real_distribution<>(0, 1)(random);
   endpoint.spent_at = context_.now;
   OutlierDetector::forget_failures(endpoint);
@@ -36,15 +36,15 @@
   constexpr double kMargin = 0.6;  // with the burst of a quarter well under the stated multiple in any window
   constexpr Seconds kShortest = 1e-9;
   const bool is_parent = endpoint.role == Role::parent;
-  const double routers = is_parent ? context_.placement.routers : context_.placement.routers_here;
+  const double routers = is_parent ? context_.placement.routers : context_.placement.routers_in_location;
   // At least its part of one transfer: less than any machine's size.
   const double part = context_.weights_are_transfers
                           ? endpoint.weight / routers
                           : std::max(1 / routers, warm_[warm_index(endpoint.role)].rate);
   const auto& settings = settings_of(endpoint);
-  const double warmed =
+  const double warm_share =
       std::clamp((context_.now - endpoint.started) / std::max(settings.duration, kShortest), 0.0, 1.0);
-  const double share = settings.initial_share + (1 - settings.initial_share) * warmed;  // of its capacity
+  const double share = settings.initial_share + (1 - settings.initial_share) * warm_share;  // of its capacity
   return kMargin * settings.multiple * share * part;
 }
 
@@ -53,13 +53,13 @@
 }
 
 bool SlowStart::admits(const Endpoint& endpoint, Seconds work, double represented_requests) const {
-  constexpr double kBurst = 4;  // part of the settings' window that may come at once
+  constexpr double kWindowsPerBurst = 4;  // part of the settings' window that may come at once
   if (!is_cold(endpoint)) return true;
   work *= std::max(1.0, represented_requests);
   const double rate = budget_rate(endpoint);
   const double spent = spent_now(endpoint, rate);
   return (spent <= 0 && represented_requests <= 1) ||
-         spent + work <= rate * settings_of(endpoint).window / kBurst;
+         spent + work <= rate * settings_of(endpoint).window / kWindowsPerBurst;
 }
 
 void SlowStart::spend(Endpoint& endpoint, Seconds work) {
@@ -78,7 +78,7 @@
 }
 
 void SlowStart::update_warm_rates(Seconds elapsed) {
-  constexpr Seconds kAveragedOver = 4;  // smooths single heavy answers
+  constexpr Seconds kTimeConstant = 4;  // smooths single heavy answers
   std::erase_if(starting_, [&](int index) {
     auto& endpoint = endpoints_[index];
     endpoint.may_be_cold = is_cold(endpoint);
@@ -88,10 +88,10 @@
     auto& warm = warm_[warm_index(role)];
     const auto cold = std::ranges::count_if(
         starting_, [&](int index) { return endpoints_[index].counted && endpoints_[index].role == role; });
-    const auto warm_endpoints = endpoints_.ready_here(role) - cold;
+    const auto warm_endpoints = endpoints_.ready_count(role) - cold;
     // With none warm, what was known of them stands.
     if (warm_endpoints > 0)
-      warm.rate += (warm.served / warm_endpoints / elapsed - warm.rate) * elapsed / kAveragedOver;
+      warm.rate += (warm.served / warm_endpoints / elapsed - warm.rate) * elapsed / kTimeConstant;
     warm.served = 0;
   }
 }
--- a/src/routing/stuck_attempts.cpp
+++ b/src/routing/stuck_attempts.cpp
@@ -6,7 +6,7 @@
 namespace walkpaddle::routing {
 
 void StuckAttempts::eject_silent_endpoints() {
-  constexpr int kSeveral = 2;
+  constexpr int kMinWaiting = 2;
   std::map<int, int> waiting;  // attempts, by the endpoint that is silent
   for (const auto& request : parts_.requests) {
     if (request.represented_requests > 0) continue;  // what follows a lookup is never heard of
@@ -16,7 +16,7 @@
     }
   }
   for (const auto& [endpoint, attempts] : waiting)
-    if (attempts >= kSeveral) parts_.outliers.eject_silent(endpoint);
+    if (attempts >= kMinWaiting) parts_.outliers.eject_silent(endpoint);
 }
 
 bool StuckAttempts::may_cancel(const RequestState& request) const {
@@ -25,19 +25,19 @@
          request_class.idempotency == Idempotency::idempotent;
 }
 
-// Where an attempt waits in vain: an endpoint that is ejected, or one past all patience; -1 if it may still
-// be answered.
-int StuckAttempts::lost_at(const RequestState& request, const AttemptState& attempt) {
+// Where an attempt waits in vain: an endpoint that is ejected, or one past all loss_timeout; -1 if it may
+// still be answered.
+int StuckAttempts::lost_endpoint(const RequestState& request, const AttemptState& attempt) {
   const int silent = parts_.outliers.silent_endpoint(attempt);
   if (silent >= 0 && parts_.outliers.ejected(parts_.endpoints[silent])) return silent;
   // Prevents attempts that are lost one by one while their endpoint answers others from waiting for their
   // deadline.
   const Seconds now = parts_.context.now;
-  if (now - attempt.sent_at < parts_.service_times.patience(request)) return -1;
-  const int lost_at = attempt.may_fill ? attempt.source : attempt.endpoint;
-  auto& endpoint = parts_.endpoints[lost_at];
+  if (now - attempt.sent_at < parts_.service_times.loss_timeout(request)) return -1;
+  const int lost_endpoint = attempt.may_fill ? attempt.source : attempt.endpoint;
+  auto& endpoint = parts_.endpoints[lost_endpoint];
   (attempt.may_fill ? endpoint.fills : endpoint.attempts).record_lost(now);
-  return lost_at;
+  return lost_endpoint;
 }
 
 void StuckAttempts::cancel(std::vector<Decision>& decisions) {
@@ -47,7 +47,7 @@
     for (std::size_t n = 0; n < request.attempts.size(); ++n) {
       auto& attempt = request.attempts[n];
       if (!attempt.in_flight || attempt.being_cancelled) continue;
-      const int endpoint = lost_at(request, attempt);
+      const int endpoint = lost_endpoint(request, attempt);
       if (endpoint < 0) continue;
       attempt.being_cancelled = true;
       (endpoint == attempt.endpoint ? attempt.endpoint_failed : attempt.source_failed) = true;
--- a/src/routing/stuck_attempts.h
+++ b/src/routing/stuck_attempts.h
@@ -34,7 +34,7 @@
 
  private:
   bool may_cancel(const RequestState& request) const;
-  int lost_at(const RequestState& request, const AttemptState& attempt);
+  int lost_endpoint(const RequestState& request, const AttemptState& attempt);
 
   Parts parts_;
 };
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -80,9 +80,9 @@
 
 /// Where this router stands.
 struct RouterPlacement {
-  int location = 0;      ///< index among the settings' locations
-  int routers_here = 1;  ///< that serve this location
-  int routers = 1;       ///< in all
+  int location = 0;             ///< index among the settings' locations
+  int routers_in_location = 1;  ///< that serve this location
+  int routers = 1;              ///< in all
 };
 
 /// How the models of endpoints map to their roles; -1 for none.
@@ -116,8 +116,8 @@
 
 /// What clients do.
 struct ClientSettings {
-  bool marks_retries = false;       ///< a retry says that it is one
-  Seconds longest_retry_after = 0;  ///< 0: no pause is told
+  bool marks_retries = false;   ///< a retry says that it is one
+  Seconds max_retry_after = 0;  ///< 0: no pause is told
 };
 
 /// What one start of a router may leave to the next. Nothing of it loosens a rule.
--- a/src/routing/warm_start.cpp
+++ b/src/routing/warm_start.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr Seconds kLimitsHalve = 60;  // a minute halves what limits count
-constexpr Seconds kCountsHalve = 30;  // as the design halves them
-constexpr Seconds kOldestCounts = 300;
+constexpr Seconds kLimitHalfLife = 60;  // a minute halves what limits count
+constexpr Seconds kCountHalfLife = 30;  // as the design halves them
+constexpr Seconds kMaxCountAge = 300;
 constexpr int kMissSamples = 10;
 
-void restore_service_times(const LearntState& state, const WarmStartSnapshot& snapshot) {
+void restore_service_times(const WarmStartState& state, const WarmStartSnapshot& snapshot) {
   const auto& classes = state.context.classes;
   for (std::size_t n = 0; n < std::min(classes.size(), snapshot.service_times.size()); ++n) {
     const auto& [mean, answers] = snapshot.service_times[n];
@@ -22,16 +22,16 @@
   }
 }
 
-void restore_counts(const LearntState& state, const WarmStartSnapshot& snapshot) {
+void restore_counts(const WarmStartState& state, const WarmStartSnapshot& snapshot) {
   for (const auto& [object, count] : snapshot.objects) {
     auto& counter = state.counters.at(object, state.context.now).count;
-    if (snapshot.age < kOldestCounts)
-      counter = std::max<float>(counter, count * std::exp2(-snapshot.age / kCountsHalve));
+    if (snapshot.age < kMaxCountAge)
+      counter = std::max<float>(counter, count * std::exp2(-snapshot.age / kCountHalfLife));
   }
 }
 
-void restore_endpoints(const LearntState& state, const WarmStartSnapshot& snapshot, std::mt19937& random) {
-  const double kept = std::exp2(-snapshot.age / kLimitsHalve);
+void restore_endpoints(const WarmStartState& state, const WarmStartSnapshot& snapshot, std::mt19937& random) {
+  const double kept = std::exp2(-snapshot.age / kLimitHalfLife);
   for (const auto& limits : snapshot.limits) {
     auto& endpoint = state.endpoints.find_or_add(limits.endpoint);
     if (!endpoint.listed || state.slow_start.is_cold(endpoint)) continue;
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-WarmStartSnapshot take_snapshot(const LearntState& state) {
+WarmStartSnapshot take_snapshot(const WarmStartState& state) {
   WarmStartSnapshot snapshot;
   for (const auto& sending : state.service_times.by_class())
     snapshot.service_times.push_back({sending.mean(), sending.samples()});
@@ -56,7 +56,7 @@
     if (entry.count > kForwardingThreshold) snapshot.objects.push_back({entry.object, entry.count});
   const auto& misses = state.fills.cache_misses;
   snapshot.link_limit = state.fills.link.limit();
-  snapshot.miss_ratio = misses.quiet_samples() > 0 ? misses.quiet_mean() : -1;
+  snapshot.miss_ratio = misses.unqueued_samples() > 0 ? misses.unqueued_mean() : -1;
   for (int index = 0; index < state.endpoints.size(); ++index) {
     const auto& endpoint = state.endpoints[index];
     if (!endpoint.listed) continue;
@@ -68,12 +68,12 @@
   return snapshot;
 }
 
-void restore_snapshot(const LearntState& state, const WarmStartSnapshot& snapshot, std::mt19937& random) {
+void restore_snapshot(const WarmStartState& state, const WarmStartSnapshot& snapshot, std::mt19937& random) {
   restore_service_times(state, snapshot);
-  state.fills.link.raise_to(snapshot.link_limit * std::exp2(-snapshot.age / kLimitsHalve));
+  state.fills.link.raise_to(snapshot.link_limit * std::exp2(-snapshot.age / kLimitHalfLife));
   restore_counts(state, snapshot);
   if (snapshot.miss_ratio >= 0)
-    state.fills.cache_misses = QuietMean::restored(snapshot.miss_ratio, kMissSamples);
+    state.fills.cache_misses = UnqueuedMean::restored(snapshot.miss_ratio, kMissSamples);
   restore_endpoints(state, snapshot, random);
 }
 
--- a/src/server/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -126,7 +126,7 @@
   const auto health = health_status(phase);
   if (health == "READY") {
     const bool list_known = parts_.discovery.has_initial_list();
-    if (parts_.dispatcher.guard().may_say_ready(list_known, true) != guard::Invariant::none) return;
+    if (parts_.dispatcher.guard().may_report_ready(list_known, true) != guard::Invariant::none) return;
   }
   parts_.client_listener.set_alive_reply(health);
   parts_.log("phase", "{}, {} clients, {} txns open", to_string(phase), parts_.client_listener.count(),
--- a/src/server/metrics.cpp
+++ b/src/server/metrics.cpp
@@ -25,8 +25,8 @@
 }
 
 void append_violations(NamedCounters& all, const guard::Guard& guard) {
-  for (std::size_t n = 1; n < guard::kInvariants.size(); ++n)
-    all.emplace_back(fmt::format("violation_{}", guard::kInvariants[n]),
+  for (std::size_t n = 1; n < guard::kInvariantNames.size(); ++n)
+    all.emplace_back(fmt::format("violation_{}", guard::kInvariantNames[n]),
                      guard.violations(static_cast<guard::Invariant>(n)));
 }
 
@@ -45,8 +45,8 @@
                        {"ejected_unreached", ejections.unreachable},
                        {"ejected_failing", ejections.failing},
                        {"ejected_silent", ejections.silent}};
-  append_by_reason(all, "client_closed", guard::kClientCloses, counters.client_closes);
-  append_by_reason(all, "endpoint_closed", guard::kEndpointCloses, counters.endpoint_closes);
+  append_by_reason(all, "client_closed", guard::kClientCloseNames, counters.client_closes);
+  append_by_reason(all, "endpoint_closed", guard::kEndpointCloseNames, counters.endpoint_closes);
   append_violations(all, guard);
   return all;
 }
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -25,7 +25,7 @@
 guard::Guard::Report report_violations(Log& log) {
   return [&log](guard::Invariant broken, std::uint64_t request) {
     log("guard", "{:016x}: not done, it would break {}", request,
-        guard::kInvariants[static_cast<std::size_t>(broken)]);
+        guard::kInvariantNames[static_cast<std::size_t>(broken)]);
   };
 }
 
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -226,7 +226,7 @@
   in.txns[slot] = {id, 0, false, object, group};
   in.txn_of[id] = slot;
   in.brain->request_received(slot, rule, object, part, group, kbytes, expires, repeat);
-  in.brain->copies_made_since(slot, in.purges->valid_since(object, group, {}, clock_));
+  in.brain->set_valid_since(slot, in.purges->valid_since(object, group, {}, clock_));
 }
 
 void Host::purged(Instance& in, std::string_view object, std::uint32_t group, Seconds from) {
@@ -237,7 +237,7 @@
     in.purges->add_object(stable_hash(object), from);
   for (const auto& [id, slot] : in.txn_of) {
     const auto& t = in.txns[slot];
-    in.brain->copies_made_since(slot, in.purges->valid_since(t.object, t.group, {}, clock_));
+    in.brain->set_valid_since(slot, in.purges->valid_since(t.object, t.group, {}, clock_));
   }
 }
 
--- a/tests/cold_sum.cpp
+++ b/tests/cold_sum.cpp
@@ -102,8 +102,8 @@
     b.set_retries({4, true});
     b.set_fills({SiblingFills::none, true, FillReporting::all, kPace});
     b.set_slow_start(day_.cold, {0.1, 2, 20, 1});
-    b.set_weight_meaning(false);
-    b.set_client_habits({false, 0.5});
+    b.set_weights_are_transfers(false);
+    b.set_client_settings({false, 0.5});
     b.set_discovery_polling(false);
     b.clock(now_);
     b.begin_endpoint_list(true);
--- a/tests/hunt.cpp
+++ b/tests/hunt.cpp
@@ -32,7 +32,7 @@
 
 namespace {
 
-guard::AttemptFacts good_attempt(Seconds deadline) {
+guard::PlannedAttempt good_attempt(Seconds deadline) {
   return {.endpoint = EndpointState::ready, .source = EndpointState::ready, .deadline = deadline};
 }
 
@@ -51,7 +51,7 @@
   CHECK(guard.may_begin(once, good_attempt(9), 1) == Invariant::none);
   guard.attempt_ended(once, AttemptOutcome::connection_broken, 1);
   CHECK(guard.may_begin(once, good_attempt(8), 2) == Invariant::effect_once);
-  CHECK(guard.may_refuse(once) == Invariant::refusal_harmless);
+  CHECK(guard.may_reject(once) == Invariant::refusal_harmless);
 
   CHECK(guard.may_begin(keyed, good_attempt(9), 1) == Invariant::none);
   guard.attempt_ended(keyed, AttemptOutcome::timed_out, 1);
@@ -68,18 +68,18 @@
   attempt.connection_ended = false;
   free.purged(5);
   CHECK(guard.may_begin(free, attempt, 1) == Invariant::purge_kept);
-  attempt.copies_made_since = 5;
+  attempt.valid_since = 5;
   CHECK(guard.may_begin(free, attempt, 1) == Invariant::none);
-  CHECK(guard.may_call_current(free, "", "") == Invariant::copy_named);
-  CHECK(guard.may_call_current(free, "a", "a") == Invariant::none);
+  CHECK(guard.may_answer_not_modified(free, "", "") == Invariant::copy_named);
+  CHECK(guard.may_answer_not_modified(free, "a", "a") == Invariant::none);
   CHECK(guard.may_answer(free) == Invariant::none);
   CHECK(guard.may_answer(free) == Invariant::answer_once);
   once.client_left();
   CHECK(guard.may_begin(once, good_attempt(8), 2) == Invariant::attempt_after_leave);
-  CHECK(guard.may_end_answers(1, 0) == Invariant::close_idle_only);
-  CHECK(guard.may_end_answers(0, 0) == Invariant::none);
-  CHECK(guard.may_say_ready(false, true) == Invariant::ready_when_serving);
-  CHECK(guard.may_take(false) == Invariant::attempt_after_end);
+  CHECK(guard.may_half_close(1, 0) == Invariant::close_idle_only);
+  CHECK(guard.may_half_close(0, 0) == Invariant::none);
+  CHECK(guard.may_report_ready(false, true) == Invariant::ready_when_serving);
+  CHECK(guard.may_accept_request(false) == Invariant::attempt_after_end);
 
   CHECK(guard.violations() == reports.size());
   CHECK(guard.violations(Invariant::effect_once) == 2);
--- a/tests/learnt_parts.cpp
+++ b/tests/learnt_parts.cpp
@@ -78,7 +78,7 @@
     b->set_retries({6, true});
     b->set_fills({SiblingFills::none, true, FillReporting::all, 6000});
     b->set_slow_start({kFrom, kMultiple, kWarm, kWindow}, {0.066, 2, 22, kWindow});
-    b->set_weight_meaning(false);
+    b->set_weights_are_transfers(false);
     b->clock(kStart);
     b->begin_endpoint_list(true);
     const Seconds starts[3] = {0, kStart - 1, 0};
@@ -139,7 +139,7 @@
   b->add_request_class({.latency_objective = 1, .deadline = 5, .priority = 1});
   b->set_retries({6, true});
   b->set_fills({SiblingFills::none, true, FillReporting::all, 6000});
-  b->set_weight_meaning(false);
+  b->set_weights_are_transfers(false);
   b->clock(kStart);
   b->begin_endpoint_list(true);
   for (int m = 0; m < 2; ++m)
--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -625,8 +625,8 @@
   std::vector<std::pair<std::uint64_t, std::uint32_t>> about;  // object and group, by txn
   const auto tell_purges = [&] {
     for (std::size_t n = 0; n < about.size(); ++n)
-      brain.copies_made_since(static_cast<int>(n),
-                              purge_index.valid_since(about[n].first, about[n].second, {}, now));
+      brain.set_valid_since(static_cast<int>(n),
+                            purge_index.valid_since(about[n].first, about[n].second, {}, now));
   };
   const auto taken = [&](int txn, std::uint64_t object, const Line& l) {
     const auto group = static_cast<std::uint32_t>(l.num("group"));
@@ -665,8 +665,8 @@
                        l.num("join", 1) > 0, l.num("notes", 1) > 0 ? FillReporting::all : FillReporting::none,
                        1000});
       brain.set_slow_start({0.2, l.num("multiple", 2), 16, 2}, {0.08, 2, 20, 2});
-      brain.set_weight_meaning(l.num("weights") > 0);
-      brain.set_client_habits({l.num("marks", 1) > 0, 0.5});
+      brain.set_weights_are_transfers(l.num("weights") > 0);
+      brain.set_client_settings({l.num("marks", 1) > 0, 0.5});
     } else if (what == "rule") {
       RequestClass r;
       r.idempotency = static_cast<Idempotency>(l.pick("effect", {"repeatable", "keyed", "unrepeatable"}));
@@ -712,7 +712,7 @@
     } else if (what == "purge-group") {
       purge_index.add_group(static_cast<std::uint32_t>(std::stoul(l.words[1])), now - l.num("ago"));
     } else if (what == "within") {
-      brain.copies_no_older_than(l.num("age"));
+      brain.set_max_copy_age(l.num("age"));
     } else {
       std::cerr << "what is '" << what << "'?\n";
       return 1;
