--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-// An error of the caller's connection, which is gone with it: the next one is taken (accept(2), "Error
-// handling").
-bool is_callers_error(int error) {
+// Whether an accept error concerns only the connection that was to be accepted. Such a connection is gone,
+// and the next one can be accepted (accept(2), "Error handling").
+bool is_connection_error(int error) {
   constexpr int kErrors[] = {ECONNABORTED, EPROTO,       ENETDOWN,   ENOPROTOOPT, EHOSTDOWN,
                              ENONET,       EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH};
   return std::ranges::find(kErrors, error) != std::end(kErrors);
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-// Takes a connection off the list as its task ends.
+// Removes a connection from the listener's list when its task ends.
 class ClientListener::Registration {
  public:
   Registration(ClientListener& listener, ClientConnection& client) : listener_(listener), client_(client) {}
@@ -31,7 +31,7 @@
   Registration& operator=(const Registration&) = delete;
   ~Registration() {
     const bool listed = listener_.connections_.erase(&client_) > 0;
-    if (listed && client_.phase_ == ClientConnection::Phase::shut) --listener_.leaving_;
+    if (listed && client_.phase_ == ClientConnection::Phase::half_closed) --listener_.closing_;
   }
 
  private:
@@ -63,7 +63,7 @@
 // ---- Accepting. ----------------------------------------------------------------------------------------
 
 Task ClientListener::accept_all() {
-  constexpr Seconds kPause = 0.02;  // without descriptors or memory: until some connections may have closed
+  constexpr Seconds kPause = 0.02;  // without descriptors or memory, until some connections may have closed
   while (listener_.open()) {
     Fd socket = listener_.accept();
     if (socket) {
@@ -71,82 +71,86 @@
       continue;
     }
     const int error = errno;
-    if (error == EINTR || is_callers_error(error)) continue;
+    if (error == EINTR || is_connection_error(error)) continue;
     if (error != EAGAIN) {
-      queued_since_ = std::min(queued_since_, scheduler_.now());
-      log_("accept", "{}, {} clients connected", std::strerror(error), connections_.size());
-      if (error == EMFILE || error == ENFILE) make_room();
+      accept_failing_since_ = std::min(accept_failing_since_, scheduler_.now());
+      log_("accept", "cannot accept a connection: {}; {} clients connected", std::strerror(error),
+           connections_.size());
+      if (error == EMFILE || error == ENFILE) evict_idle_client();
       co_await listener_.came.wait(scheduler_.now() + kPause);
       continue;
     }
-    queued_since_ = kNoTime;
+    accept_failing_since_ = kNoTime;
     co_await listener_.came.wait();
   }
 }
 
 void ClientListener::accepted(Fd socket) {
-  // One of the largest answers; by itself the kernel's buffer would grow to megabytes.
+  // About one of the largest answers; without the limit the kernel's buffer would grow to megabytes.
   constexpr int kKernelBufferBytes = 256 * 1024;
-  if (connections_.size() - leaving_ >= max_connections_ && !make_room()) {
-    count_close(guard::ClientClose::no_place);  // all have open requests: this one is closed at once
+  if (connections_.size() - closing_ >= max_connections_ && !evict_idle_client()) {
+    count_close(guard::ClientClose::no_place);  // none can be evicted: the new connection is closed at once
     return;
   }
   ::setsockopt(socket.get(), SOL_SOCKET, SO_SNDBUF, &kKernelBufferBytes, sizeof kKernelBufferBytes);
   auto client = std::make_shared<ClientConnection>(scheduler_, outbox_, std::move(socket));
-  client->queued_for_ = std::max(0.0, scheduler_.now() - queued_since_);
+  client->max_accept_delay_ = std::max(0.0, scheduler_.now() - accept_failing_since_);
   connections_[client.get()] = client;
   scheduler_.start_isolated(run_connection(std::move(client)));
 }
 
-// With all places taken one comes to its end: those that said nothing first, then the longest quiet; one with
-// open requests stays, and one whose bytes nobody has read yet. Prevents two losses: of places to clients
-// that ask once and stay, or connect by the hundred and say nothing; and of requests that came while this
-// process stood still. While it ends its descriptor is one of a few beside the places; past those the longest
-// of them goes at once.
-bool ClientListener::make_room() {
-  constexpr Seconds kFresh = 0.2;  // one that just came may have its first request on the way
+// Half-closes an idle connection at the connection limit: first those without any message so far, then the
+// one that has been idle longest. This keeps clients that send one request and stay connected, or connect by
+// the hundred and send nothing, from using up all connections. Connections with open requests or unread bytes
+// stay, so that no request is lost that arrived while this process was stopped. At most kMaxClosing
+// connections remain half-closed beyond the limit; past that the oldest of them is closed.
+bool ClientListener::evict_idle_client() {
+  constexpr Seconds kNewConnectionGrace = 0.2;  // the first request of a new connection may be in transit
   using Phase = ClientConnection::Phase;
   const auto rank = [&](const ClientConnection& client) {
-    return std::pair(client.has_spoken_ || client.heard_at_ > scheduler_.now() - kFresh,
-                     client.quiet_since());
+    return std::pair(
+        client.has_sent_message_ || client.last_received_at_ > scheduler_.now() - kNewConnectionGrace,
+        client.idle_since());
   };
   ClientConnection* first = nullptr;
-  ClientConnection* longest_shut = nullptr;
-  for (const auto& [client, held] : connections_) {
+  ClientConnection* oldest_half_closed = nullptr;
+  for (const auto& [client, owner] : connections_) {
     if (client->is_open() && client->idle() && (first == nullptr || rank(*client) < rank(*first)) &&
         !client->stream_.has_unread())
       first = client;
-    if (client->phase_ == Phase::shut &&
-        (longest_shut == nullptr || client->close_at_ < longest_shut->close_at_))
-      longest_shut = client;
+    if (client->phase_ == Phase::half_closed &&
+        (oldest_half_closed == nullptr || client->close_at_ < oldest_half_closed->close_at_))
+      oldest_half_closed = client;
   }
   if (first == nullptr) return false;
-  log_("client", "closed to make room, quiet for {:.1f} s", scheduler_.now() - first->quiet_since());
+  log_("client", "connection closed to make room for another: idle for {:.1f} s",
+       scheduler_.now() - first->idle_since());
   count_close(guard::ClientClose::made_room);
-  shut(*first);
-  if (leaving_ <= kMaxLeaving || longest_shut == nullptr) return true;
-  longest_shut->stream_.close();
-  connections_.erase(longest_shut);
-  --leaving_;
+  half_close(*first);
+  if (closing_ <= kMaxClosing || oldest_half_closed == nullptr) return true;
+  oldest_half_closed->stream_.close();
+  connections_.erase(oldest_half_closed);
+  --closing_;
   return true;
 }
 
-// ---- The task of one connection. -----------------------------------------------------------------------
+// ---- Connection task. ----------------------------------------------------------------------------------
 
 Task ClientListener::run_connection(std::shared_ptr<ClientConnection> client) {
   constexpr Seconds kEndPollInterval = 0.02;
-  constexpr int kReadsPerTurn = 4;  // then others have their turn
+  constexpr int kReadsPerTurn = 4;  // then other connections are served
   auto& stream = client->stream_;
   const Registration registration(*this, *client);
   client->connected();
   for (int reads = 0;;) {
-    const auto came = stream.read();
-    if (came == Stream::Came::end) break;
-    if (came == Stream::Came::bytes) messages_.take(client);
-    if (came == Stream::Came::nothing) client->queued_for_ = 0;  // what had waited with it is read
-    messages_.serve_held(client);
+    const auto result = stream.read();
+    if (result == Stream::Came::end) break;
+    if (result == Stream::Came::bytes) messages_.take(client);
+    if (result == Stream::Came::nothing)
+      client->max_accept_delay_ = 0;  // later messages did not wait for the accept
+    messages_.serve_deferred(client);
     if (!client->is_open() && may_close(*client)) break;
-    if (came == Stream::Came::bytes) {
+    if (result == Stream::Came::bytes) {
       ++reads;
       if (reads % kReadsPerTurn != 0) continue;
       Event turn(scheduler_);
@@ -163,11 +167,12 @@
   connection_ended(*client);
 }
 
-// One that is still to be answered has its answers first, and may go on writing meanwhile.
+// Closes a connection whose message is overdue. While answers are outstanding it stays open, and the client
+// may complete the message meanwhile.
 bool ClientListener::close_as_late(ClientConnection& client) {
   client.update_message_start();
   if (!client.message_is_late() || client.awaits_answers()) return false;
-  log_("client", "connection closed: no whole message in {} s", ClientConnection::kMessageTimeout);
+  log_("client", "connection closed: no complete message within {} s", ClientConnection::kMessageTimeout);
   count_close(guard::ClientClose::no_whole_message);
   client.begin_end();
   return true;
@@ -177,43 +182,43 @@
   if (client.is_open())
     count_close(client.slow_reader_ ? guard::ClientClose::slow_reader : guard::ClientClose::by_client);
   client.stream_.close();
-  client.leave_all();
+  client.notify_client_left();
 }
 
-// ---- Ends. ---------------------------------------------------------------------------------------------
+// ---- Closing. ------------------------------------------------------------------------------------------
 
-void ClientListener::shut(ClientConnection& client) {
-  // As long as a request may cross the end of the answers, and a little.
-  constexpr Seconds kCrossingTime = 0.06;
-  if (client.phase_ == ClientConnection::Phase::shut) return;
+void ClientListener::half_close(ClientConnection& client) {
+  // Slightly longer than a request may be in transit when the write side is shut down.
+  constexpr Seconds kLingerTime = 0.06;
+  if (client.phase_ == ClientConnection::Phase::half_closed) return;
   if (guard_ != nullptr &&
       guard_->may_half_close(client.requests(), client.stream_.unsent()) != guard::Invariant::none)
     return;
-  client.phase_ = ClientConnection::Phase::shut;
-  ++leaving_;
-  client.close_at_ = scheduler_.now() + kCrossingTime;
+  client.phase_ = ClientConnection::Phase::half_closed;
+  ++closing_;
+  client.close_at_ = scheduler_.now() + kLingerTime;
   client.stream_.end_writing();
   client.stream_.wake();
 }
 
-// Whether a connection that is not open any more may be closed.
+// Whether a connection that is no longer open may be closed now. Half-closes it once it is idle.
 bool ClientListener::may_close(ClientConnection& client) {
   if (client.phase_ == ClientConnection::Phase::ending) {
     if (client.awaits_answers()) client.postpone_close();
-    if (client.idle()) shut(client);
+    if (client.idle()) half_close(client);
   }
   return scheduler_.now() >= client.close_at_;
 }
 
 void ClientListener::abort_open() {
   messages_.stop();
-  for (const auto& [client, held] : connections_) {
+  for (const auto& [client, owner] : connections_) {
     for (const auto& [tag, handle] : std::exchange(client->open_, {})) {
       if (guard_ == nullptr || guard_->may_answer(handle->record()) == guard::Invariant::none)
         client->answer(tag, "ABORTED");
-      handle->leave();
+      handle->client_left();
     }
-    for (const auto& request : std::exchange(client->held_, {})) client->answer(request.tag, "REJECT");
+    for (const auto& request : std::exchange(client->deferred_, {})) client->answer(request.tag, "REJECT");
   }
 }
 
@@ -221,12 +226,13 @@
   return std::ranges::any_of(connections_, [](const auto& entry) { return !entry.first->idle(); });
 }
 
-// A request that crosses the end of the answers is never read as one: its client sees that it was not taken.
+// A request that arrives on a half-closed connection is never executed, and its client sees the connection
+// end without an answer.
 void ClientListener::close_idle() {
-  for (const auto& [client, held] : connections_) {
+  for (const auto& [client, owner] : connections_) {
     if (!client->idle() || client->stream_.has_unread()) continue;
     if (client->is_open()) count_close(guard::ClientClose::program_ends);
-    shut(*client);
+    half_close(*client);
   }
 }
 
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -1,5 +1,5 @@
 /// \file
-/// The clients' side: accepts connections, bounds their number, and ends them.
+/// The listener for clients: accepts connections, bounds their number, and closes them.
 #pragma once
 
 #include <cstdint>
@@ -19,36 +19,37 @@
 
 namespace walkpaddle::net {
 
-/// The connections of all clients, each in its own task.
+/// The connections of all clients, each with its own task.
 ///
-/// Lifetimes: what the constructor takes by reference outlives it, and it outlives the tasks that it started
-/// (Scheduler::drop_tasks). Threads: the scheduler's one thread.
+/// Lifetimes: the references that the constructor takes must outlive it, and it must outlive the tasks that
+/// it started (Scheduler::drop_tasks). Threads: everything runs on the scheduler's one thread.
 class ClientListener {
  public:
   using Serve = ClientMessages::Serve;  ///< starts a request
-  /// Connections past the most that are connected, while they end.
-  static constexpr std::size_t kMaxLeaving = 4;
-  /// `listener` listens already. `max_connections` does not count those that leave.
+  /// Number of half-closed connections, beyond `max_connections`, above which the oldest of them is closed.
+  static constexpr std::size_t kMaxClosing = 4;
+  /// `listener` is a listening socket. `max_connections` does not count half-closed connections.
   ClientListener(Scheduler& scheduler, Outbox& outbox, Log& log, Fd listener, std::size_t max_connections,
                  std::vector<config::RequestClassName> classes, Serve serve);
   ClientListener(const ClientListener&) = delete;
   ClientListener& operator=(const ClientListener&) = delete;
 
-  /// Who checks and counts what is done to connections; without one nothing is.
+  /// Sets the guard, which checks closes and counts them; without a guard neither is done.
   void set_guard(guard::Guard& guard);
-  /// What ALIVE is answered with.
-  void set_alive_word(std::string_view word) { messages_.set_alive_word(word); }
+  /// Sets the answer to ALIVE.
+  void set_alive_reply(std::string_view reply) { messages_.set_alive_reply(reply); }
   /// Closes the listening socket.
   void stop_accepting() { listener_.close(); }
-  /// Hands the listening socket over to a successor: who comes meanwhile waits there.
+  /// Gives up the listening socket, still open, for a successor. New connections wait in its queue meanwhile.
   Fd hand_over_listener() { return listener_.give(); }
-  /// Shuts each connection on which nothing is owed and nothing is unread.
+  /// Half-closes each connection that has no outstanding answers and no unread bytes.
   void close_idle();
-  /// The program ends: one answer for each request that still waits, and for those to come.
+  /// Answers every open and deferred request without serving it, and rejects later ones; for the end of the
+  /// program.
   void abort_open();
-  /// Whether a client is owed an answer, or bytes of one.
+  /// Whether any client still has an answer, or a part of one, to receive.
   bool has_unsent_answers() const;
-  /// How many are connected, with those that leave.
+  /// Number of connections, half-closed ones included.
   std::size_t count() const { return connections_.size(); }
 
  private:
@@ -58,8 +59,8 @@
   Task run_connection(std::shared_ptr<ClientConnection> client);
   bool close_as_late(ClientConnection& client);
   void connection_ended(ClientConnection& client);
-  bool make_room();
-  void shut(ClientConnection& client);
+  bool evict_idle_client();
+  void half_close(ClientConnection& client);
   bool may_close(ClientConnection& client);
   void count_close(guard::ClientClose reason);
 
@@ -68,9 +69,10 @@
   Log& log_;
   const std::size_t max_connections_;
   ClientMessages messages_;
-  guard::Guard* guard_ = nullptr;   // null: no counts, no checks
-  std::size_t leaving_ = 0;         // of those connected, shut
-  Seconds queued_since_ = kNoTime;  // callers wait in the listener's queue since then, as accepts fail
+  guard::Guard* guard_ = nullptr;  // null: no counts, no checks
+  std::size_t closing_ = 0;        // number of half-closed connections
+  // Start of the present series of failed accepts, while connections wait in the queue; kNoTime: none.
+  Seconds accept_failing_since_ = kNoTime;
   Listener listener_;
   std::unordered_map<ClientConnection*, std::weak_ptr<ClientConnection>> connections_;
 };
--- a/src/net/discovery_clock.cpp
+++ b/src/net/discovery_clock.cpp
@@ -4,9 +4,9 @@
 
 namespace walkpaddle::net {
 
-void DiscoveryClock::begin_known(Seconds newest_stamp, Seconds now) {
-  reads_known_ = true;
-  heard_at_ = now;
+void DiscoveryClock::begin_initial_events(Seconds newest_stamp, Seconds now) {
+  reads_initial_events_ = true;
+  last_received_at_ = now;
   if (newest_stamp > 0) offset_ = now - newest_stamp;
 }
 
@@ -15,7 +15,7 @@
 }
 
 Seconds DiscoveryClock::purged_at(Seconds stamp, Seconds now) {
-  if (!reads_known_) {
+  if (!reads_initial_events_) {
     observe(stamp, now);
     return now;
   }
@@ -23,16 +23,16 @@
 }
 
 Seconds DiscoveryClock::started_at(int endpoint, Seconds stamp, Seconds now) {
-  // Whether or not it arrived, an event counts as told so long after it happened (the protocol page,
+  // An event counts as delivered this long after it happened, whether or not it arrived (the protocol page,
   // "Figures").
   constexpr Seconds kMaxEventDelay = 7;
   if (stamp <= 0) return 0;
   auto& start = starts_[endpoint];
   if (start.stamp == stamp) return start.at;
-  if (!reads_known_) observe(stamp, now);
+  if (!reads_initial_events_) observe(stamp, now);
   Seconds at = offset_ ? std::min(now, stamp + *offset_) : now;
-  // Older than it can be: discovery's clock was set back since.
-  if (!reads_known_ && at < heard_at_ - kMaxEventDelay) {
+  // The event seems older than a live event can be: discovery's clock was set back.
+  if (!reads_initial_events_ && at < last_received_at_ - kMaxEventDelay) {
     at = now;
     offset_ = now - stamp;
   }
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-// ---- One request. --------------------------------------------------------------------------------------
+// ---- RequestHandle. ------------------------------------------------------------------------------------
 
 RequestHandle::RequestHandle(RequestDispatcher& dispatcher, int class_index, std::uint64_t object,
                              std::string_view object_name, int part, std::uint32_t group, Seconds deadline,
@@ -30,7 +30,7 @@
 }
 
 RequestHandle::~RequestHandle() {
-  if (attempt_out_) attempt_ended(AttemptOutcome::not_sent, FillOutcome::none, 0, 0, 0, true);
+  if (attempt_in_flight_) attempt_ended(AttemptOutcome::not_sent, FillOutcome::none, 0, 0, 0, true);
   dispatcher_.handles_[static_cast<std::size_t>(slot_)] = nullptr;
   dispatcher_.free_slots_.push_back(slot_);
 }
@@ -42,13 +42,13 @@
   valid_since_ = since;
   record_.purged(since);
   dispatcher_.input().set_valid_since(slot_, since);
-  if (attempt_ != nullptr) attempt_->abandon_if_unsent();  // decided before the purge
+  if (attempt_ != nullptr) attempt_->abandon_if_unsent();  // it was decided before the purge
 }
 
 void RequestHandle::attempt_ended(AttemptOutcome outcome, FillOutcome fill, Seconds duration,
                                   Seconds fill_wait, Seconds transfer_time, bool request_over) {
   attempt_ = nullptr;
-  attempt_out_ = false;
+  attempt_in_flight_ = false;
   dispatcher_.input().attempt_ended(slot_, attempts_ - 1, outcome, fill, duration, fill_wait, transfer_time,
                                     request_over);
 }
@@ -57,15 +57,15 @@
   dispatcher_.input().set_represented_requests(slot_, in_flight, requests);
 }
 
-void RequestHandle::leave() {
-  if (std::exchange(left_, true)) return;
+void RequestHandle::client_left() {
+  if (std::exchange(has_client_left_, true)) return;
   record_.client_left();
   dispatcher_.input().client_left(slot_);
   if (attempt_ != nullptr) attempt_->abandon();
   event_.set();
 }
 
-// ---- All requests. -------------------------------------------------------------------------------------
+// ---- RequestDispatcher. --------------------------------------------------------------------------------
 
 RequestDispatcher::RequestDispatcher(Scheduler& scheduler, std::uint32_t seed,
                                      const config::Settings& settings, purge::PurgeRegistry& purges,
@@ -126,7 +126,7 @@
   if (answers_report_load_ && load >= 0) input().load_reported(endpoint, load);
 }
 
-// ---- Turns. --------------------------------------------------------------------------------------------
+// ---- Polling the policy. -------------------------------------------------------------------------------
 
 Task RequestDispatcher::run_timer() {
   for (;;) {
@@ -137,15 +137,16 @@
   }
 }
 
-// A poll asks again for each request that waits, thousands of times a second if each turn did it. So polls
-// keep the settings' least time between two; the first after a quiet while comes at once.
+// Each poll makes the policy reconsider every waiting request, and there can be thousands of turns a second.
+// Polls therefore keep a minimum interval, which the settings give; the first after a longer pause runs at
+// once.
 void RequestDispatcher::on_turn_end() {
-  // At once, before anything that was decided before them goes out.
+  // New purges are applied first, before anything that was decided without them is sent.
   if (std::exchange(purges_version_, purges_.version()) != purges_.version()) {
     for (auto* handle : handles_)
       if (handle != nullptr) handle->update_purges();
   }
-  if (scheduler_.now() >= polled_at_ + poll_interval_) return poll_policy();
+  if (scheduler_.now() >= last_poll_at_ + poll_interval_) return poll_policy();
   if (!std::exchange(poll_pending_, true)) poll_wanted_.set();
 }
 
@@ -153,14 +154,14 @@
   for (;;) {
     co_await poll_wanted_.wait();
     Event due(scheduler_);
-    co_await due.wait(polled_at_ + poll_interval_);  // the turn that this makes ends with the poll
+    co_await due.wait(last_poll_at_ + poll_interval_);  // the turn that this starts polls at its end
     poll_pending_ = false;
   }
 }
 
 void RequestDispatcher::poll_policy() {
-  polled_at_ = scheduler_.now();
-  input().set_max_copy_age(purges_.copy_age_limit(polled_at_));
+  last_poll_at_ = scheduler_.now();
+  input().set_max_copy_age(purges_.copy_age_limit(last_poll_at_));
   while (const auto decision = policy_->next()) carry_out(*decision);
 }
 
@@ -174,13 +175,13 @@
   using Kind = Decision::Kind;
   if (decision.kind == Kind::wake_up) return wake_up_at(decision.time);
   auto* const handle = decision.request >= 0 ? handles_[static_cast<std::size_t>(decision.request)] : nullptr;
-  if (handle == nullptr) return;  // poll_discovery: discovery tells of itself
+  if (handle == nullptr) return;  // also for poll_discovery: discovery sends its events unasked
   if (decision.kind == Kind::cancel) {
     if (handle->attempt_ != nullptr && decision.attempt == handle->attempts_ - 1) handle->attempt_->cancel();
     return;
   }
   if (decision.kind == Kind::forward) {
-    handle->attempt_out_ = true;
+    handle->attempt_in_flight_ = true;
     ++handle->attempts_;
   }
   handle->decision_ = decision;
