--- a/src/net/request_handler.cpp
+++ b/src/net/request_handler.cpp
@@ -195,7 +195,7 @@
   auto& purges = dispatcher_.purges();
   const Seconds now = scheduler_.now();
   const bool age_reported = result.age >= 0;
-  if (result.tags_reported) purges.learn_tags(object_, result.tags, now);
+  if (result.tags_reported) purges.record_tags(object_, result.tags, now);
   if (age_reported && max_age > 0 && result.age > max_age + kRounding) return AttemptOutcome::stale;
   Seconds made_at = 0;
   if (age_reported)
