--- a/src/admin/admin_replies.cpp
+++ b/src/admin/admin_replies.cpp
@@ -243,12 +243,12 @@
                 {"facts", describe(observations)},
                 {"counters", counters()},
                 {"facts_refused", fleet.tracker().refused()},
-                {"strangers", datagrams.strangers},
+                {"strangers", datagrams.unknown_senders},
                 {"unreadable", datagrams.unreadable},
                 {"unsent", datagrams.unsent},
                 {"bytes_in_a_s", static_cast<double>(datagrams.bytes_received) / uptime},
                 {"bytes_out_a_s", static_cast<double>(datagrams.bytes_sent) / uptime}};
-  add_rollouts(reply, fleet.changes(), now);
+  add_rollouts(reply, fleet.rollouts(), now);
   return dump_replacing(reply);
 }
 
--- a/src/purge/purge_registry.cpp
+++ b/src/purge/purge_registry.cpp
@@ -113,7 +113,7 @@
 void PurgeRegistry::after_input(Seconds now) {
   if (!replication_) return;
   if (const auto stale_before = replication_->take_stale_before()) put_all_in_force(*stale_before);
-  if (replication_->take_loss()) issue(PurgeKind::all, "", now);
+  if (replication_->take_purges_lost()) issue(PurgeKind::all, "", now);
   note_accepted(now);
 }
 
--- a/src/purge/purge_replication.h
+++ b/src/purge/purge_replication.h
@@ -118,7 +118,7 @@
   std::optional<Seconds> take_stale_before() { return std::exchange(stale_before_, std::nullopt); }
   /// Purges were lost with the routers' memory: a purge of everything is to be issued before next(). True
   /// once.
-  bool take_loss() { return std::exchange(purges_lost_, false); }
+  bool take_purges_lost() { return std::exchange(purges_lost_, false); }
 
  private:
   using Heads = std::vector<std::pair<std::uint64_t, std::uint64_t>>;  // issuer, number
--- a/src/replication/datagram_transport.cpp
+++ b/src/replication/datagram_transport.cpp
@@ -52,8 +52,9 @@
   const auto peer_of = [&](std::uint64_t name) { return members_.peer_named(name); };
   try {
     if (gossip::deliver_packet(bytes, peer_of, gossip_, scheduler_.now())) return;
-    ++counts_.strangers;
-    if (counts_.strangers == 1) log_("fleet", "datagrams of a router that is not a peer here are dropped");
+    ++counts_.unknown_senders;
+    if (counts_.unknown_senders == 1)
+      log_("fleet", "datagrams of a router that is not a peer here are dropped");
   } catch (const InputError& e) {
     ++counts_.unreadable;
     if (counts_.unreadable == 1) log_("fleet", "datagrams that cannot be read are dropped: {}", e.what());
@@ -77,7 +78,7 @@
   counts_.bytes_sent += bytes.size();
 }
 
-void DatagramTransport::pull() {
+void DatagramTransport::send_due() {
   const Seconds now = scheduler_.now();
   while (const auto packet = gossip_.next(now)) send(*packet);
   const Seconds due = gossip_.next_due(now);
--- a/src/replication/datagram_transport.h
+++ b/src/replication/datagram_transport.h
@@ -18,13 +18,13 @@
 
 /// Datagrams since the start.
 struct DatagramCounts {
-  std::uint64_t received = 0;        ///< datagrams
-  std::uint64_t sent = 0;            ///< datagrams
-  std::uint64_t bytes_received = 0;  ///< without the heads of UDP
-  std::uint64_t bytes_sent = 0;      ///< without the heads of UDP
-  std::uint64_t strangers = 0;       ///< dropped: of a router that is not a peer here
-  std::uint64_t unreadable = 0;      ///< dropped
-  std::uint64_t unsent = 0;          ///< not taken by the kernel
+  std::uint64_t received = 0;         ///< datagrams
+  std::uint64_t sent = 0;             ///< datagrams
+  std::uint64_t bytes_received = 0;   ///< without the heads of UDP
+  std::uint64_t bytes_sent = 0;       ///< without the heads of UDP
+  std::uint64_t unknown_senders = 0;  ///< dropped: of a router that is not a peer here
+  std::uint64_t unreadable = 0;       ///< dropped
+  std::uint64_t unsent = 0;           ///< not taken by the kernel
 };
 
 /// Carries one router's gossip.
@@ -37,7 +37,7 @@
                     const Address& listen, std::vector<Address> peers, std::function<void()> after_input);
 
   /// Sends what is due; at a turn's end.
-  void pull();
+  void send_due();
   /// Since the start.
   const DatagramCounts& counts() const { return counts_; }
 
--- a/src/replication/replication_service.cpp
+++ b/src/replication/replication_service.cpp
@@ -61,9 +61,9 @@
                seed_of(setup) + 1, started_),
       snapshots_(members_, {}, started_),
       gossip_(members_, tracker_, snapshots_, {}, seed_of(setup) + 2, started_),
-      changes_(setup.changes ? std::make_unique<rollout::RolloutCoordinator>(log, *setup.changes, members_,
-                                                                             gossip_, setup.store, started_)
-                             : nullptr),
+      rollouts_(setup.rollouts ? std::make_unique<rollout::RolloutCoordinator>(log, *setup.rollouts, members_,
+                                                                               gossip_, setup.store, started_)
+                               : nullptr),
       transport_(scheduler, log, members_, gossip_, setup.listen, addresses_of(setup.peers),
                  [this] { observations_may_have_changed(); }),
       logged_(setup.peers.size(), membership::MemberState::unheard) {
@@ -77,7 +77,7 @@
 // Calendar and changes are read only where they are switched on.
 void ReplicationService::announce_channels() {
   auto versions = compat::announcement(gossip::kChannelVersions);
-  if (!changes_) {
+  if (!rollouts_) {
     versions = without_channel(versions, compat::AnnouncedChannel::calendar);
     versions = without_channel(versions, compat::AnnouncedChannel::changes);
   }
@@ -102,7 +102,7 @@
 void ReplicationService::restore() {
   try {
     setup_.store->for_each([&](std::string_view key, std::string_view value) {
-      if (changes_ && rollout::RolloutCoordinator::owns(key)) changes_->restore(key, value, started_);
+      if (rollouts_ && rollout::RolloutCoordinator::owns(key)) rollouts_->restore(key, value, started_);
       if (key == kSnapshotKey) snapshots_.restore(gossip::decode_snapshot(value));
       if (ObservationPersister::owns(key)) persister_->restore(value, started_);
     });
@@ -144,13 +144,13 @@
          report->members);
 }
 
-void ReplicationService::pull() {
+void ReplicationService::on_turn_end() {
   constexpr Seconds kCheckInterval = 1;
   constexpr Seconds kSaveInterval = 2;  // a crash costs what the peers know anyway
   const Seconds now = scheduler_.now();
   exchange_snapshots();
-  if (changes_) changes_->poll(now);
-  transport_.pull();
+  if (rollouts_) rollouts_->poll(now);
+  transport_.send_due();
   log_changes();
   if (now >= check_at_) {
     check_at_ = now + kCheckInterval;
--- a/src/replication/replication_service.h
+++ b/src/replication/replication_service.h
@@ -24,7 +24,7 @@
 /// Owns and connects the parts.
 class ReplicationService {
  public:
-  /// What the host gives. The functions are called from pull() and when datagrams have come.
+  /// What the host gives. The functions are called from on_turn_end() and when datagrams have come.
   struct Setup {
     std::string name;                       ///< of this router, as the fleet knows it
     Address listen;                         ///< of the datagrams
@@ -36,7 +36,7 @@
     std::function<gossip::ReplicatedSnapshot()> take_snapshot;
     /// What it had learnt before this start.
     std::function<void(const gossip::ReplicatedSnapshot&)> restore_snapshot;
-    std::optional<rollout::RolloutCoordinator::Setup> changes{};  ///< nullopt: no rollouts are made
+    std::optional<rollout::RolloutCoordinator::Setup> rollouts{};  ///< nullopt: no rollouts are made
   };
   /// `scheduler` and `log` must outlive the service. Throws SystemError if the address cannot be had,
   /// StoreError if what is stored cannot be read.
@@ -45,15 +45,15 @@
   ReplicationService& operator=(const ReplicationService&) = delete;
 
   /// Does what is due; at a turn's end.
-  void pull();
+  void on_turn_end();
 
   replica::ObservationTracker& tracker() { return tracker_; }              ///< for the router's discovery
   const replica::ObservationTracker& tracker() const { return tracker_; }  ///< for reading
   const membership::Membership& members() const { return members_; }       ///< for reading
   const gossip::Gossip& gossip() const { return gossip_; }                 ///< for reading
-  rollout::RolloutCoordinator* changes() { return changes_.get(); }        ///< null: no rollouts are made
-  const rollout::RolloutCoordinator* changes() const {
-    return changes_.get();
+  rollout::RolloutCoordinator* rollouts() { return rollouts_.get(); }      ///< null: no rollouts are made
+  const rollout::RolloutCoordinator* rollouts() const {
+    return rollouts_.get();
   }                                                                     ///< null: no rollouts are made
   const DatagramCounts& counts() const { return transport_.counts(); }  ///< since the start
   /// The name of a router by its hash; "?" for a stranger.
@@ -78,7 +78,7 @@
   gossip::SnapshotReplicas snapshots_;
   gossip::Gossip gossip_;
   std::uint64_t received_before_ = 0;  // observations, when the host was last told
-  std::unique_ptr<rollout::RolloutCoordinator> changes_;
+  std::unique_ptr<rollout::RolloutCoordinator> rollouts_;
   DatagramTransport transport_;
   std::optional<ObservationPersister> persister_;  // none: nothing lasts
   std::vector<membership::MemberState> logged_;    // by peer
--- a/src/server/rollout_agent.cpp
+++ b/src/server/rollout_agent.cpp
@@ -94,7 +94,7 @@
 void RolloutAgent::started_program_ready() {
   ready_ = true;
   ::alarm(0);
-  parts_.log("change", "this router runs {}", replication_->changes()->rollout().running());
+  parts_.log("change", "this router runs {}", replication_->rollouts()->rollout().running());
   reload_documents();
 }
 
@@ -105,8 +105,8 @@
   const auto& folder = parts_.operators.rollouts.folder;
   try {
     const auto documents = admin::read_change_documents(folder, now);
-    auto& calendar = replication_->changes()->calendar();
-    auto& rollout = replication_->changes()->rollout();
+    auto& calendar = replication_->rollouts()->calendar();
+    auto& rollout = replication_->rollouts()->rollout();
     for (const auto& window : documents.windows) calendar.declare(window);
     for (const auto& [window, version] : documents.withdrawals) calendar.withdraw(window, version);
     for (const auto& exception : documents.exceptions) calendar.add_exception(exception);
@@ -135,7 +135,7 @@
   else if (predecessor != nullptr)
     program = predecessor;
   if (program.empty() || ::access(program.c_str(), X_OK) != 0) {
-    auto& rollout = replication_->changes()->rollout();
+    auto& rollout = replication_->rollouts()->rollout();
     return rollout.move_failed("'" + program + "' is no program here");
   }
   successor_ = Successor{move, program, settings_lines_, Fd()};
@@ -145,7 +145,7 @@
 // The policy takes settings between two turns: no request notices. What the platform configured stays under
 // them, so that going back is handing over what was before.
 void RolloutAgent::apply_generation(const rollout::GenerationMove& move) {
-  auto& rollout = replication_->changes()->rollout();
+  auto& rollout = replication_->rollouts()->rollout();
   const Seconds now = parts_.scheduler.now();
   const auto& lines = settings_of(move);
   try {
--- a/src/server/rollout_agent.h
+++ b/src/server/rollout_agent.h
@@ -72,7 +72,7 @@
   void take_listener(Fd listener) override;
 
  private:
-  bool rollouts_on() const { return replication_ != nullptr && replication_->changes() != nullptr; }
+  bool rollouts_on() const { return replication_ != nullptr && replication_->rollouts() != nullptr; }
   void carry_out(const rollout::GenerationMove& move);
   void request_successor(const rollout::GenerationMove& move);
   void apply_generation(const rollout::GenerationMove& move);
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -127,7 +127,7 @@
           .take_snapshot = [this] { return warm_start_.replicated_snapshot(); },
           .restore_snapshot =
               [this](const gossip::ReplicatedSnapshot& kept) { warm_start_.restore_replicated(kept); },
-          .changes = rollout_agent_.changes_setup()};
+          .rollouts = rollout_agent_.changes_setup()};
 }
 
 void Server::open_admin_socket() {
@@ -146,7 +146,7 @@
   }
   if (purge_persister_) purge_persister_->on_turn_end();
   if (links_) links_->on_turn_end();
-  if (replication_) replication_->pull();
+  if (replication_) replication_->on_turn_end();
   rollout_agent_.turn_ends();
 }
 
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -192,8 +192,8 @@
 }
 
 WriteResult Store::enqueue(Job job) {
-  if (!database_->jobs.try_enqueue(std::move(job))) return tl::unexpected(WriteRefusal::queue_full);
-  if (!raise_event(wake_)) return tl::unexpected(WriteRefusal::writer_unreachable);
+  if (!database_->jobs.try_enqueue(std::move(job))) return tl::unexpected(WriteError::queue_full);
+  if (!raise_event(wake_)) return tl::unexpected(WriteError::writer_unreachable);
   return {};
 }
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -28,13 +28,13 @@
 namespace walkpaddle::store {
 
 /// Why a write was not taken. It is to be tried again later.
-enum class WriteRefusal {
+enum class WriteError {
   queue_full,          ///< too much waits to be written already: nothing was taken
   writer_unreachable,  ///< the writer could not be woken; the write may be made nonetheless
 };
 
 /// What put() and erase() give.
-using WriteResult = tl::expected<void, WriteRefusal>;
+using WriteResult = tl::expected<void, WriteError>;
 
 /// The table.
 class Store {
