--- a/src/purge/entry.h
+++ b/src/purge/entry.h
@@ -1,6 +1,6 @@
 /// \file
-/// One purge as it stands in the log: who issued it, as which number, when, and what it covers.
-/// Source of the terms: docs/purges.md.
+/// One entry of the purge log: its issuer, sequence number and time, and what it covers.
+/// docs/purges.md defines the terms.
 #pragma once
 
 #include <compare>
@@ -14,13 +14,13 @@
 
 namespace walkpaddle::purge {
 
-/// What a purge covers. The values are those of the wire and of the store.
+/// What a purge covers. The values are part of the wire format and of the stored format.
 enum class PurgeKind { object, group, tag, pattern, all };
 
-/// How many kinds there are: what comes from the wire or the store is below this.
+/// Number of kinds; values read from the wire or the store must be below it.
 constexpr int kPurgeKindCount = 5;
 
-/// The kind's name, as operators and cache servers write it.
+/// The kind's name in operator commands and in commands to cache servers.
 constexpr std::string_view to_string(PurgeKind kind) {
   switch (kind) {
     case PurgeKind::object:
@@ -37,7 +37,7 @@
   return {};
 }
 
-/// The kind of that name; nullopt if there is none.
+/// The kind with this name, or nullopt if there is none.
 constexpr std::optional<PurgeKind> parse_purge_kind(std::string_view name) {
   for (int kind = 0; kind < kPurgeKindCount; ++kind)
     if (to_string(static_cast<PurgeKind>(kind)) == name) return static_cast<PurgeKind>(kind);
@@ -48,27 +48,28 @@
 static_assert(to_string(static_cast<PurgeKind>(kPurgeKindCount)).empty(), "kPurgeKindCount counts all kinds");
 static_assert(parse_purge_kind(to_string(PurgeKind::all)) == PurgeKind::all);
 
-/// The place of a purge in the one order that every router ends with: by time, then issuer, then number.
+/// A purge's key in the total order on which all routers converge: by time, then issuer, then number.
 struct PurgeStamp {
-  /// When it was issued, by the issuer's clock, moved past every stamp that the issuer had seen.
+  /// Time of issue on the issuer's clock, moved past every stamp that the issuer had seen.
   Seconds issued_at = 0;
-  std::uint64_t issuer = 0;  ///< the router that issued it, a new one at each start without a store
-  std::uint64_t number = 0;  ///< of this issuer, from 1 without a gap
-  /// The one order.
+  std::uint64_t issuer =
+      0;  ///< id of the issuing router; a router without a store has a new one at each start
+  std::uint64_t number = 0;  ///< the issuer's sequence number, from 1 without gaps
+  /// The total order.
   auto operator<=>(const PurgeStamp&) const = default;
 };
 
 /// One purge.
 struct PurgeEntry {
-  PurgeStamp stamp;                    ///< its place in the one order
+  PurgeStamp stamp;                    ///< its key in the total order
   PurgeKind kind = PurgeKind::object;  ///< what it covers
   std::string target;  ///< object id, group number, tag or pattern, as the operator gave it; empty for `all`
-  /// On this router's clock: copies made before are stale. It is the time at which this router received the
-  /// purge, never before the time of issuing, whatever the clocks of the two routers say.
+  /// Copies made before this time, on this router's clock, are stale. It is when this router received the
+  /// purge; since that follows the issue in real time, differences between clocks cannot make it too early.
   Seconds valid_since = 0;
-  std::uint64_t position = 0;  ///< in this router's own order of arrival, from 1
+  std::uint64_t position = 0;  ///< sequence number in this router's order of arrival, from 1
 };
 
-constexpr std::size_t kMaxTargetBytes = 256;  ///< bytes of PurgeEntry::target
+constexpr std::size_t kMaxTargetBytes = 256;  ///< longest PurgeEntry::target
 
 }  // namespace walkpaddle::purge
--- a/src/purge/patterns.cpp
+++ b/src/purge/patterns.cpp
@@ -14,7 +14,8 @@
 namespace {
 
 RE2::Options re2_options() {
-  constexpr int kMaxSetBytes = 256 * 1024;  // for programs and states of one set; past it all of it matches
+  // Memory for the program and the DFA states of one set; above it, the whole set counts as matching.
+  constexpr int kMaxSetBytes = 256 * 1024;
   RE2::Options options;
   options.set_max_mem(kMaxSetBytes);
   options.set_log_errors(false);
@@ -26,9 +27,9 @@
 
 struct PurgePatterns::Set {
   std::vector<std::pair<std::string, Seconds>> items;  // pattern and valid_since
-  std::uint64_t first = 0;                             // number of the first
+  std::uint64_t first = 0;                             // ordinal of the first item, from 0
   Seconds newest = 0;
-  std::unique_ptr<RE2::Set> compiled;  // null: it could not be compiled, all count as matching
+  std::unique_ptr<RE2::Set> compiled;  // null if compilation failed; all items then count as matching
 
   void compile() {
     compiled = std::make_unique<RE2::Set>(re2_options(), RE2::ANCHOR_BOTH);
@@ -40,7 +41,7 @@
     if (!compiled->Compile()) compiled.reset();
   }
 
-  // `hits` is room that the caller lends.
+  // `hits` is a scratch buffer, passed in to avoid an allocation for each set.
   Seconds newest_match(std::string_view name, std::vector<int>& hits) const {
     if (!compiled) return newest;
     hits.clear();
@@ -57,15 +58,15 @@
 PurgePatterns::~PurgePatterns() = default;
 
 std::optional<std::string> PurgePatterns::rejection_reason(std::string_view pattern) {
-  constexpr int kMaxProgramSteps = 2000;  // RE2's own instructions; a few hundred are usual
-  if (pattern.empty()) return "a pattern is empty";
+  constexpr int kMaxProgramSteps = 2000;  // RE2 instructions; a typical pattern has a few hundred
+  if (pattern.empty()) return "the pattern is empty";
   if (pattern.size() > kMaxTargetBytes)
-    return "a pattern has more than " + std::to_string(kMaxTargetBytes) + " bytes";
+    return "the pattern is longer than " + std::to_string(kMaxTargetBytes) + " bytes";
   const RE2 compiled(re2::StringPiece(pattern.data(), pattern.size()), re2_options());
-  if (!compiled.ok()) return "a pattern cannot be compiled: " + compiled.error();
+  if (!compiled.ok()) return "the pattern cannot be compiled: " + compiled.error();
   if (compiled.ProgramSize() > kMaxProgramSteps)
-    return "a pattern needs " + std::to_string(compiled.ProgramSize()) + " steps, " +
-           std::to_string(kMaxProgramSteps) + " at most";
+    return "the pattern compiles to " + std::to_string(compiled.ProgramSize()) + " steps; the limit is " +
+           std::to_string(kMaxProgramSteps);
   return std::nullopt;
 }
 
@@ -78,7 +79,7 @@
   auto* set = sets_.back().get();
   set->items.emplace_back(pattern, valid_since);
   set->compile();
-  if (!set->compiled && set->items.size() > 1) {  // too large together: it stands alone
+  if (!set->compiled && set->items.size() > 1) {  // too large with the others: gets a set of its own
     set->items.pop_back();
     set->compile();
     start_set();
--- a/src/purge/patterns.h
+++ b/src/purge/patterns.h
@@ -1,8 +1,8 @@
 /// \file
-/// Patterns over object names, by RE2 (Cox, 2010): time linear in the name, bounded memory, matched in sets
-/// in one pass.
+/// Matches object names against purge patterns with RE2 (Cox, 2010), which takes time linear in the name and
+/// bounded memory. Patterns are grouped into sets, and each set is matched in one pass.
 ///
-/// Threads: one at a time.
+/// Threads: not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -17,35 +17,35 @@
 
 namespace walkpaddle::purge {
 
-/// The purges by pattern, in the order in which they came.
+/// Purges by pattern, in the order in which they were added.
 class PurgePatterns {
  public:
   PurgePatterns();
   ~PurgePatterns();
 
-  /// Why the pattern cannot be used, for the operator; nullopt if it can. A pattern is matched against the
-  /// whole name.
+  /// Why the pattern cannot be used, as a message for the operator; nullopt if it can. A pattern must match
+  /// the whole name.
   static std::optional<std::string> rejection_reason(std::string_view pattern);
 
-  /// Adds one that rejection_reason() let pass. Compiles the last set anew: some 0.2 ms.
+  /// Adds a pattern that rejection_reason() accepts. Recompiles the newest set, which takes about 0.2 ms.
   void add(std::string_view pattern, Seconds valid_since);
-  /// The newest `valid_since` of those that match and were added as number `since` (from 0) or later; 0 for
-  /// none. Where a set cannot be matched within its memory, all of it counts as matching.
+  /// The newest `valid_since` of the matching patterns, 0 if none matches. The first `since` patterns ever
+  /// added may be left out. If a set exceeds its memory limit, all its patterns count as matching.
   Seconds newest_match(std::string_view name, std::uint64_t since) const;
-  /// How many were ever added.
+  /// Number of patterns ever added.
   std::uint64_t added() const { return added_; }
-  /// How many there are now.
+  /// Number of patterns held now.
   std::size_t size() const { return size_; }
-  /// Drops the sets whose patterns are all older than `expired_before`, and past the bound the oldest set.
-  /// Returns the newest `valid_since` of those dropped for the bound, 0 if none was: from then on the caller
-  /// treats all copies older than that as stale.
+  /// Drops the oldest sets while all their patterns are older than `expired_before` or there are too many
+  /// sets. Returns the newest `valid_since` of the sets dropped for the second reason, 0 if there are none;
+  /// the caller must treat all copies from before that time as stale.
   Seconds trim(Seconds expired_before);
 
  private:
   struct Set;
 
-  static constexpr std::size_t kPatternsPerSet = 16;  // one compilation takes about 0.2 ms
-  static constexpr std::size_t kMaxSets = 64;         // at most some 64 * 256 KB, usually far less
+  static constexpr std::size_t kPatternsPerSet = 16;  // compiling a full set takes about 0.2 ms
+  static constexpr std::size_t kMaxSets = 64;  // at most 64 * 256 KB for compiled patterns, usually far less
 
   std::deque<std::unique_ptr<Set>> sets_;
   std::uint64_t added_ = 0;
--- a/src/purge/tags.h
+++ b/src/purge/tags.h
@@ -1,8 +1,8 @@
 /// \file
-/// What is known of an object beside its name: the tags that its answers named, and the newest purge by
-/// pattern that matched it. A set-associative cache: bounded, and what it has no record of is unknown.
+/// Set-associative cache of per-object data: the tags that responses named for the object, and the newest
+/// purge by pattern that matches its name. Records are evicted, so a missing record means unknown.
 ///
-/// Threads: one at a time.
+/// Threads: not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -16,36 +16,37 @@
 
 namespace walkpaddle::purge {
 
-/// Tags and pattern matches by object.
+/// Tags and pattern matches, keyed by object.
 class TagCache {
  public:
-  /// What is known of one object.
+  /// Tags and pattern matches of one object.
   struct Record {
-    static constexpr std::size_t kMaxTags = 6;  ///< the tags of an object with more count as unknown
+    static constexpr std::size_t kMaxTags =
+        6;  ///< tags stored; the tags of an object with more count as unknown
 
     std::uint64_t object = 0;                    ///< stable hash of its name
-    std::array<std::uint64_t, kMaxTags> tags{};  ///< stable hashes, the first tag_count of them
-    Seconds used_at = 0;                         ///< 0: the record is free
-    Seconds pattern_valid_since = 0;     ///< newest purge by pattern of those matched so far; 0 for none
-    std::uint64_t patterns_matched = 0;  ///< how many patterns were matched against it
-    std::uint8_t tag_count = 0;          ///< at most kMaxTags
-    bool tags_reported = false;          ///< some answer said what its tags are
-    bool too_many_tags = false;          ///< there are more than kMaxTags
-
-    /// Whether all_tags() is all that it may have.
+    std::array<std::uint64_t, kMaxTags> tags{};  ///< stable hashes; the first tag_count are set
+    Seconds used_at = 0;                         ///< time of last use; 0 if the record is free
+    Seconds pattern_valid_since = 0;             ///< newest valid_since of the matching patterns; 0 for none
+    std::uint64_t patterns_matched = 0;          ///< PurgePatterns::added() when patterns were last matched
+    std::uint8_t tag_count = 0;                  ///< number of tags stored, at most kMaxTags
+    bool tags_reported = false;                  ///< whether any response has named its tags
+    bool too_many_tags = false;                  ///< whether it has more than kMaxTags tags
+
+    /// Whether all_tags() is complete.
     bool tags_known() const { return tags_reported && !too_many_tags; }
-    /// The tags that were reported.
+    /// The tags stored.
     std::span<const std::uint64_t> all_tags() const { return {tags.data(), tag_count}; }
   };
 
-  /// For about `objects`, rounded up to whole sets; takes no memory before the first use.
+  /// Capacity is `objects`, rounded up to whole sets. Allocates on first use.
   explicit TagCache(std::size_t objects) : sets_(std::max<std::size_t>(1, (objects + kWays - 1) / kWays)) {}
 
-  /// The object's record, or null. Good until the next call that may add one.
+  /// The object's record, or null. The pointer is valid until the next call that may add a record.
   const Record* find(std::uint64_t object) const;
-  /// The object's record; a new one takes the place of the least recently used of its set.
+  /// The object's record. A new record replaces the least recently used one of its set.
   Record& find_or_add(std::uint64_t object, Seconds now);
-  /// Adds to the tags that are known: copies of some age may still have those reported before.
+  /// Adds tags to the object's record. Earlier tags stay, because older copies may still carry them.
   void learn(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now);
 
  private:
