--- a/src/purge/purge_delivery.cpp
+++ b/src/purge/purge_delivery.cpp
@@ -18,10 +18,11 @@
 }
 
 void PurgeDelivery::postpone(int server, Seconds now) {
-  constexpr Seconds kDialTime = 0.05;  // a connection is up within some milliseconds, or not for a while
+  // Connecting takes a few milliseconds; if it has not succeeded by then, it will not for a while.
+  constexpr Seconds kConnectTime = 0.05;
   auto& s = at(server);
   s.sent = s.confirmed;
-  s.retry_at = now + kDialTime;
+  s.retry_at = now + kConnectTime;
   if (s.state != State::delivering) s.state = State::unknown;
 }
 
@@ -35,7 +36,7 @@
 
 void PurgeDelivery::confirmed(int server, std::uint64_t position, Seconds now) {
   auto& s = at(server);
-  if (s.state != State::delivering || position > s.sent) return;  // of an earlier connection
+  if (s.state != State::delivering || position > s.sent) return;  // from an earlier connection
   s.confirmed = std::max(s.confirmed, position);
   s.retry_at = s.sent > s.confirmed ? now + kRetryAfter : 0;
 }
@@ -56,11 +57,11 @@
     return Message{server, nullptr};
   }
   if (s.sent == s.confirmed && now < s.retry_at) return std::nullopt;
-  if (s.sent > s.confirmed && now >= s.retry_at) s.sent = s.confirmed;  // unanswered: sent again
+  if (s.sent > s.confirmed && now >= s.retry_at) s.sent = s.confirmed;  // no answer: resend
   if (s.sent >= s.confirmed + kMaxUnconfirmed) return std::nullopt;
   const auto* entry = log_.at_or_after(s.sent + 1);
   if (entry == nullptr) {
-    if (s.sent == s.confirmed) {  // dropped since: nothing to confirm
+    if (s.sent == s.confirmed) {  // the log dropped all later entries; nothing is left to confirm
       s.confirmed = log_.last_position();
       s.sent = s.confirmed;
     }
--- a/src/purge/purge_delivery.h
+++ b/src/purge/purge_delivery.h
@@ -1,9 +1,10 @@
 /// \file
-/// Which purges each cache server has confirmed, without I/O. Purges go out in this router's order of
-/// arrival, a bounded number ahead of what was confirmed. Each cache server has a cursor; what it confirmed
-/// in an earlier run counts only if it says so itself: one that started empty reports 0.
+/// Tracks which purges each cache server has confirmed, without I/O. Purges are sent in order of position,
+/// with a bounded number unconfirmed. A cache server's cursor is the position up to which it has applied this
+/// router's purges. It is requested again after a connection was lost: a cache server that restarted empty
+/// reports 0.
 ///
-/// Threads: one at a time. Lifetime: the log outlives the delivery.
+/// Threads: not thread-safe. Lifetime: the log must outlive the delivery.
 #pragma once
 
 #include <cstddef>
@@ -15,39 +16,41 @@
 
 namespace walkpaddle::purge {
 
-/// The purges on their way to cache servers. A cache server is named by its index among the endpoints.
+/// Delivery of purges to cache servers. A cache server is identified by its endpoint index.
 class PurgeDelivery {
  public:
-  /// What is to be sent to one cache server.
+  /// A message to send to one cache server.
   struct Message {
     int server = -1;                    ///< index of the cache server
-    const PurgeEntry* entry = nullptr;  ///< the purge; null: ask the cache server for its cursor
+    const PurgeEntry* entry = nullptr;  ///< the purge to send; null to request the cursor
   };
 
-  /// Nothing is listed yet.
+  /// Starts with no cache servers listed.
   explicit PurgeDelivery(const PurgeLog& log) : log_(log) {}
 
-  /// Whether the endpoint list names the cache server; others get nothing and are not waited for.
+  /// Sets whether the endpoint list names the cache server. One that is not listed is sent nothing and is not
+  /// reported as unconfirmed.
   void set_listed(int server, bool listed) { at(server).listed = listed; }
-  /// Purges past this position are not sent: a restart would lose them.
+  /// Limits sending to purges up to this position. Later ones are not durable yet, and a restart of the
+  /// router would lose them.
   void allow_up_to(std::uint64_t position) { allowed_ = position; }
-  /// What was sent and not confirmed is sent again once the cursor is known.
+  /// Reports a lost connection. Unconfirmed purges are sent again once the cursor has been reported.
   void connection_lost(int server);
-  /// There is no connection yet: what was to be sent is sent a little later.
+  /// Reports that a message could not be sent, since there is no connection yet. Sending is retried shortly.
   void postpone(int server, Seconds now);
-  /// The cache server reports its cursor, 0 if it has no purge from this router.
+  /// Sets the cursor that the cache server reported, 0 if it has no purge from this router.
   void cursor_reported(int server, std::uint64_t position);
-  /// The cache server confirms all up to there.
+  /// Records that the cache server confirmed all purges up to `position`.
   void confirmed(int server, std::uint64_t position, Seconds now);
-  /// The cache server does not know the command: it gets nothing any more.
+  /// Stops delivery to a cache server that does not know the command.
   void command_unsupported(int server) { at(server).state = State::unsupported; }
 
-  /// The next message to send, to be called until it gives none.
+  /// The next message to send. The caller repeats the call until it returns nullopt.
   std::optional<Message> next(Seconds now);
 
-  /// The listed cache servers that understand purges and have not confirmed the position.
+  /// The listed cache servers that support purges and have not confirmed `position`.
   std::vector<int> unconfirmed(std::uint64_t position) const;
-  /// The position up to which the cache server has confirmed.
+  /// The position up to which the cache server has confirmed all purges.
   std::uint64_t confirmed_by(int server) const;
 
  private:
@@ -57,12 +60,12 @@
     State state = State::unknown;
     bool listed = false;
     std::uint64_t confirmed = 0;  // position
-    std::uint64_t sent = 0;       // position, never before `confirmed`
+    std::uint64_t sent = 0;       // position, at least `confirmed`
     Seconds retry_at = 0;
   };
 
-  static constexpr std::uint64_t kMaxUnconfirmed = 32;  // a batch of a few kilobytes on its way to one server
-  // Without an answer; as long as a frozen cache server is left alone at first.
+  static constexpr std::uint64_t kMaxUnconfirmed = 32;  // a few kilobytes in flight to one server
+  // Time without an answer before a retry; the same as the shortest ejection of an endpoint.
   static constexpr Seconds kRetryAfter = 0.5;
 
   CacheServer& at(int server);
--- a/src/purge/purge_index.cpp
+++ b/src/purge/purge_index.cpp
@@ -13,7 +13,7 @@
   if (valid_since <= current) return;
   current = valid_since;
   order_.emplace_back(valid_since, key);
-  // Purged again and again, a key stands several times in the order: that is bounded too.
+  // A key that is purged repeatedly has several elements in order_, so its length is bounded as well.
   const std::size_t max_order = 4 * max_entries;
   while (by_key_.size() > max_entries || order_.size() > max_order) remove_oldest(Removal::fold);
 }
@@ -22,7 +22,7 @@
   const auto [valid_since, key] = order_.front();
   order_.pop_front();
   const auto it = by_key_.find(key);
-  if (it == by_key_.end() || it->second != valid_since) return;  // a newer one stands behind
+  if (it == by_key_.end() || it->second != valid_since) return;  // order_ has a newer element for the key
   by_key_.erase(it);
   if (removal == Removal::expire) return;
   if (folded_.empty()) folded_.resize(kSlots);
@@ -71,7 +71,7 @@
   Seconds newest = std::max({all_valid_since_, objects_.newest(object), groups_.newest(group)});
   const auto* record = object_tags_.find(object);
   if (tags_.newest() > newest) {
-    // Tags that are not known may be any: this covers more, never less.
+    // An object whose tags are unknown may have any tag, so it is treated as covered by the newest tag purge.
     const bool known = record != nullptr && record->tags_known();
     newest = std::max(newest, known ? valid_since_for_tags(record->all_tags(), now) : tags_.newest());
   }
@@ -80,7 +80,7 @@
   return now - newest > limits_.max_age ? 0 : newest;
 }
 
-// Only patterns that came since the object was last asked for are matched.
+// Matches only the patterns added since the object's last lookup.
 Seconds PurgeIndex::newest_pattern(std::uint64_t object, std::string_view name, Seconds now) {
   auto& record = object_tags_.find_or_add(object, now);
   if (record.patterns_matched < patterns_.added()) {
--- a/src/purge/purge_index.h
+++ b/src/purge/purge_index.h
@@ -1,9 +1,9 @@
 /// \file
-/// The purges that are in force, by what they cover: for an object, the time before which its copies are
-/// stale. Bounded: past a bound the oldest purges of a kind fold into slots by hash, which cover more, never
-/// less. No I/O.
+/// Index of the purges in force by what they cover. For an object it gives the time before which its copies
+/// are stale. Memory is bounded: above the limit the oldest purges of a kind are folded into hash slots,
+/// which may cover more than the purges did but never less. No I/O.
 ///
-/// Threads: one at a time.
+/// Threads: not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -21,17 +21,17 @@
 
 namespace walkpaddle::purge {
 
-/// Answers which copies of an object are stale.
+/// Tells which copies of an object are stale.
 class PurgeIndex {
  public:
-  /// What the index may take.
+  /// Limits on time and memory.
   struct Limits {
-    Seconds max_age = 7;                  ///< no copy is older: for so long a purge is in force
-    std::size_t entries_per_kind = 4096;  ///< before the oldest fold into slots
-    std::size_t objects = 16384;          ///< whose tags and pattern matches are remembered
+    Seconds max_age = 7;                  ///< greatest age of a copy, so also how long a purge is in force
+    std::size_t entries_per_kind = 4096;  ///< above it the oldest are folded into slots
+    std::size_t objects = 16384;          ///< objects whose tags and pattern matches are cached
   };
 
-  /// An empty index.
+  /// Creates an empty index.
   explicit PurgeIndex(const Limits& limits);
 
   /// Purges one object, by its stable hash.
@@ -46,40 +46,40 @@
   void add_tag(std::uint64_t tag, Seconds valid_since) {
     tags_.add(tag, valid_since, limits_.entries_per_kind);
   }
-  /// Purges the objects whose names match; PurgePatterns::rejection_reason() has let the pattern pass.
+  /// Purges the objects whose names match a pattern that PurgePatterns::rejection_reason() accepts.
   void add_pattern(std::string_view pattern, Seconds valid_since);
   /// Purges everything.
   void add_all(Seconds valid_since);
-  /// Purges what the entry covers. Throws InputError if its target does not fit its kind.
+  /// Purges what the entry covers. Throws InputError if it is a group purge whose target is not a number.
   void add(const PurgeEntry& entry);
 
-  /// Copies of this object made before the time returned are stale; 0 if no purge in force covers it. `name`
-  /// is read for patterns alone.
+  /// Time before which copies of the object are stale, 0 if no purge in force covers it. `name` is used only
+  /// to match patterns.
   Seconds valid_since(std::uint64_t object, std::uint32_t group, std::string_view name, Seconds now);
-  /// The same for the tags that an answer names for its own copy.
+  /// Time before which a copy with these tags is stale, 0 if no purge in force covers them.
   Seconds valid_since_for_tags(std::span<const std::uint64_t> tags, Seconds now) const;
 
-  /// Remembers the tags that an answer named for the object.
+  /// Records tags that a response named for the object.
   void learn_tags(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now);
 
-  /// Drops what is out of force; a bounded part a call.
+  /// Drops purges no longer in force, a bounded number for each call.
   void trim(Seconds now);
 
-  /// How many purges are in force one by one, those folded into slots not counted.
+  /// Number of purges held individually; those folded into slots are not counted.
   std::size_t size() const { return objects_.size() + groups_.size() + tags_.size() + patterns_.size(); }
 
  private:
-  // Purges by a key, the newest of each.
+  // The newest purge of each key.
   class NewestByKey {
    public:
     void add(std::uint64_t key, Seconds valid_since, std::size_t max_entries);
     Seconds newest(std::uint64_t key) const;
-    Seconds newest() const { return newest_; }  // of all keys
+    Seconds newest() const { return newest_; }  // over all keys
     void trim(Seconds expired_before);
     std::size_t size() const { return by_key_.size(); }
 
    private:
-    enum class Removal { expire, fold };  // fold: into its slot, which covers more than the key
+    enum class Removal { expire, fold };  // fold: keep the time in the key's slot, shared with other keys
 
     static constexpr std::size_t kSlots = 1024;
     static constexpr std::size_t kMaxDropsPerTrim = 4096;
@@ -88,8 +88,8 @@
     void remove_oldest(Removal removal);
 
     std::unordered_map<std::uint64_t, Seconds> by_key_;
-    std::deque<std::pair<Seconds, std::uint64_t>> order_;  // as they came
-    std::vector<Seconds> folded_;                          // by slot; empty before the first fold
+    std::deque<std::pair<Seconds, std::uint64_t>> order_;  // time and key, in order of arrival
+    std::vector<Seconds> folded_;                          // newest time by slot; empty until the first fold
     Seconds newest_ = 0;
   };
 
