--- a/src/purge/purge_log.cpp
+++ b/src/purge/purge_log.cpp
@@ -6,9 +6,9 @@
 namespace walkpaddle::purge {
 
 const PurgeEntry& PurgeLog::issue(std::uint64_t self, PurgeKind kind, std::string target, Seconds now) {
-  constexpr Seconds kLeastStep = 1e-6;  // that a double of Unix seconds still tells apart
+  constexpr Seconds kMinStep = 1e-6;  // smallest step that a double holding Unix seconds resolves reliably
   auto& progress = issuers_[self];
-  const PurgeStamp stamp{std::max(now, last_issued_at_ + kLeastStep), self, progress.contiguous + 1};
+  const PurgeStamp stamp{std::max(now, last_issued_at_ + kMinStep), self, progress.contiguous + 1};
   progress.reported = std::max(progress.reported, stamp.number);
   const auto& entry = insert({stamp, kind, std::move(target), now, kNextPosition});
   advance(self, now);
@@ -46,12 +46,12 @@
 
 void PurgeLog::advance(std::uint64_t issuer, Seconds now) {
   auto& progress = issuers_[issuer];
-  progress.grew_at = now;
+  progress.advanced_at = now;
   ++progress.contiguous;
   absorb_early(issuer, progress);
 }
 
-// What arrived early and now follows the run without a gap becomes part of it.
+// Extends the run over early entries that now follow it without a gap.
 void PurgeLog::absorb_early(std::uint64_t issuer, IssuerProgress& progress) {
   while (contains(issuer, progress.contiguous + 1)) {
     ++progress.contiguous;
@@ -66,7 +66,7 @@
   progress.evicted_valid_since = std::max(progress.evicted_valid_since, evicted_valid_since);
   if (dropped <= progress.contiguous) return;
   progress.reported = std::max(progress.reported, dropped);
-  // Early entries up to there stay; they are part of the run from now on.
+  // Early entries up to `dropped` stay in the log and now belong to the run.
   for (auto it = by_number_.lower_bound({issuer, progress.contiguous + 1});
        it != by_number_.end() && it->first.first == issuer && it->first.second <= dropped &&
        early_entries_ > 0;
@@ -75,7 +75,7 @@
   progress.dropped = dropped;
   progress.contiguous = dropped;
   progress.durable = std::max(progress.durable, dropped);
-  progress.grew_at = now;
+  progress.advanced_at = now;
   absorb_early(issuer, progress);
 }
 
@@ -111,14 +111,14 @@
   entries_.erase(it);
 }
 
-// An issuer without entries of whom nothing came for twice the age of the oldest copy is forgotten: it will
-// not come back, since a router without a store starts under a new id and one with a store keeps its numbers
-// there.
+// Once the limit on issuers is reached, forgets those whose entries are all dropped and whose run has not
+// grown for twice the greatest age of a copy. Such an issuer's progress is no longer needed: a router without
+// a store has a new id after a restart, and one with a store continues its own numbers.
 void PurgeLog::forget_issuers(Seconds now) {
   if (issuers_.size() < limits_.issuers) return;
   std::erase_if(issuers_, [&](const auto& issuer) {
     const auto& progress = issuer.second;
-    return progress.dropped == progress.contiguous && now - progress.grew_at > 2 * limits_.max_age;
+    return progress.dropped == progress.contiguous && now - progress.advanced_at > 2 * limits_.max_age;
   });
 }
 
