--- a/src/purge/purge_registry.cpp
+++ b/src/purge/purge_registry.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr std::size_t kDiscoveryEntriesPerKind = 4096;  // far past any seen within a settle time
-constexpr std::uint64_t kMaxStoreLag = 65536;           // entries issued while nothing can be stored
+constexpr std::size_t kDiscoveryEntriesPerKind = 4096;  // far more than arrive within a settle time
+constexpr std::uint64_t kMaxStoreLag = 65536;           // entries that may wait for the store
 constexpr std::size_t kMaxErasuresPending = 65536;
-constexpr std::size_t kMaxIssuedWatched = 256;  // more than an operator looks at
+constexpr std::size_t kMaxIssuedTracked = 256;  // more than an operator follows at a time
 
 PurgeIndex::Limits index_limits(const PurgeRegistry::Setup& setup) {
-  // Discovery's purges stay a second longer: cache servers' clocks and the way to them.
+  // One second more than the settle time allows for clock differences to cache servers and network delay.
   const Seconds discovery_age = setup.discovery_settle_time + 1;
   return {.max_age = setup.replicated ? std::max(setup.max_copy_age, discovery_age) : discovery_age,
           .entries_per_kind = setup.replicated ? setup.max_entries : kDiscoveryEntriesPerKind,
@@ -54,19 +54,21 @@
 }
 
 std::optional<std::string> PurgeRegistry::rejection_reason(PurgeKind kind, std::string_view target) const {
-  if (!replication_) return "no fleet is set up: [fleet] is missing in the operator's file";
+  if (!replication_)
+    return "purges are not replicated: the operator's file has no fleet section or sets purges = false";
   if (kind == PurgeKind::all) {
     if (target.empty()) return std::nullopt;
-    return "'all' takes no name";
+    return "'all' takes no target";
   }
   if (target.empty() || target.size() > kMaxTargetBytes || !std::ranges::all_of(target, is_visible))
-    return "it takes 1 to " + std::to_string(kMaxTargetBytes) + " visible characters without spaces";
+    return "the target must have 1 to " + std::to_string(kMaxTargetBytes) +
+           " printable characters without spaces";
   if (kind == PurgeKind::group && (target.size() > 3 || !std::ranges::all_of(target, is_digit)))
     return "a group is a number from 0 to 255";
   if (kind == PurgeKind::pattern) return PurgePatterns::rejection_reason(target);
-  // The writer is behind or the disk is full.
+  // The store's writer is too slow, or its writes fail, for example on a full disk.
   if (is_disk_backed() && log_.last_position() - stored_position_ > kMaxStoreLag)
-    return "the store is too far behind";
+    return "too many purges wait to be written to the store";
   return std::nullopt;
 }
 
@@ -83,9 +85,9 @@
 const PurgeEntry& PurgeRegistry::issue(PurgeKind kind, std::string target, Seconds now) {
   const auto& entry = log_.issue(setup_.self, kind, std::move(target), now);
   put_in_force(entry);
-  if (!is_disk_backed()) replication_->broadcast(entry);  // else once it is stored
+  if (!is_disk_backed()) replication_->broadcast(entry);  // otherwise mark_stored() does it
   issued_.emplace_back(entry.stamp, 0);
-  if (issued_.size() > kMaxIssuedWatched) issued_.pop_front();
+  if (issued_.size() > kMaxIssuedTracked) issued_.pop_front();
   note_accepted(now);
   return entry;
 }
@@ -100,7 +102,7 @@
 
 AddResult PurgeRegistry::add(const PurgeStamp& stamp, PurgeKind kind, std::string_view target, Seconds now) {
   if (kind == PurgeKind::pattern && PurgePatterns::rejection_reason(target)) {
-    // Another version's pattern: everything covers more.
+    // A peer of another version accepts this pattern. A purge of everything covers at least as much.
     kind = PurgeKind::all;
     target = {};
   }
@@ -120,7 +122,7 @@
 void PurgeRegistry::restore(const PurgeEntry& entry, Seconds now) {
   const PurgeEntry* added = nullptr;
   auto restored = entry;
-  // A clock set back since then must not make a purge younger than now.
+  // If the clock was set back since the purge was stored, its valid_since must not be in the future.
   restored.valid_since = std::min(entry.valid_since, now);
   log_.restore(std::move(restored), now, &added);
   if (added != nullptr) put_in_force(*added);
@@ -168,7 +170,7 @@
 }
 
 Seconds PurgeRegistry::copy_age_limit(Seconds now) const {
-  // While watch events are missing: a way to a cache server and back over links that are slow.
+  // Age limit while watch events are missing: the round trip time to a cache server over a slow link.
   constexpr Seconds kGapAgeLimit = 0.2;
   const Seconds fleet_limit = replication_ ? replication_->copy_age_limit(now) : 0;
   if (!discovery_gap_) return fleet_limit;
@@ -192,7 +194,7 @@
   constexpr std::size_t kMaxDropsPerTrim = 256;
   index_.trim(now);
   log_.trim(now, kMaxDropsPerTrim, [&](const PurgeEntry& entry) {
-    // While the disk takes nothing, what is not erased is dropped again after the next start.
+    // The queue may be full while writes fail. Entries left in the store are dropped again after a restart.
     if (is_disk_backed() && entry.position <= stored_position_ && to_erase_.size() < kMaxErasuresPending)
       to_erase_.push_back(entry.stamp);
   });
--- a/src/purge/purge_registry.h
+++ b/src/purge/purge_registry.h
@@ -1,10 +1,10 @@
 /// \file
-/// The purges of one router, without I/O: those of discovery and those of the fleet, in one index; which
-/// copies of an object may be served; who has confirmed what. A host feeds it and pulls what is to be sent
-/// and stored.
+/// The purges of one router, without I/O. Purges from discovery and purges replicated in the fleet share one
+/// index, which tells which copies of an object may be served. The host passes in received messages and
+/// fetches what is to be sent and stored.
 ///
-/// Times are seconds on the host's clock. Errors: a purge that cannot be used is rejected with a reason, no
-/// exception. Threads: one at a time.
+/// Times are seconds on the host's clock. Errors: a purge that cannot be used is rejected with a reason, not
+/// with an exception. Threads: not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -24,110 +24,112 @@
 
 namespace walkpaddle::purge {
 
-/// Binds the log, the index, the delivery to cache servers and the replication between routers.
+/// Combines the log, the index, the delivery to cache servers and the replication between routers.
 class PurgeRegistry {
  public:
-  /// What it is set up with.
+  /// Configuration.
   struct Setup {
-    Seconds discovery_settle_time = 6;  ///< purges of discovery have reached all cache servers by then
-    bool replicated = false;  ///< purges go between routers; the fields below count only where they do
-    int peer_count = 0;       ///< routers beside this one
-    LogStorage storage = LogStorage::memory;  ///< disk: the host stores what next_to_store() gives
-    /// This router as an issuer: the same after a restart with its store, else never used before.
+    Seconds discovery_settle_time = 6;  ///< time until a purge from discovery has reached all cache servers
+    bool replicated = false;  ///< purges are exchanged between routers; else the fields below are unused
+    int peer_count = 0;       ///< number of other routers
+    LogStorage storage = LogStorage::memory;  ///< with disk, the host stores the entries of next_to_store()
+    /// This router's issuer id: kept in the store across restarts; without a store, new at each start.
     std::uint64_t self = 0;
-    Seconds max_copy_age = 86400;     ///< no cache server has an older copy
-    PurgeReplication::Timing timing;  ///< lease and heartbeats
-    std::size_t max_entries = 65536;  ///< in the log, and in force of each kind
-    std::size_t max_objects = 16384;  ///< whose tags are remembered
+    Seconds max_copy_age = 86400;     ///< greatest age of a copy at any cache server
+    PurgeReplication::Timing timing;  ///< lease and heartbeat interval
+    std::size_t max_entries = 65536;  ///< in the log, and in the index for each kind
+    std::size_t max_objects = 16384;  ///< objects whose tags are cached
   };
 
-  /// How far one purge has come.
+  /// Progress of one purge.
   struct Status {
-    bool accepted = false;  ///< a majority has it: it will be in force everywhere within the lease
-    int replicas = 0;       ///< routers that have it for good
-    int routers = 0;        ///< all of the fleet
-    /// When it was first seen accepted, of one issued here since the start; 0 where that is not known.
+    bool accepted = false;  ///< a majority has it, so it is in force everywhere within the lease
+    int replicas = 0;       ///< routers that have it durably
+    int routers = 0;        ///< routers in the fleet
+    /// When a purge issued here since the start was first seen to be accepted; 0 if that is not known.
     Seconds accepted_at = 0;
     std::vector<int> peers_lacking{};        ///< peers that have not reported it
     std::vector<int> servers_unconfirmed{};  ///< cache servers that have not confirmed it
   };
 
-  /// No purge is in force.
+  /// Starts with no purge in force.
   PurgeRegistry(const Setup& setup, Seconds now);
 
-  /// Discovery purged an object, by its stable hash.
+  /// Adds a purge from discovery of an object, given by its stable hash.
   void discovery_purged_object(std::uint64_t object, Seconds valid_since);
-  /// Discovery purged a group.
+  /// Adds a purge from discovery of a group.
   void discovery_purged_group(std::uint32_t group, Seconds valid_since);
-  /// Whether watch events of discovery are missing: until they came every copy counts as stale that may be
-  /// one of theirs.
+  /// Sets whether watch events of discovery are missing. While they are, the age of all copies is bounded,
+  /// because any copy may be covered by a missing purge.
   void set_discovery_gap(bool open);
-  /// Discovery will not send them again: all copies from before now are stale.
+  /// Treats all copies from before now as stale, since discovery will not resend the missing purges.
   void discovery_purges_lost(Seconds now);
 
-  /// Why an operator's purge cannot be issued, nullopt if it can.
+  /// Why an operator's purge cannot be issued; nullopt if it can.
   std::optional<std::string> rejection_reason(PurgeKind kind, std::string_view target) const;
-  /// Issues one that rejection_reason() let pass.
+  /// Issues a purge that rejection_reason() accepts.
   const PurgeEntry& issue(PurgeKind kind, std::string target, Seconds now);
-  /// How far it has come; only where purges are replicated.
+  /// Progress of the purge. Requires replication.
   Status status(const PurgeEntry& entry) const;
 
-  /// The replication between routers; null where there is none.
+  /// The replication between routers; null if purges are not replicated.
   PurgeReplication* replication() { return replication_ ? &*replication_ : nullptr; }
-  /// The same to look at.
+  /// The replication between routers, for reading; null if purges are not replicated.
   const PurgeReplication* replication() const { return replication_ ? &*replication_ : nullptr; }
-  /// Adds one that a peer sent.
+  /// Adds a purge that a peer sent.
   AddResult add(const PurgeStamp& stamp, PurgeKind kind, std::string_view target, Seconds now);
-  /// To be called once after each of replication()'s inputs.
+  /// Must be called once after each message passed to replication().
   void after_input(Seconds now);
 
-  /// First at a start with a store: the issuer's numbers up to `dropped` were dropped before it.
+  /// First step of a restore from a store: the issuer's numbers up to `dropped` had been dropped.
   void restore_dropped(std::uint64_t issuer, std::uint64_t dropped, Seconds evicted_valid_since, Seconds now);
-  /// Then the entries, in the order of their positions.
+  /// Second step: adds the stored entries, in order of position.
   void restore(const PurgeEntry& entry, Seconds now);
-  /// Last, with a store or without.
+  /// Last step; also called at a start without a store.
   void finish_restore();
-  /// The next entry that the store has not been given; null for none, or where nothing is stored.
+  /// The next entry to pass to the store; null if there is none or nothing is stored.
   const PurgeEntry* next_to_store() const;
-  /// The store has taken it; stored() follows once it is durable.
+  /// Records that the store has queued the entry. mark_stored() follows once it is durable.
   void mark_queued(const PurgeEntry& entry) { queued_position_ = entry.position; }
-  /// The next entry that is to be erased from the store; null for none.
+  /// The next entry to erase from the store; null if there is none.
   const PurgeStamp* next_to_erase() const { return to_erase_.empty() ? nullptr : &to_erase_.front(); }
-  /// The store has taken that erasure.
+  /// Records that the store has queued the erasure of next_to_erase().
   void mark_erased() { to_erase_.pop_front(); }
-  /// All up to this position is durable.
+  /// Records that all entries up to this position are durable.
   void mark_stored(std::uint64_t position, Seconds now);
 
-  /// Copies of the object made before the time returned are stale; 0 if no purge in force covers it.
+  /// Time before which copies of the object are stale; 0 if no purge in force covers it.
   Seconds valid_since(std::uint64_t object, std::uint32_t group, std::string_view name, Seconds now) {
     return index_.valid_since(object, group, name, now);
   }
-  /// The bound on the age of every copy, 0 for none.
+  /// Greatest age at which any copy may be served; 0 if there is no limit.
   Seconds copy_age_limit(Seconds now) const;
-  /// Whether an answer's copy, made at that time, may not be served now; its own tags count too.
+  /// Whether a copy made at `made_at` must not be served now. `tags` are those that the response names.
   bool is_stale(std::uint64_t object, std::uint32_t group, std::string_view name,
                 std::span<const std::uint64_t> tags, Seconds made_at, Seconds now);
-  /// Remembers the tags that an answer named for the object.
+  /// Records tags that a response named for the object.
   void learn_tags(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now) {
     if (setup_.replicated) index_.learn_tags(object, tags, now);
   }
-  /// Rises with each purge that comes into force: what valid_since() said may have changed.
+  /// Rises whenever results of valid_since() or copy_age_limit() may have changed because of a purge or a
+  /// discovery gap.
   std::uint64_t version() const { return version_; }
 
-  /// Drops what is out of force; a bounded part a call.
+  /// Drops purges no longer in force, a bounded number for each call.
   void trim(Seconds now);
-  /// Whether the cache server has confirmed every purge that is valid since then or earlier: paths past the
-  /// routers may lead there.
+  /// Whether the cache server has confirmed all purges up to the one that came into force at `valid_since`.
+  /// Needed for DNS answers: a client then requests from the cache server directly, and no router checks the
+  /// age of the copy.
   bool delivered_to(int server, Seconds valid_since) const;
-  /// What goes to cache servers.
+  /// The delivery of purges to cache servers.
   PurgeDelivery& delivery() { return delivery_; }
-  /// All purges of the fleet that this router has.
+  /// The log of replicated purges.
   const PurgeLog& log() const { return log_; }
-  /// What it was set up with.
+  /// The configuration.
   const Setup& setup() const { return setup_; }
-  /// Promised from accepted to no stale copy at any router.
+  /// Guaranteed time from acceptance of a purge until no router serves a stale copy.
   Seconds promised_delay() const { return setup_.timing.lease; }
-  /// How many purges are in force.
+  /// Number of purges held individually in the index.
   std::size_t in_force() const { return index_.size(); }
 
  private:
@@ -144,9 +146,9 @@
   bool discovery_gap_ = false;
   std::uint64_t version_ = 0;
   std::uint64_t stored_position_ = 0;
-  std::uint64_t queued_position_ = 0;  // given to the store
+  std::uint64_t queued_position_ = 0;  // last position passed to the store
   std::deque<PurgeStamp> to_erase_;
-  std::deque<std::pair<PurgeStamp, Seconds>> issued_;  // here, the latest, and when each was accepted
+  std::deque<std::pair<PurgeStamp, Seconds>> issued_;  // latest purges issued here; 0 or time of acceptance
 };
 
 }  // namespace walkpaddle::purge
