--- a/src/purge/purge_registry.cpp
+++ b/src/purge/purge_registry.cpp
@@ -154,7 +154,7 @@
   for (const auto* entry = log_.at_or_after(before + 1);
        entry != nullptr && entry->position <= stored_position_; entry = log_.at_or_after(entry->position + 1))
     if (entry->stamp.issuer == setup_.self) replication_->broadcast(*entry);
-  replication_->heartbeat_soon();
+  replication_->expedite_heartbeats();
   note_accepted(now);
 }
 
--- a/src/purge/purge_replication.cpp
+++ b/src/purge/purge_replication.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::uint64_t kEntriesPerRequest = 256;  // some tens of kilobytes
-constexpr std::size_t kMaxPendingHeartbeats = 4;   // of one peer
+constexpr std::uint64_t kEntriesPerRequest = 256;  // a few tens of kilobytes
+constexpr std::size_t kMaxPendingHeartbeats = 4;   // for each peer
 constexpr std::size_t kMaxSendQueue = 4 * kEntriesPerRequest;
 
 }  // namespace
@@ -21,7 +21,7 @@
       started_at_(now),
       complete_(storage == LogStorage::disk),
       peers_(static_cast<std::size_t>(peers)) {
-  if (storage == LogStorage::memory && peers == 0) {  // nobody to learn the lost ones from
+  if (storage == LogStorage::memory && peers == 0) {  // no peer to recover lost purges from
     complete_ = true;
     purges_lost_ = true;
   }
@@ -30,9 +30,9 @@
 void PurgeReplication::connected(int peer) {
   auto& p = peer_at(peer);
   p.connected = true;
-  p.heartbeat_soon = true;
-  // It may have started anew: what its log has and what time it was there is reported again.
-  p.heard = false;
+  p.expedite_heartbeat = true;
+  // The peer may have restarted, so its heads and clock have to be reported again.
+  p.heartbeat_received = false;
   p.complete = false;
   p.remote_time = 0;
   p.send_queue.clear();
@@ -59,8 +59,8 @@
                                       std::uint64_t dropped, Seconds evicted_ago, Seconds now) {
   peer_at(peer).incoming_heads.emplace_back(issuer, number);
   if (log_.progress(issuer).contiguous < dropped) {
-    // Nobody may have them any more. Those dropped for age concern no copy; for the others all copies are
-    // stale.
+    // No router may have these purges any more. Those dropped for age are older than every copy. For those
+    // dropped for lack of space, all copies from before the newest of them count as stale.
     const Seconds evicted_valid_since = evicted_ago > 0 ? now - evicted_ago : 0;
     if (evicted_valid_since > 0) stale_before_ = std::max(stale_before_.value_or(0), evicted_valid_since);
     log_.skip_dropped(issuer, dropped, evicted_valid_since, now);
@@ -70,19 +70,20 @@
 
 void PurgeReplication::heartbeat_end(int peer, Seconds now) {
   auto& p = peer_at(peer);
-  p.heard = true;
+  p.heartbeat_received = true;
   p.heartbeat_received_at = now;
   p.heads = {p.incoming_heads.begin(), p.incoming_heads.end()};
   if (p.pending.empty()) return;
   p.pending.back().heads = p.incoming_heads;
-  // The first ones stay, or a steady flow of purges would keep every heartbeat from being caught up with.
+  // Drops the second newest and keeps the oldest. Otherwise, under a steady flow of purges, the log would
+  // never reach the heads of any pending heartbeat.
   if (p.pending.size() > kMaxPendingHeartbeats) p.pending.erase(p.pending.end() - 2);
   settle_pending(p);
   check_recovered();
   request_missing(now);
 }
 
-// Once the log has all that a heartbeat reported it is complete with that peer as of the echoed time.
+// Once the log has reached all heads of a heartbeat, it is complete with that peer as of the echoed time.
 void PurgeReplication::settle_pending(Peer& peer) {
   while (!peer.pending.empty()) {
     const auto& [echo, heads] = peer.pending.front();
@@ -100,28 +101,30 @@
   request_missing(now);
 }
 
-// After a start without a store: a purge was accepted when a majority had it, this router perhaps among them.
-// So many others must be heard that no such majority could have been without one of them. If all others are
-// heard and too many have lost theirs as well, what was accepted is gone: every copy from before counts as
-// stale, here and, since that is issued as a purge, at all who would trust this router's log.
+// Checks whether the log has been recovered after a start without a store. A purge was accepted by a majority
+// that may have included this router. Any majority of n routers includes one of any n - majority + 1 others,
+// so the log is complete once it is complete with that many peers whose own logs are. If all peers have
+// reported and too many of them lost their logs as well, accepted purges may be gone: all copies from before
+// then count as stale. That is issued as a purge, so it also reaches the routers that would trust this log.
 void PurgeReplication::check_recovered() {
   if (complete_) return;
   const int needed = static_cast<int>(peers_.size()) + 1 - majority() + 1;
   const auto complete_since_start =
       std::ranges::count_if(peers_, [&](const Peer& p) { return p.complete && p.complete_at > started_at_; });
-  const bool all_heard = std::ranges::all_of(
-      peers_, [](const Peer& p) { return p.heard && p.connected && p.pending.empty() && p.remote_time > 0; });
+  const bool all_reported = std::ranges::all_of(peers_, [](const Peer& p) {
+    return p.heartbeat_received && p.connected && p.pending.empty() && p.remote_time > 0;
+  });
   if (complete_since_start >= needed) {
     complete_ = true;
-  } else if (all_heard) {
+  } else if (all_reported) {
     complete_ = true;
     purges_lost_ = true;
   }
-  if (complete_) heartbeat_soon();
+  if (complete_) expedite_heartbeats();
 }
 
-// Each issuer's run is requested from one peer that reports more; again only when it did not grow for the
-// time of a heartbeat.
+// Requests the rest of each issuer's run from one peer that reports more of it. The request is repeated after
+// a heartbeat interval, or at once when a full batch has arrived.
 void PurgeReplication::request_missing(Seconds now) {
   for (const auto& [issuer, progress] : log_.issuers()) {
     if (progress.reported <= progress.contiguous) {
@@ -141,8 +144,8 @@
   }
 }
 
-// The peer to request an issuer's next purges from, -1 for none. The one asked least lately would need a
-// memory; the one heard latest is alive.
+// The peer to request an issuer's next purges from, or -1 if there is none. Prefers the peer with the latest
+// heartbeat, since it is the most likely to be alive; taking turns would need extra state.
 int PurgeReplication::best_source(std::uint64_t issuer, std::uint64_t contiguous) const {
   const Peer* best = nullptr;
   for (const auto& peer : peers_) {
@@ -167,8 +170,8 @@
       peer.send_queue.emplace_back(entry.stamp.issuer, entry.stamp.number);
 }
 
-void PurgeReplication::heartbeat_soon() {
-  for (auto& peer : peers_) peer.heartbeat_soon = true;
+void PurgeReplication::expedite_heartbeats() {
+  for (auto& peer : peers_) peer.expedite_heartbeat = true;
 }
 
 std::uint64_t PurgeReplication::acknowledged(std::uint64_t issuer) const {
@@ -187,7 +190,7 @@
     auto& peer = peer_at(n);
     if (!peer.connected || now < heartbeat_due(peer)) continue;
     peer.heartbeat_sent_at = now;
-    peer.heartbeat_soon = false;
+    peer.expedite_heartbeat = false;
     return Outgoing{.kind = Outgoing::Kind::heartbeat, .peer = n, .echo = peer.remote_time};
   }
   return std::nullopt;
@@ -205,10 +208,10 @@
 }
 
 Seconds PurgeReplication::heartbeat_due(const Peer& peer) const {
-  // At once after news, but no more than twenty a second: acknowledgements of a burst share a heartbeat.
-  constexpr Seconds kLeastInterval = 0.05;
+  // An expedited heartbeat is limited to 20 a second, so that one acknowledges a whole burst of purges.
+  constexpr Seconds kMinInterval = 0.05;
   const Seconds interval =
-      peer.heartbeat_soon ? std::min(kLeastInterval, timing_.heartbeat) : timing_.heartbeat;
+      peer.expedite_heartbeat ? std::min(kMinInterval, timing_.heartbeat) : timing_.heartbeat;
   return peer.heartbeat_sent_at + interval;
 }
 
--- a/src/purge/purge_replication.h
+++ b/src/purge/purge_replication.h
@@ -1,17 +1,18 @@
 /// \file
-/// How routers bring their purge logs together, without I/O: heartbeats, a lease, and catch-up.
+/// Replication of the purge log between routers, without I/O: heartbeats, a lease, and catch-up.
 ///
-/// Heartbeats carry how far each router's log has come for each issuer; who lacks some requests exactly
-/// those. A purge is accepted once a majority has it, and a router trusts its own log while that was complete
-/// with a majority at most a lease ago (leases: Gray and Cheriton, 1989). Two majorities share a router: what
-/// was accepted a lease ago is in every log that is trusted. The others bound the age of all copies by the
-/// lease.
+/// A heartbeat carries a head for each issuer: the number up to which the sender has all of the issuer's
+/// purges. A router that lacks some requests exactly those. A purge is accepted once a majority has it. A
+/// router trusts its own log if, at some time within the last lease, the log had all that a majority had
+/// (leases: Gray and Cheriton, 1989). Any two majorities share a router, so a purge accepted more than a
+/// lease ago is in every trusted log. A router that does not trust its log limits the age of all copies to
+/// the lease.
 ///
-/// Times echo: a heartbeat brings back the latest time that its sender had from this router, on this router's
-/// clock. What it reports was so no earlier than that, however far apart the clocks are and however long
-/// messages take.
+/// A heartbeat echoes the latest time that its sender received from this router, which is on this router's
+/// clock. The heads were read after that time, so neither clock differences nor message delays matter.
 ///
-/// Threads: one at a time. Lifetime: the log outlives the replication. A peer is named by its index, from 0.
+/// Threads: not thread-safe. Lifetime: the log must outlive the replication. Peers are identified by index,
+/// from 0.
 #pragma once
 
 #include <cstdint>
@@ -25,126 +26,127 @@
 
 namespace walkpaddle::purge {
 
-/// Whether a log survives a restart of its router.
+/// Where the log is kept.
 enum class LogStorage {
-  memory,  ///< it does not: a start is told apart from an empty log
-  disk,    ///< it does, as far as PurgeLog::mark_durable() says
+  memory,  ///< lost at a restart; the log is incomplete until it has been recovered from peers
+  disk,    ///< survives a restart up to the position last passed to PurgeLog::mark_durable()
 };
 
-/// One router's part in the replication: what its peers have reported, and what is to be sent to them.
+/// One router's side of the replication: what its peers have reported, and what to send to them.
 class PurgeReplication {
  public:
-  /// The times of the protocol.
+  /// Timing of the protocol.
   struct Timing {
     Seconds lease = 2;        ///< how long a log is trusted after it was complete
-    Seconds heartbeat = 0.4;  ///< between two heartbeats; a fifth of the lease: three may be lost in a row
+    Seconds heartbeat = 0.4;  ///< interval; a fifth of the lease, so that three in a row may be lost
   };
 
-  /// What is to be sent to one peer.
+  /// A message to send to one peer.
   struct Outgoing {
-    /// Which message.
+    /// Type of message.
     enum class Kind {
-      heartbeat,  ///< how far the log has come, for each issuer
+      heartbeat,  ///< the head of each issuer
       entry,      ///< one purge
-      request,    ///< for an issuer's purges from a number on
+      request,    ///< a request for an issuer's purges, starting at a number
     };
-    Kind kind = Kind::heartbeat;        ///< which of the fields below count
+    Kind kind = Kind::heartbeat;        ///< determines which of the fields below are used
     int peer = -1;                      ///< index of the peer
-    const PurgeEntry* entry = nullptr;  ///< entry: the purge
-    std::uint64_t issuer = 0;           ///< request: whose purges
-    std::uint64_t from_number = 0;      ///< request: from this number on
-    Seconds echo = 0;                   ///< heartbeat: the latest time from that peer, on its clock
+    const PurgeEntry* entry = nullptr;  ///< for entry: the purge
+    std::uint64_t issuer = 0;           ///< for request: the issuer
+    std::uint64_t from_number = 0;      ///< for request: the first number
+    Seconds echo = 0;  ///< for heartbeat: the latest time received from the peer, on its clock
   };
 
-  /// What is shown of a peer.
+  /// Status of a peer for operators.
   struct PeerStatus {
-    bool connected = false;  ///< a connection to it is up
-    /// On this router's clock: no purge in the peer's log by then is missing here; 0: never.
+    bool connected = false;  ///< whether a connection to it is up
+    /// Time on this router's clock up to which this log has all purges of the peer's log; 0 if never.
     Seconds complete_at = 0;
   };
 
-  /// `peers`: how many routers there are beside this one.
+  /// `peers` is the number of other routers.
   PurgeReplication(PurgeLog& log, int peers, LogStorage storage, const Timing& timing, Seconds now);
 
-  /// A connection to the peer is up: it is sent a heartbeat soon.
+  /// Reports that a connection to the peer is up. Sends it a heartbeat soon.
   void connected(int peer);
-  /// The connection is down.
+  /// Reports that the connection to the peer is down.
   void disconnected(int peer);
-  /// A heartbeat begins; a heartbeat_head() for each issuer follows, then heartbeat_end(). `remote_time` is
-  /// the peer's clock, `echo` the latest time that it had from here. `complete`: its log has all that was
-  /// accepted before its start.
+  /// Starts a received heartbeat; heartbeat_head() for each issuer and heartbeat_end() follow. `remote_time`
+  /// is the peer's clock, `echo` the latest time that the peer received from this router, and `complete`
+  /// tells whether its log has all purges accepted before its start.
   void heartbeat_begin(int peer, Seconds remote_time, Seconds echo, bool complete);
-  /// The peer's log has the issuer's numbers up to `number`, of which those up to `dropped` were dropped.
-  /// `evicted_ago`: how long ago the newest of those dropped for want of room was issued, 0 for none.
+  /// The peer's log has the issuer's numbers up to `number` and has since dropped those up to `dropped`.
+  /// `evicted_ago` is the age of the newest purge that was dropped for lack of space, by its `valid_since`; 0
+  /// for none.
   void heartbeat_head(int peer, std::uint64_t issuer, std::uint64_t number, std::uint64_t dropped,
                       Seconds evicted_ago, Seconds now);
-  /// The heartbeat is whole.
+  /// Ends a received heartbeat and acts on its heads.
   void heartbeat_end(int peer, Seconds now);
-  /// To be called after each entry that was added to the log.
+  /// Must be called after each entry that was added to the log.
   void entry_added(Seconds now);
-  /// The peer requests the issuer's purges from a number on; a batch of them is sent.
+  /// Handles a peer's request for the issuer's purges from `from_number` on by sending a batch of them.
   void request_received(int peer, std::uint64_t issuer, std::uint64_t from_number);
-  /// Sends a purge issued here to all peers that are connected.
+  /// Sends a purge issued here to all connected peers.
   void broadcast(const PurgeEntry& entry);
-  /// The log has more for good: peers get a heartbeat soon.
-  void heartbeat_soon();
+  /// Sends each peer its next heartbeat early, since the heads have risen.
+  void expedite_heartbeats();
 
-  /// The next message to send, to be called until it gives none.
+  /// The next message to send. The caller repeats the call until it returns nullopt.
   std::optional<Outgoing> next(Seconds now);
-  /// When next() may have more without an input.
+  /// Time at which next() may have a message again without further input.
   Seconds next_due() const;
 
-  /// Whether all that was accepted before this start is in the log again.
+  /// Whether the log has all purges accepted before this start.
   bool complete() const { return complete_; }
-  /// The log was complete with a majority then, on this router's clock; 0: never.
+  /// Latest time, on this router's clock, at which the log had all that a majority had; 0 if never.
   Seconds complete_as_of(Seconds now) const;
   /// Whether the log is trusted.
   bool lease_valid(Seconds now) const { return now - complete_as_of(now) <= timing_.lease; }
-  /// The bound on the age of every copy; 0 for none.
+  /// Greatest age at which any copy may be served; 0 if there is no limit.
   Seconds copy_age_limit(Seconds now) const { return lease_valid(now) ? 0 : timing_.lease; }
-  /// How many routers are a majority.
+  /// Number of routers in a majority.
   int majority() const { return static_cast<int>(peers_.size() + 1) / 2 + 1; }
-  /// How many routers have the purge for good, this one included.
+  /// Number of routers that have the purge durably, this one included.
   int replicas(const PurgeEntry& entry) const;
   /// The peers that have not reported that they have the purge.
   std::vector<int> peers_lacking(const PurgeEntry& entry) const;
-  /// The issuer's number up to which heartbeats say that this log has all: for good, if it is on disk.
+  /// The issuer's head in this router's heartbeats: the end of the run, or of its durable part with a disk.
   std::uint64_t acknowledged(std::uint64_t issuer) const;
-  /// What is shown of the peer.
+  /// Status of the peer.
   PeerStatus peer_status(int peer) const;
 
-  /// Peers dropped purges for want of room that this log never had: all copies from before the time returned
-  /// are stale here. Given once.
+  /// Set if peers dropped purges for lack of space that this log never had: all copies from before the time
+  /// returned are stale here. Returned once.
   std::optional<Seconds> take_stale_before() { return std::exchange(stale_before_, std::nullopt); }
-  /// Purges were lost with the routers' memory: a purge of everything is to be issued before next(). True
-  /// once.
+  /// Whether accepted purges may be lost because routers without a store restarted. The caller must then
+  /// issue a purge of everything before next(). Returns true once.
   bool take_purges_lost() { return std::exchange(purges_lost_, false); }
 
  private:
   using Heads = std::vector<std::pair<std::uint64_t, std::uint64_t>>;  // issuer, number
 
-  struct PendingHeartbeat {  // it reported numbers that are not in this log yet
+  struct PendingHeartbeat {  // a heartbeat with heads that this log has not reached yet
     Seconds echo = 0;
     Heads heads;
   };
 
   struct Peer {
     bool connected = false;
-    bool complete = false;  // by its last heartbeat
-    bool heard = false;     // a heartbeat came since it connected
+    bool complete = false;            // according to its last heartbeat
+    bool heartbeat_received = false;  // since it connected
     Seconds complete_at = 0;
-    Seconds remote_time = 0;  // the latest, on its clock
+    Seconds remote_time = 0;  // latest received, on the peer's clock
     Seconds heartbeat_sent_at = 0;
     Seconds heartbeat_received_at = 0;
-    bool heartbeat_soon = false;
-    std::map<std::uint64_t, std::uint64_t> heads;                    // by issuer
+    bool expedite_heartbeat = false;
+    std::map<std::uint64_t, std::uint64_t> heads;                    // numbers by issuer
     std::deque<std::pair<std::uint64_t, std::uint64_t>> send_queue;  // issuer, number
     std::deque<PendingHeartbeat> pending;
     Heads incoming_heads;  // of the heartbeat that is being read
   };
 
-  struct Request {                 // the last for an issuer's purges
-    std::uint64_t contiguous = 0;  // the log's at that time
+  struct Request {                 // the last request for an issuer's purges
+    std::uint64_t contiguous = 0;  // end of the issuer's run at that time
     Seconds sent_at = 0;
   };
 
