--- a/src/store/key.h
+++ b/src/store/key.h
@@ -1,5 +1,5 @@
 /// \file
-/// Keys of the store.
+/// Encoding of the store's keys.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace walkpaddle::store {
 
-/// A key: `prefix`, a letter or nothing, then the numbers, 8 bytes each, big end first, so that keys sort as
-/// their numbers do.
+/// A key made of `prefix`, a letter or nothing, and the numbers. Each number has 8 bytes in big-endian order,
+/// so that keys sort in the order of their numbers.
 inline std::string encode_key(std::string prefix, std::initializer_list<std::uint64_t> numbers) {
   constexpr unsigned kByteMask = 255;
   for (const auto number : numbers)
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-constexpr std::string_view kForm = "walkpaddle store 1";
-constexpr std::string_view kFormKey = "!form";
-constexpr std::size_t kMaxPendingJobs = 16384;  // some hundred bytes each: a few megabytes
-constexpr std::size_t kMaxBatchJobs = 1024;     // of one commit: one wait for the disk
+constexpr std::string_view kFormat = "walkpaddle store 1";
+constexpr std::string_view kFormatKey = "!form";
+constexpr std::size_t kMaxPendingJobs = 16384;  // a few hundred bytes each, so a few megabytes
+constexpr std::size_t kMaxBatchJobs = 1024;     // in one commit, which waits for the disk once
 
 // FNV-1a, 32 bits.
 std::uint32_t checksum(std::string_view text) {
@@ -36,7 +36,7 @@
   return value;
 }
 
-// Takes the checksum off the end of the value; false if it is wrong.
+// Removes the checksum from the end of the value; false if it does not match.
 bool strip_checksum(std::string_view& value) {
   constexpr std::size_t kChecksumBytes = 4;
   if (value.size() < kChecksumBytes) return false;
@@ -53,7 +53,7 @@
 
 MDB_val lmdb_value(std::string_view text) { return {text.size(), const_cast<char*>(text.data())}; }
 
-// Adds one to an eventfd.
+// Adds one to an eventfd's counter; false if that fails.
 bool raise_event(const Fd& event) {
   const std::uint64_t one = 1;
   return ::write(event.get(), &one, sizeof one) == sizeof one;
@@ -80,15 +80,15 @@
     if (env != nullptr) mdb_env_close(std::exchange(env, nullptr));
   }
   std::string file() const { return folder + "/data.mdb"; }
-  [[noreturn]] void refuse(const std::string& why) const { throw StoreError("store " + folder + ": " + why); }
+  [[noreturn]] void fail(const std::string& why) const { throw StoreError("store " + folder + ": " + why); }
   void check(int code, const char* action) const {
-    if (code != 0) refuse(std::string(action) + ": " + mdb_strerror(code));
+    if (code != 0) fail("cannot " + std::string(action) + ": " + mdb_strerror(code));
   }
 
-  // Aborts at its end unless commit() was called.
+  // An LMDB transaction; the destructor aborts it unless commit() was called.
   struct Transaction {
     Transaction(const Database& database, unsigned flags) {
-      database.check(mdb_txn_begin(database.env, nullptr, flags, &txn), "begin");
+      database.check(mdb_txn_begin(database.env, nullptr, flags, &txn), "begin a transaction");
     }
     Transaction(const Transaction&) = delete;
     Transaction& operator=(const Transaction&) = delete;
@@ -113,65 +113,69 @@
       wake_(::eventfd(0, EFD_CLOEXEC)) {
   if (!changed_ || !wake_) throw SystemError("eventfd", errno);
   open();
-  check_form();
+  check_format();
   writer_ = std::thread([this] { run_writer(); });
 }
 
 Store::~Store() {
-  ending_ = true;
+  stopping_ = true;
   if (writer_.joinable() && raise_event(wake_)) writer_.join();
 }
 
 void Store::open() {
   auto& db = *database_;
-  if (::mkdir(db.folder.c_str(), 0700) != 0 && errno != EEXIST) db.refuse(std::strerror(errno));
-  // LMDB makes what it does not find; a file shorter than its two first pages is torn, not new.
+  if (::mkdir(db.folder.c_str(), 0700) != 0 && errno != EEXIST)
+    db.fail(std::string("cannot create the folder: ") + std::strerror(errno));
+  // LMDB would initialise an empty file as a new database. An existing file shorter than the two meta pages
+  // is truncated, not new.
   struct stat file {};
   const bool exists = ::stat(db.file().c_str(), &file) == 0;
-  if (exists && file.st_size < 2 * ::sysconf(_SC_PAGESIZE)) db.refuse("torn: its file is cut off");
-  db.check(mdb_env_create(&db.env), "create");
-  db.check(mdb_env_set_mapsize(db.env, setup_.max_megabytes << 20), "size");
-  // No read-ahead and no reader's table: one process, read once.
+  if (exists && file.st_size < 2 * ::sysconf(_SC_PAGESIZE)) db.fail("its file is truncated");
+  db.check(mdb_env_create(&db.env), "create an environment");
+  db.check(mdb_env_set_mapsize(db.env, setup_.max_megabytes << 20), "set the map size");
+  // The store is read once, by one process: read-ahead and thread-bound reader slots are not needed.
   const int code = mdb_env_open(db.env, db.folder.c_str(), MDB_NORDAHEAD | MDB_NOTLS, 0600);
-  if (code == MDB_INVALID) db.refuse("not a store of this program");
-  if (code == MDB_VERSION_MISMATCH) db.refuse("of another version");
-  if (code != 0) db.refuse(mdb_strerror(code));
-  refuse_truncated();
+  if (code == MDB_INVALID) db.fail("not a store of this program");
+  if (code == MDB_VERSION_MISMATCH) db.fail("its file was written by another version of LMDB");
+  if (code != 0) db.fail(std::string("cannot open: ") + mdb_strerror(code));
+  check_not_truncated();
 }
 
-// The last commit's pages must all be there: the file is mapped, and what is missing would end the program.
-void Store::refuse_truncated() const {
+// Throws if the file lacks pages of the last commit. The file is memory-mapped, so reading a missing page
+// would kill the process.
+void Store::check_not_truncated() const {
   const auto& db = *database_;
   MDB_envinfo info{};
   MDB_stat stat{};
-  db.check(mdb_env_info(db.env, &info), "look");
-  db.check(mdb_env_stat(db.env, &stat), "look");
+  db.check(mdb_env_info(db.env, &info), "read the last page number");
+  db.check(mdb_env_stat(db.env, &stat), "read the page size");
   struct stat file {};
   const std::size_t needed_bytes = (info.me_last_pgno + 1) * stat.ms_psize;
   if (::stat(db.file().c_str(), &file) != 0 || static_cast<std::size_t>(file.st_size) < needed_bytes)
-    db.refuse("torn: its file is cut off");
+    db.fail("its file is truncated");
 }
 
-// Opens the table and checks that it is of the form that this program reads; a new one gets it.
-void Store::check_form() {
+// Opens the table and checks its format version; writes the version into a new table.
+void Store::check_format() {
   auto& db = *database_;
   Database::Transaction transaction(db, 0);
-  db.check(mdb_dbi_open(transaction.txn, nullptr, 0, &db.table), "open");
+  db.check(mdb_dbi_open(transaction.txn, nullptr, 0, &db.table), "open the table");
   MDB_stat stat{};
-  db.check(mdb_stat(transaction.txn, db.table, &stat), "look");
-  auto key = lmdb_value(kFormKey);
+  db.check(mdb_stat(transaction.txn, db.table, &stat), "count its entries");
+  auto key = lmdb_value(kFormatKey);
   MDB_val found{};
   const int code = mdb_get(transaction.txn, db.table, &key, &found);
   if (code == MDB_NOTFOUND && stat.ms_entries == 0) {
-    const auto text = with_checksum(std::string(kForm));
-    auto form = lmdb_value(text);
-    db.check(mdb_put(transaction.txn, db.table, &key, &form, 0), "write");
+    const auto text = with_checksum(std::string(kFormat));
+    auto format = lmdb_value(text);
+    db.check(mdb_put(transaction.txn, db.table, &key, &format, 0), "write");
     return db.check(transaction.commit(), "commit");
   }
-  auto form = code == 0 ? view(found) : std::string_view();
-  if (code != 0 || !strip_checksum(form)) db.refuse("not a store of this program");
-  constexpr std::size_t kMaxFormBytesShown = 40;
-  if (form != kForm) db.refuse("of another form, '" + std::string(form.substr(0, kMaxFormBytesShown)) + "'");
+  auto format = code == 0 ? view(found) : std::string_view();
+  if (code != 0 || !strip_checksum(format)) db.fail("not a store of this program");
+  constexpr std::size_t kMaxFormatBytesShown = 40;
+  if (format != kFormat)
+    db.fail("unknown format '" + std::string(format.substr(0, kMaxFormatBytesShown)) + "'");
 }
 
 void Store::for_each(const std::function<void(std::string_view, std::string_view)>& visit) {
@@ -185,8 +189,8 @@
   int code = 0;
   while ((code = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) == 0) {
     auto text = view(value);
-    if (!strip_checksum(text)) db.refuse("torn: a value does not fit its check sum");
-    if (view(key) != kFormKey) visit(view(key), text);
+    if (!strip_checksum(text)) db.fail("damaged: the checksum of a value does not match");
+    if (view(key) != kFormatKey) visit(view(key), text);
   }
   if (code != MDB_NOTFOUND) db.check(code, "read");
 }
@@ -216,12 +220,12 @@
   failed_.store(true, std::memory_order_release);
 }
 
-// After a failed commit the environment may refuse all that follows (MDB_PANIC); its file has the last good
-// one.
+// After a failed commit the LMDB environment may reject all further calls (MDB_PANIC). The file still has the
+// last successful commit.
 void Store::reopen() {
   database_->close();
   open();
-  check_form();
+  check_format();
 }
 
 void Store::write_batch(const std::vector<Job>& batch) {
@@ -237,7 +241,7 @@
   db.check(transaction.commit(), "commit");
 }
 
-// False if the program ends before it is written.
+// Writes the batch, retrying until it succeeds; false if the store is being destroyed first.
 bool Store::write_until_durable(const std::vector<Job>& batch) {
   constexpr auto kRetryPause = std::chrono::milliseconds(250);
   for (bool first = true;; first = false) {
@@ -250,7 +254,7 @@
       set_failed(e.what());
     }
     if (first) raise_event(changed_);
-    if (ending_) return false;
+    if (stopping_) return false;
     std::this_thread::sleep_for(kRetryPause);
   }
 }
@@ -261,7 +265,7 @@
     batch.clear();
     while (batch.size() < kMaxBatchJobs && database_->jobs.try_dequeue(job)) batch.push_back(std::move(job));
     if (batch.empty()) {
-      if (ending_) return;
+      if (stopping_) return;
       std::uint64_t count = 0;
       if (::read(wake_.get(), &count, sizeof count) != sizeof count && errno != EINTR) return;
       continue;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,14 +1,14 @@
 /// \file
-/// A small durable table in a folder, by LMDB: values under keys, each with a checksum. It is read whole at
-/// the start and written in batches by a thread of its own, so that no disk holds up the scheduler.
+/// A small durable key-value table in a folder, based on LMDB. Each value has a checksum. The table is read
+/// in full at the start and written in batches by a thread of its own, so that the disk never blocks the
+/// scheduler.
 ///
-/// Errors: a store that is truncated, foreign or of a newer form is refused when it is opened, as StoreError
-/// of one line. A write that fails later (a full disk, a failing one) shows in failed() and is made again
-/// until it succeeds, in order: what was taken stays pending, and nothing behind it is reported as durable
-/// before it.
+/// Errors: opening a store that is truncated, that another program wrote or that has an unknown format throws
+/// a StoreError with a message of one line. A write that fails later, for example on a full disk, sets
+/// failed() and is retried until it succeeds. Queued writes stay queued and become durable in order.
 ///
-/// Threads: for_each(), put() and erase() by the one thread that made the store (the queue to the writer has
-/// one producer); durable_sequence(), failed() and last_error() by any.
+/// Threads: for_each(), put() and erase() only on the thread that created the store, since the queue to the
+/// writer has a single producer; durable_sequence(), failed() and last_error() on any thread.
 #pragma once
 
 #include <atomic>
@@ -27,50 +27,51 @@
 
 namespace walkpaddle::store {
 
-/// Why a write was not taken. It is to be tried again later.
+/// Why a write was not queued. The caller should retry it later.
 enum class WriteError {
-  queue_full,          ///< too much waits to be written already: nothing was taken
-  writer_unreachable,  ///< the writer could not be woken; the write may be made nonetheless
+  queue_full,          ///< too many writes are queued
+  writer_unreachable,  ///< the writer thread could not be woken; the write is queued and may still be made
 };
 
-/// What put() and erase() give.
+/// Result of put() and erase().
 using WriteResult = tl::expected<void, WriteError>;
 
-/// The table.
+/// A durable key-value table.
 class Store {
  public:
-  /// Where it is and how large it may get.
+  /// Location and size limit.
   struct Setup {
-    std::string folder;               ///< made if it is not there
-    std::size_t max_megabytes = 256;  ///< what the table may grow to on disk
+    std::string folder;               ///< created if it does not exist
+    std::size_t max_megabytes = 256;  ///< largest size of the table on disk
   };
 
-  /// Opens the store or makes a new one, and starts the writer. Throws StoreError, or SystemError where the
-  /// machine is out of descriptors.
+  /// Opens the store or creates a new one, and starts the writer thread. Throws StoreError, or SystemError if
+  /// no file descriptor is available.
   explicit Store(const Setup& setup);
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
-  /// Writes what is pending, unless writes fail.
+  /// Writes what is queued, unless writes fail.
   ~Store();
 
-  /// Calls `visit` with all keys and values, in the order of the keys; to be called before the first write.
-  /// Throws StoreError if a value does not fit its checksum, and whatever `visit` throws.
+  /// Calls `visit` with all keys and values, in order of key. To be called before the first write. Throws
+  /// StoreError if the checksum of a value does not match, and whatever `visit` throws.
   void for_each(const std::function<void(std::string_view key, std::string_view value)>& visit);
 
-  /// Puts the value under the key. Writes become durable in the order of the calls; `sequence` rises from one
-  /// call to the next, or is 0, and durable_sequence() reports it then.
+  /// Sets the value of the key. Writes become durable in the order of the calls. `sequence` is what
+  /// durable_sequence() reports once the write is durable; it must rise from call to call, or be 0 if it is
+  /// not needed.
   WriteResult put(std::string key, std::string value, std::uint64_t sequence);
-  /// Erases the key if it is there.
+  /// Erases the key if it exists.
   WriteResult erase(std::string key);
 
-  /// An eventfd that is readable when durable_sequence() or failed() may have changed; the host reads it
-  /// empty.
+  /// An eventfd that becomes readable when durable_sequence() or failed() may have changed. The caller must
+  /// read it to reset it.
   int changed_fd() const { return changed_.get(); }
   /// All writes with a sequence up to this one are durable.
   std::uint64_t durable_sequence() const { return durable_sequence_.load(std::memory_order_acquire); }
-  /// Whether the last write failed; it is tried again.
+  /// Whether the last write failed and is being retried.
   bool failed() const { return failed_.load(std::memory_order_acquire); }
-  /// Why it failed, for the operator.
+  /// Why the last failed write failed, as a message for the operator.
   std::string last_error() const;
 
  private:
@@ -79,10 +80,10 @@
 
   WriteResult enqueue(Job job);
   void open();
-  void refuse_truncated() const;
-  void check_form();
+  void check_not_truncated() const;
+  void check_format();
 
-  // By the writer's thread from here on.
+  // Called on the writer thread only.
   void run_writer();
   bool write_until_durable(const std::vector<Job>& batch);
   void write_batch(const std::vector<Job>& batch);
@@ -91,11 +92,11 @@
 
   const Setup setup_;
   std::unique_ptr<Database> database_;
-  Fd changed_;  // to the host
-  Fd wake_;     // to the writer
+  Fd changed_;  // signals the owner
+  Fd wake_;     // wakes the writer thread
   std::atomic<std::uint64_t> durable_sequence_ = 0;
   std::atomic<bool> failed_ = false;
-  std::atomic<bool> ending_ = false;
+  std::atomic<bool> stopping_ = false;
   mutable std::mutex last_error_mutex_;
   std::string last_error_;
   std::thread writer_;
