--- a/src/replication/datagram_transport.cpp
+++ b/src/replication/datagram_transport.cpp
@@ -23,11 +23,11 @@
       socket_(scheduler, datagrams_on(listen)),
       due_(scheduler) {
   scheduler_.start(receive_all());
-  scheduler_.start(keep_time());
+  scheduler_.start(run_timer());
 }
 
 Task DatagramTransport::receive_all() {
-  constexpr int kBatch = 64;  // datagrams; then other tasks have their turn
+  constexpr int kBatch = 64;  // datagrams to receive before other tasks may run
   char buffer[gossip::kMaxPacketBytes + 1];
   Event next_turn(scheduler_);
   for (;;) {
@@ -45,7 +45,7 @@
   }
 }
 
-// The first datagram of a sort that is dropped is logged, all are counted.
+// Drops are counted; only the first one for each reason is logged.
 void DatagramTransport::receive(std::string_view bytes) {
   ++counts_.received;
   counts_.bytes_received += bytes.size();
@@ -53,11 +53,10 @@
   try {
     if (gossip::deliver_packet(bytes, peer_of, gossip_, scheduler_.now())) return;
     ++counts_.unknown_senders;
-    if (counts_.unknown_senders == 1)
-      log_("fleet", "datagrams of a router that is not a peer here are dropped");
+    if (counts_.unknown_senders == 1) log_("fleet", "dropping datagrams from a router that is not a peer");
   } catch (const InputError& e) {
     ++counts_.unreadable;
-    if (counts_.unreadable == 1) log_("fleet", "datagrams that cannot be read are dropped: {}", e.what());
+    if (counts_.unreadable == 1) log_("fleet", "dropping malformed datagrams: {}", e.what());
   }
 }
 
@@ -87,8 +86,8 @@
   due_.set();
 }
 
-// Turns come when something does; the gossip needs one when nothing does.
-Task DatagramTransport::keep_time() {
+// Makes the scheduler run a turn when a datagram is due, even if there is no input.
+Task DatagramTransport::run_timer() {
   for (;;) {
     const bool moved = co_await due_.wait(due_at_);
     if (!moved) due_at_ = kNoTime;
--- a/src/replication/datagram_transport.h
+++ b/src/replication/datagram_transport.h
@@ -1,7 +1,8 @@
 /// \file
-/// The gossip's datagrams: one UDP socket for the whole fleet, however large. What comes is read whole or
-/// dropped; what Gossip wants sent goes out at the end of each turn. A datagram that the kernel does not take
-/// is lost like any other: the gossip stands that. Runs on the scheduler's thread.
+/// UDP transport of the gossip protocol, with one socket for all peers. A received datagram is processed in
+/// full or dropped. What Gossip has to send is sent at the end of each scheduler turn. A datagram that the
+/// kernel does not accept is not resent, since the gossip protocol tolerates losses. Runs on the scheduler's
+/// thread.
 #pragma once
 
 #include <cstdint>
@@ -16,34 +17,34 @@
 
 namespace walkpaddle::replication {
 
-/// Datagrams since the start.
+/// Counters of datagrams since the start.
 struct DatagramCounts {
-  std::uint64_t received = 0;         ///< datagrams
-  std::uint64_t sent = 0;             ///< datagrams
-  std::uint64_t bytes_received = 0;   ///< without the heads of UDP
-  std::uint64_t bytes_sent = 0;       ///< without the heads of UDP
-  std::uint64_t unknown_senders = 0;  ///< dropped: of a router that is not a peer here
-  std::uint64_t unreadable = 0;       ///< dropped
-  std::uint64_t unsent = 0;           ///< not taken by the kernel
+  std::uint64_t received = 0;         ///< datagrams received, dropped ones included
+  std::uint64_t sent = 0;             ///< datagrams sent
+  std::uint64_t bytes_received = 0;   ///< payload bytes received
+  std::uint64_t bytes_sent = 0;       ///< payload bytes sent
+  std::uint64_t unknown_senders = 0;  ///< datagrams dropped because the sender is not a peer
+  std::uint64_t unreadable = 0;       ///< datagrams dropped because they are malformed
+  std::uint64_t unsent = 0;           ///< datagrams that the kernel did not accept
 };
 
-/// Carries one router's gossip.
+/// Sends and receives the gossip of one router.
 class DatagramTransport {
  public:
-  /// All but `peers` and `listen` must outlive this. `peers`: in the order of their numbers among the
-  /// members. `after_input` is called after each batch of datagrams. Throws SystemError if the address cannot
-  /// be had.
+  /// All referenced objects except `listen` must outlive the transport. `peers` has the addresses in the
+  /// order of the members' peer indexes. `after_input` is called after each batch of received datagrams.
+  /// Throws SystemError if the socket cannot be bound to `listen`.
   DatagramTransport(Scheduler& scheduler, Log& log, membership::Membership& members, gossip::Gossip& gossip,
                     const Address& listen, std::vector<Address> peers, std::function<void()> after_input);
 
-  /// Sends what is due; at a turn's end.
+  /// Sends the datagrams that are due. Must be called at the end of each scheduler turn.
   void send_due();
-  /// Since the start.
+  /// Counters since the start.
   const DatagramCounts& counts() const { return counts_; }
 
  private:
   Task receive_all();
-  Task keep_time();
+  Task run_timer();
   void receive(std::string_view bytes);
   void send(const gossip::Packet& packet);
 
--- a/src/replication/link_codec.cpp
+++ b/src/replication/link_codec.cpp
@@ -28,29 +28,30 @@
 }
 
 purge::PurgeKind checked_kind(int number) {
-  if (number >= purge::kPurgeKindCount) throw_bad_value("kind of purge", std::to_string(number));
+  if (number >= purge::kPurgeKindCount) throw_bad_value("purge kind", std::to_string(number));
   return static_cast<purge::PurgeKind>(number);
 }
 
 std::string_view checked_target(const schema::Entry::Reader& entry) {
   const auto target = text_view(entry.getWhat());
   if (target.size() > purge::kMaxTargetBytes)
-    throw_bad_value("purge of length", std::to_string(target.size()));
-  if (entry.getNumber() == 0) throw_bad_value("number", "0");
+    throw_bad_value("length of a purge target", std::to_string(target.size()));
+  if (entry.getNumber() == 0) throw_bad_value("purge number", "0");
   return target;
 }
 
 void check(const schema::Head::Reader& head) {
   checked_time(head.getGivenUpAgo());
-  if (head.getBase() > head.getNumber()) throw_bad_value("head", std::to_string(head.getNumber()));
+  if (head.getBase() > head.getNumber())
+    throw_bad_value("number in a heartbeat head", std::to_string(head.getNumber()));
 }
 
 void deliver(const schema::Beat::Reader& beat, LinkMessageHandler& handler) {
-  const Seconds theirs = checked_time(beat.getTime());
+  const Seconds remote_time = checked_time(beat.getTime());
   const Seconds echo = checked_time(beat.getEcho());
   const auto heads = beat.getHeads();
   for (const auto head : heads) check(head);
-  handler.heartbeat(theirs, echo, beat.getWhole());
+  handler.heartbeat(remote_time, echo, beat.getWhole());
   for (const auto head : heads)
     handler.head(head.getIssuer(), head.getNumber(), head.getBase(), head.getGivenUpAgo());
   handler.heartbeat_end();
@@ -78,7 +79,7 @@
     case schema::Message::RETIRED_HELD:
       return;
   }
-  // A newer router's: passed over.
+  // A message type of a newer version is ignored.
 }
 
 void write(schema::Entry::Builder to, const purge::PurgeEntry& entry) {
@@ -114,7 +115,7 @@
 
 std::string encode_heartbeat(const purge::PurgeLog& log, const purge::PurgeReplication& replication,
                              Seconds now, Seconds echo) {
-  constexpr Seconds kLeastAge = 1e-6;  // 0 on the wire: none was given up
+  constexpr Seconds kMinAge = 1e-6;  // 0 on the wire means that nothing was evicted
   capnp::MallocMessageBuilder message;
   auto beat = message.initRoot<schema::Message>().initBeat();
   beat.setTime(now);
@@ -129,7 +130,7 @@
     head.setNumber(replication.acknowledged(issuer));
     head.setBase(std::min(progress.dropped, replication.acknowledged(issuer)));
     head.setGivenUpAgo(
-        progress.evicted_valid_since > 0 ? std::max(kLeastAge, now - progress.evicted_valid_since) : 0);
+        progress.evicted_valid_since > 0 ? std::max(kMinAge, now - progress.evicted_valid_since) : 0);
   }
   return framed(message);
 }
@@ -140,11 +141,11 @@
   return framed(message);
 }
 
-std::string encode_request(std::uint64_t issuer, std::uint64_t from) {
+std::string encode_request(std::uint64_t issuer, std::uint64_t from_number) {
   capnp::MallocMessageBuilder message;
   auto want = message.initRoot<schema::Message>().initWant();
   want.setIssuer(issuer);
-  want.setFrom(from);
+  want.setFrom(from_number);
   return framed(message);
 }
 
