--- a/src/replication/datagram_transport.h
+++ b/src/replication/datagram_transport.h
@@ -31,7 +31,7 @@
 /// Sends and receives the gossip of one router.
 class DatagramTransport {
  public:
-  /// All referenced objects except `listen` must outlive the transport. `peers` has the addresses in the
+  /// `scheduler`, `log`, `members` and `gossip` must outlive the transport. `peers` has the addresses in the
   /// order of the members' peer indexes. `after_input` is called after each batch of received datagrams.
   /// Throws SystemError if the socket cannot be bound to `listen`.
   DatagramTransport(Scheduler& scheduler, Log& log, membership::Membership& members, gossip::Gossip& gossip,
--- a/src/replication/observation_persister.cpp
+++ b/src/replication/observation_persister.cpp
@@ -22,20 +22,22 @@
     ++restored_;
     stored_[key] = observation.observed_at;
   } else {
-    ++refused_;
-    stored_[key] = {};  // the next save() erases or replaces it
+    ++rejected_;
+    stored_[key] = {};  // makes the next save() erase or replace it
   }
 }
 
 void ObservationPersister::log_restored() const {
-  log_("facts", "{} facts of servers read from the store, {} refused as too old or of strangers", restored_,
-       refused_);
+  log_("facts",
+       "{} observations of endpoints read from the store, {} rejected as outdated or from unknown routers",
+       restored_, rejected_);
 }
 
 void ObservationPersister::save() {
   if (store_.failed()) {
     if (!std::exchange(failure_logged_, true))
-      log_("store", "{}: facts of servers do not last until it writes again", store_.last_error());
+      log_("store", "{}: observations of endpoints are not saved until writes succeed again",
+           store_.last_error());
     return;
   }
   failure_logged_ = false;
--- a/src/replication/observation_persister.h
+++ b/src/replication/observation_persister.h
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps a router's endpoint observations in its store. Runs on the scheduler's thread.
+/// Persists endpoint observations in the store. Runs on the scheduler's thread.
 #pragma once
 
 #include <map>
@@ -11,21 +11,23 @@
 
 namespace walkpaddle::replication {
 
-/// Writes what changed since the last call, and reads it at a start. All parts must outlive it.
+/// Reads stored observations at a start and writes those that change. All constructor arguments must outlive
+/// it.
 class ObservationPersister {
  public:
-  /// Reads and writes nothing yet.
+  /// Does not access the store.
   ObservationPersister(Log& log, store::Store& store, replica::ObservationTracker& tracker)
       : log_(log), store_(store), tracker_(tracker) {}
 
-  /// Whether an entry of the store is an observation.
+  /// Whether the entry of the store under `key` is an observation.
   static bool owns(std::string_view key) { return key.starts_with(kPrefix); }
-  /// Hands an entry to the tracker, with the time at which it was seen. Throws InputError if it cannot be
-  /// read.
+  /// Passes a stored observation to the tracker with its original timestamp. Throws InputError if the value
+  /// is malformed.
   void restore(std::string_view value, Seconds now);
-  /// Logs how many were restored.
+  /// Logs the number of restored observations.
   void log_restored() const;
-  /// Writes and erases what changed. What has no room now is tried again by the next call.
+  /// Writes and erases what has changed since the last call. What the store does not accept is retried by the
+  /// next call.
   void save();
 
  private:
@@ -37,7 +39,7 @@
   replica::ObservationTracker& tracker_;
   std::map<replica::ObservationKey, replica::HybridTimestamp> stored_;
   std::size_t restored_ = 0;
-  std::size_t refused_ = 0;
+  std::size_t rejected_ = 0;
   bool failure_logged_ = false;
 };
 
--- a/src/replication/peer.h
+++ b/src/replication/peer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Another router of the fleet, as the operator's file names it.
+/// Another router of the fleet, as configured in the operator's file.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace walkpaddle::replication {
 
-/// One of the other routers; they are numbered in the file's order.
+/// Another router of the fleet. Peers are indexed in the order of the operator's file.
 struct Peer {
-  std::string name;  ///< as its own operator's file gives it
-  Address address;   ///< of its datagrams and links
+  std::string name;  ///< the router's name in its own operator's file
+  Address address;   ///< address for datagrams and links
 };
 
 }  // namespace walkpaddle::replication
--- a/src/replication/peer_links.cpp
+++ b/src/replication/peer_links.cpp
@@ -21,10 +21,13 @@
 
 }  // namespace
 
-// One connection's messages, from the first on. The peer is known from its hello, or was dialled.
+// Handles the messages of one connection. The peer is known from its hello, or beforehand if it was dialled.
 struct PeerLinks::Session final : LinkMessageHandler {
   Session(PeerLinks& its_links, Stream& its_stream, std::optional<int> dialled_peer)
-      : links(its_links), stream(its_stream), peer(dialled_peer), heard_at(its_links.scheduler_.now()) {}
+      : links(its_links),
+        stream(its_stream),
+        peer(dialled_peer),
+        last_message_at(its_links.scheduler_.now()) {}
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
   ~Session() {
@@ -35,14 +38,15 @@
   }
 
   void hello(int version, std::string_view name) override {
-    if (greeted) throw InputError("a second hello");
+    if (greeted) throw InputError("unexpected second hello");
     if (version < 1) throw_bad_value("version", std::to_string(version));
     const auto sender = links.peer_named(name);
-    if (!sender) throw InputError("a router of no known name, " + quoted(name));
-    if (peer && sender != peer) throw InputError("another router's name, " + quoted(name));
+    if (!sender) throw InputError("hello from an unknown router, " + quoted(name));
+    if (peer && sender != peer) throw InputError("hello with another router's name, " + quoted(name));
     auto& link = links.link(*sender);
-    if (!peer && link.dials) throw InputError("it is dialled from here: " + std::string(name));
-    if (link.stream != nullptr) {  // a second connection means that the other side gave the first up
+    if (!peer && link.dials)
+      throw InputError("connection from a peer that this router dials: " + std::string(name));
+    if (link.stream != nullptr) {  // a second connection means that the peer has given up the first
       link.stream->close();
       replication().disconnected(*sender);
     }
@@ -73,7 +77,8 @@
     const int sender = greeted_peer();
     const Seconds now = links.scheduler_.now();
     if (links.purges_.add(stamp, kind, target, now) == purge::AddResult::full)
-      links.log_("fleet", "{}: a purge had no place and will be asked for again", links.name_of(sender));
+      links.log_("fleet", "{}: rejected a purge because the log is at a limit; it will be requested again",
+                 links.name_of(sender));
     replication().entry_added(now);
     links.purges_.after_input(now);
   }
@@ -82,12 +87,12 @@
     replication().request_received(greeted_peer(), issuer, from_number);
   }
 
-  // Reads what came; false once the other side sends what cannot be read.
+  // Handles the messages received so far; false if one is malformed.
   bool read_messages() {
     try {
       while (const auto used = read_link_message(stream.in(), *this)) {
         stream.consume(used);
-        heard_at = links.scheduler_.now();
+        last_message_at = links.scheduler_.now();
       }
       return true;
     } catch (const InputError& e) {
@@ -97,7 +102,7 @@
   }
 
   int greeted_peer() const {
-    if (!greeted) throw InputError("no hello first");
+    if (!greeted) throw InputError("message before hello");
     return *peer;
   }
   PurgeReplication& replication() const { return *links.purges_.replication(); }
@@ -106,7 +111,7 @@
   Stream& stream;
   std::optional<int> peer;
   bool greeted = false;
-  Seconds heard_at;
+  Seconds last_message_at;
 };
 
 PeerLinks::PeerLinks(Scheduler& scheduler, Outbox& outbox, Log& log, purge::PurgeRegistry& purges,
@@ -125,7 +130,7 @@
   for (int peer = 0; peer < static_cast<int>(links_.size()); ++peer) {
     if (setup_.name >= name_of(peer)) continue;
     link(peer).dials = true;
-    scheduler_.start(keep_dialling(peer));
+    scheduler_.start(maintain_connection(peer));
   }
 }
 
@@ -136,8 +141,9 @@
 }
 
 Task PeerLinks::accept_all() {
-  constexpr Seconds kRetryPause = 0.1;  // without descriptors left: until some connections may have closed
-  const std::size_t max_sessions = 2 * links_.size() + 4;  // some that have not said who they are
+  // Pause when no file descriptor is available, until other connections may have closed.
+  constexpr Seconds kRetryPause = 0.1;
+  const std::size_t max_sessions = 2 * links_.size() + 4;  // leaves room for sessions without a hello yet
   while (listener_.open()) {
     Fd fd = listener_.accept();
     if (fd) {
@@ -146,12 +152,13 @@
       continue;
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
-    const bool none_waits = errno == EAGAIN;
-    co_await listener_.came.wait(none_waits ? kNoTime : scheduler_.now() + kRetryPause);
+    const bool queue_empty = errno == EAGAIN;
+    co_await listener_.came.wait(queue_empty ? kNoTime : scheduler_.now() + kRetryPause);
   }
 }
 
-// One connection, from the accept or the dial on, until the other side ends it, is silent, or cannot be read.
+// Runs one connection, accepted or dialled, until the peer closes it, sends nothing for kSilenceTimeout, or
+// sends a malformed message.
 Task PeerLinks::run_session(Fd fd, std::optional<int> dialled_peer, Event& ended) {
   constexpr Seconds kDialTimeout = 0.5;
   constexpr Seconds kSilenceTimeout = 2;
@@ -177,13 +184,14 @@
       if (!session.read_messages()) break;
       continue;
     }
-    co_await stream.readable(session.heard_at + kSilenceTimeout);
-    if (scheduler_.now() >= session.heard_at + kSilenceTimeout) break;
+    co_await stream.readable(session.last_message_at + kSilenceTimeout);
+    if (scheduler_.now() >= session.last_message_at + kSilenceTimeout) break;
   }
 }
 
-Task PeerLinks::keep_dialling(int peer) {
-  constexpr Seconds kRetryPause = 0.2;  // well under a lease, and no load for a router that starts
+Task PeerLinks::maintain_connection(int peer) {
+  // Well below the default lease, and a negligible load on a peer that is starting.
+  constexpr Seconds kRetryPause = 0.2;
   Event ended(scheduler_);
   Event pause(scheduler_);
   for (;;) {
@@ -196,7 +204,8 @@
 }
 
 void PeerLinks::send(const PurgeReplication::Outgoing& outgoing) {
-  // Past this the other side does not read: it asks again for what it lacks once it is back.
+  // A peer with more unsent bytes than this does not read. The connection is closed; the peer requests what
+  // it lacks once it is connected again.
   constexpr std::size_t kMaxUnsentBytes = 4 << 20;
   using Kind = PurgeReplication::Outgoing::Kind;
   auto* stream = link(outgoing.peer).stream;
@@ -224,7 +233,7 @@
   }
 }
 
-// Turns come when something does; heartbeats need one when nothing does.
+// Makes the scheduler run a turn when a heartbeat is due, even if there is no input.
 Task PeerLinks::run_timer() {
   for (;;) {
     const bool moved = co_await timer_moved_.wait(timer_due_);
--- a/src/replication/peer_links.h
+++ b/src/replication/peer_links.h
@@ -1,6 +1,7 @@
 /// \file
-/// Connections between routers for the replication of purges: one a pair, dialled by the router whose name
-/// comes first. What PurgeReplication wants to be sent goes out at the end of each turn.
+/// Connections between routers for the replication of purges. There is one connection for each pair of
+/// routers, dialled by the router whose name sorts first. What PurgeReplication has to send is written at the
+/// end of each scheduler turn.
 #pragma once
 
 #include <cstddef>
@@ -17,37 +18,38 @@
 
 namespace walkpaddle::replication {
 
-/// The links of one router to its peers. Lifetime: all that the constructor takes outlives the links, and the
-/// scheduler's tasks are dropped (Scheduler::drop_tasks) before they go. Threads: the scheduler's.
+/// The links of one router to its peers. Lifetime: all constructor arguments must outlive the links, and the
+/// scheduler's tasks must be dropped (Scheduler::drop_tasks) before the links are destroyed. Threads: only
+/// the scheduler's thread.
 class PeerLinks {
  public:
-  /// What the links are set up with.
+  /// Configuration.
   struct Setup {
-    std::string name;         ///< this router's
-    Address listen;           ///< where it listens
-    std::vector<Peer> peers;  ///< in the order of PurgeReplication's indexes
+    std::string name;         ///< name of this router
+    Address listen;           ///< address to listen on
+    std::vector<Peer> peers;  ///< in the order of PurgeReplication's peer indexes
   };
 
-  /// Listens and dials; purges.replication() is not null. Throws SystemError if the address cannot be
-  /// listened on.
+  /// Starts to listen and to dial. Requires that purges.replication() is not null. Throws SystemError if it
+  /// cannot listen on the address.
   PeerLinks(Scheduler& scheduler, Outbox& outbox, Log& log, purge::PurgeRegistry& purges, const Setup& setup);
   PeerLinks(const PeerLinks&) = delete;
   PeerLinks& operator=(const PeerLinks&) = delete;
 
-  /// Writes what the replication wants to be sent; to be called at each turn's end.
+  /// Writes the messages that the replication has to send. Must be called at the end of each scheduler turn.
   void on_turn_end();
 
  private:
   struct Session;
 
   struct Link {
-    Stream* stream = nullptr;  // null: not connected
-    bool dials = false;        // from here
+    Stream* stream = nullptr;  // null if not connected
+    bool dials = false;        // whether this router dials
   };
 
   Task accept_all();
   Task run_session(Fd fd, std::optional<int> dialled_peer, Event& ended);
-  Task keep_dialling(int peer);
+  Task maintain_connection(int peer);
   Task run_timer();
   void send(const purge::PurgeReplication::Outgoing& outgoing);
   std::optional<int> peer_named(std::string_view name) const;
@@ -60,10 +62,10 @@
   purge::PurgeRegistry& purges_;
   const Setup setup_;
   std::vector<Link> links_;
-  std::size_t sessions_ = 0;  // also those that have not said who they are
+  std::size_t sessions_ = 0;  // includes those without a hello yet
   Listener listener_;
   Event timer_moved_;
-  Event session_ended_;  // of those accepted; nobody waits for it
+  Event session_ended_;  // set by accepted sessions; nothing waits for it
   Seconds timer_due_ = kNoTime;
 };
 
--- a/src/replication/purge_persister.cpp
+++ b/src/replication/purge_persister.cpp
@@ -16,15 +16,16 @@
 
 using purge::PurgeEntry, purge::PurgeStamp;
 
-// Keys: "e" issuer number, an entry; "b" issuer, how far its entries were dropped; "r", the store's identity.
+// Keys: "e" with issuer and number for an entry; "b" with the issuer for its DroppedRecord; "r" for the
+// identity.
 constexpr std::string_view kIdentityKey = "r";
 constexpr char kEntryPrefix = 'e';
 constexpr char kDroppedPrefix = 'b';
 constexpr std::size_t kNumberBytes = 8;
-constexpr Seconds kMicrosecond = 1e-6;  // times in the store are whole ones
+constexpr Seconds kMicrosecond = 1e-6;  // unit of the times in a DroppedRecord
 
 std::uint64_t parse_number(std::string_view text) {
-  if (text.size() != kNumberBytes) throw_bad_value("stored number of length", std::to_string(text.size()));
+  if (text.size() != kNumberBytes) throw_bad_value("length of a stored number", std::to_string(text.size()));
   std::uint64_t value = 0;
   for (const char c : text) value = value << 8 | static_cast<unsigned char>(c);
   return value;
@@ -34,7 +35,7 @@
   return store::encode_key({kEntryPrefix}, {stamp.issuer, stamp.number});
 }
 
-// How far an issuer's entries were dropped, as it stands in the store.
+// Stored record of how far an issuer's entries have been dropped, see PurgeLog::IssuerProgress.
 struct DroppedRecord {
   std::uint64_t issuer = 0;
   std::uint64_t dropped = 0;
@@ -98,9 +99,9 @@
   const bool failed = store_.failed();
   if (failed == std::exchange(failure_logged_, failed)) return;
   if (failed)
-    log_("store", "{}: purges issued here are not accepted until it writes again", store_.last_error());
+    log_("store", "{}: purges issued here are not accepted until writes succeed again", store_.last_error());
   else
-    log_("store", "writes again");
+    log_("store", "writes succeed again");
 }
 
 void PurgePersister::on_turn_end() {
@@ -119,11 +120,12 @@
 void PurgePersister::erase_dropped() {
   while (const auto* stamp = purges_.next_to_erase()) {
     const auto progress = purges_.log().progress(stamp->issuer);
-    // Rounded up: a time further on covers more.
+    // Rounded up, since a later time covers at least as many copies.
     const auto evicted_micros = static_cast<std::uint64_t>(progress.evicted_valid_since / kMicrosecond) +
                                 (progress.evicted_valid_since > 0 ? 1 : 0);
     const auto key = store::encode_key({kDroppedPrefix}, {stamp->issuer});
-    // What was dropped first: cut off between the two, an entry stays that need not.
+    // The record is written before the erasure: a crash between the two only leaves an entry that is not
+    // needed.
     if (!store_.put(key, store::encode_key("", {progress.dropped, evicted_micros}), 0)) return;
     if (!store_.erase(entry_key(*stamp))) return;
     purges_.mark_erased();
--- a/src/replication/purge_persister.h
+++ b/src/replication/purge_persister.h
@@ -1,5 +1,6 @@
 /// \file
-/// Keeps the purge log in a store: reads it at the start, hands on what is new, reports what is durable.
+/// Persists the purge log: reads it from the store at the start, writes new purges, and reports what is
+/// durable.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +13,27 @@
 
 namespace walkpaddle::replication {
 
-/// The identity of this store, under which its router issues purges: what the store has, or `fresh_identity`
-/// where it has none, which is then stored. A router whose store was removed is another issuer.
+/// The identity from which the router's issuer id is derived: the stored one, or `fresh_identity`, which is
+/// then stored. A router whose store was removed therefore becomes a new issuer.
 std::string load_or_create_identity(store::Store& store, const std::string& fresh_identity);
 
-/// Binds a purge registry to its store. Lifetime: all that the constructor takes outlives it. Threads: the
-/// scheduler's.
+/// Connects a purge registry to its store. Lifetime: all constructor arguments must outlive it. Threads: only
+/// the scheduler's thread.
 class PurgePersister final : Scheduler::Watcher {
  public:
-  /// Reads the whole store into `purges`; StoreError if a value cannot be read.
+  /// Restores `purges` from the store. Throws StoreError if a value is malformed.
   PurgePersister(Scheduler& scheduler, Log& log, purge::PurgeRegistry& purges, store::Store& store);
   PurgePersister(const PurgePersister&) = delete;
   PurgePersister& operator=(const PurgePersister&) = delete;
   ~PurgePersister();
 
-  /// Hands to the store what is new and what is to be erased; to be called at each turn's end.
+  /// Passes new entries and erasures to the store. Must be called at the end of each scheduler turn.
   void on_turn_end();
 
  private:
   void on_ready(std::uint32_t epoll_events) override;
   void restore();
-  bool store_new();  // false: the store takes no more now
+  bool store_new();  // false if the store accepts no more writes now
   void erase_dropped();
 
   Scheduler& scheduler_;
--- a/src/replication/replication_service.cpp
+++ b/src/replication/replication_service.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::string_view kSnapshotKey = "l";
-constexpr Seconds kMaxClockAhead = 1;  // of a router that observes
+constexpr Seconds kMaxClockAhead = 1;  // how far an observer's clock may be ahead of this router's
 
 std::vector<std::uint64_t> hashes_of(const std::vector<Peer>& peers) {
   std::vector<std::uint64_t> hashes;
@@ -30,13 +30,13 @@
   return addresses;
 }
 
-// Of its own for each router, also where a platform hands all the same seed.
+// Different for each router, even if the platform gives all of them the same seed.
 std::uint32_t seed_of(const ReplicationService::Setup& setup) {
   return setup.seed ^ static_cast<std::uint32_t>(stable_hash(setup.name) >> 16);
 }
 
-// The start's time: greater than the last start's, where clocks do not go back; where they do, the fleet's
-// record of the last start is refuted like a suspicion.
+// The time of the start in milliseconds, so it exceeds that of the previous start unless the clock was set
+// back. In that case the peers' records of the previous start are refuted like a suspicion.
 std::uint64_t incarnation_at(Seconds started) {
   return static_cast<std::uint64_t>(std::llround(started * 1e3));
 }
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-// Observers are the routers by name: the same after a restart, so a router's later observation replaces its
-// earlier one.
+// An observer's id is the hash of the router's name. It is the same after a restart, so that a router's later
+// observation replaces its earlier one.
 ReplicationService::ReplicationService(Scheduler& scheduler, Log& log, const Setup& setup)
     : scheduler_(scheduler),
       log_(log),
@@ -66,15 +66,16 @@
                                : nullptr),
       transport_(scheduler, log, members_, gossip_, setup.listen, addresses_of(setup.peers),
                  [this] { observations_may_have_changed(); }),
-      logged_(setup.peers.size(), membership::MemberState::unheard) {
+      logged_states_(setup.peers.size(), membership::MemberState::unheard) {
   announce_channels();
-  learn_names();
+  build_name_table();
   if (setup_.store == nullptr) return;
   persister_.emplace(log_, *setup_.store, tracker_);
   restore();
 }
 
-// Calendar and changes are read only where they are switched on.
+// Leaves out the channels of freeze windows and rollouts if rollouts are disabled, since they are not read
+// then.
 void ReplicationService::announce_channels() {
   auto versions = compat::announcement(gossip::kChannelVersions);
   if (!rollouts_) {
@@ -84,7 +85,7 @@
   members_.announce(versions);
 }
 
-void ReplicationService::learn_names() {
+void ReplicationService::build_name_table() {
   names_[stable_hash(setup_.name)] = setup_.name;
   auto fleet = hashes_of(setup_.peers);
   for (std::size_t p = 0; p < fleet.size(); ++p) names_[fleet[p]] = setup_.peers[p].name;
@@ -93,12 +94,12 @@
 }
 
 const std::string& ReplicationService::name_of(std::uint64_t hash) const {
-  static const std::string stranger = "?";
+  static const std::string unknown = "?";
   const auto it = names_.find(hash);
-  return it == names_.end() ? stranger : it->second;
+  return it == names_.end() ? unknown : it->second;
 }
 
-// What this router held when it ended, however it ended.
+// Restores the state stored by the previous run, whether it was shut down or crashed.
 void ReplicationService::restore() {
   try {
     setup_.store->for_each([&](std::string_view key, std::string_view value) {
@@ -114,14 +115,17 @@
 
 void ReplicationService::observations_may_have_changed() {
   const auto received = gossip_.observations_received();
-  if (std::exchange(received_before_, received) != received) setup_.on_observations();
+  if (std::exchange(observations_notified_, received) != received) setup_.on_observations();
 }
 
-// What the policy has learnt goes to other routers and to disk; what comes back goes to the policy.
+// Sends snapshots of the policy's state to other routers and to the store, and passes a recovered one to the
+// policy.
 void ReplicationService::exchange_snapshots() {
   const Seconds now = scheduler_.now();
   if (const auto recovered = snapshots_.take_recovered()) {
-    log_("learnt", "{:.1f} s old, from before this start: limits of {} servers, counts of {} objects",
+    log_("learnt",
+         "restored a snapshot {:.1f} s old, from before this start: limits of {} servers, counts of {} "
+         "objects",
          now - recovered->taken_at, recovered->limits.size(), recovered->objects.size());
     setup_.restore_snapshot(*recovered);
   }
@@ -134,19 +138,19 @@
 }
 
 void ReplicationService::log_changes() {
-  for (std::size_t p = 0; p < logged_.size(); ++p) {
+  for (std::size_t p = 0; p < logged_states_.size(); ++p) {
     const auto state = members_.peers()[p].state;
-    if (std::exchange(logged_[p], state) != state)
+    if (std::exchange(logged_states_[p], state) != state)
       log_("member", "{}: {}", setup_.peers[p].name, to_string(state));
   }
   if (const auto report = gossip_.take_catch_up_report())
-    log_("caught", "caught up in {:.3f} s, {} facts from {} routers", report->duration, report->observations,
-         report->members);
+    log_("caught", "caught up in {:.3f} s, {} observations from {} routers", report->duration,
+         report->observations, report->members);
 }
 
 void ReplicationService::on_turn_end() {
   constexpr Seconds kCheckInterval = 1;
-  constexpr Seconds kSaveInterval = 2;  // a crash costs what the peers know anyway
+  constexpr Seconds kSaveInterval = 2;  // what a crash loses is recovered from the peers
   const Seconds now = scheduler_.now();
   exchange_snapshots();
   if (rollouts_) rollouts_->poll(now);
--- a/tests/replica_sockets.cpp
+++ b/tests/replica_sockets.cpp
@@ -79,7 +79,7 @@
     s.start(count(0));
     co_await done.wait();
     say("a router killed and started again heeds it",
-        counted == 0 && logged(1, "facts of servers read from the store"));
+        counted == 0 && logged(1, "observations of endpoints read from the store"));
 
     // With a tenth lost, when a suspicion is raised and heard of is chance: each is waited for.
     const auto alive = [&] { return fleet.word_of(3).find("router r2: alive") != std::string::npos; };
