--- a/src/purge/purge_log.cpp
+++ b/src/purge/purge_log.cpp
@@ -6,7 +6,7 @@
 namespace walkpaddle::purge {
 
 const PurgeEntry& PurgeLog::issue(std::uint64_t self, PurgeKind kind, std::string target, Seconds now) {
-  constexpr Seconds kMinStep = 1e-6;  // smallest step that a double holding Unix seconds resolves reliably
+  constexpr Seconds kMinStep = 1e-6;  // a double that holds Unix seconds still resolves this step
   auto& progress = issuers_[self];
   const PurgeStamp stamp{std::max(now, last_issued_at_ + kMinStep), self, progress.contiguous + 1};
   progress.reported = std::max(progress.reported, stamp.number);
--- a/src/purge/purge_replication.h
+++ b/src/purge/purge_replication.h
@@ -9,7 +9,7 @@
 /// the lease.
 ///
 /// A heartbeat echoes the latest time that its sender received from this router, which is on this router's
-/// clock. The heads were read after that time, so neither clock differences nor message delays matter.
+/// clock. The heads in it are no older than that time, whatever the clock differences and message delays.
 ///
 /// Threads: not thread-safe. Lifetime: the log must outlive the replication. Peers are identified by index,
 /// from 0.
