--- a/bench/purges.cpp
+++ b/bench/purges.cpp
@@ -45,7 +45,7 @@
   for (std::uint64_t n = 0; n < kObjects; ++n) {
     objects.emplace_back(stable_hash(object_name(n * 3)), object_name(n * 3));
     const std::uint64_t tags[] = {stable_hash(fmt::format("contract{}", n)), stable_hash("all")};
-    if (n % 2 == 0) purges.learn_tags(objects.back().first, tags, 1e9 + 200);
+    if (n % 2 == 0) purges.record_tags(objects.back().first, tags, 1e9 + 200);
   }
   state.counters["MB"] = static_cast<double>(mallinfo2().uordblks - before) / (1 << 20);
   std::size_t n = 0;
@@ -107,7 +107,7 @@
       hashes[n] = stable_hash(object_name(static_cast<std::uint64_t>(n)));
       const std::uint64_t tags[] = {stable_hash(fmt::format("t{}", n % kTags)),
                                     stable_hash(fmt::format("t{}", n * 7 / 3 % kTags))};
-      if (n % 100 < state.range(0)) purges.learn_tags(hashes[n], tags, 1e9);
+      if (n % 100 < state.range(0)) purges.record_tags(hashes[n], tags, 1e9);
     }
     for (int second = 0; second < kSeconds; ++second) {
       purges.issue(PurgeKind::tag, fmt::format("t{}", chance() % kTags), 1e9 + second);
--- a/src/net/request_handler.cpp
+++ b/src/net/request_handler.cpp
@@ -193,7 +193,7 @@
   auto& purges = dispatcher_.purges();
   const Seconds now = scheduler_.now();
   const bool age_told = result.age >= 0;
-  if (result.tags_reported) purges.learn_tags(object_, result.tags, now);
+  if (result.tags_reported) purges.record_tags(object_, result.tags, now);
   if (age_told && max_age > 0 && result.age > max_age + kRounding) return AttemptOutcome::stale;
   Seconds made_at = 0;
   if (age_told)
--- a/src/purge/purge_index.cpp
+++ b/src/purge/purge_index.cpp
@@ -97,8 +97,8 @@
   return now - newest > limits_.max_age ? 0 : newest;
 }
 
-void PurgeIndex::learn_tags(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now) {
-  object_tags_.learn(object, tags, now);
+void PurgeIndex::record_tags(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now) {
+  object_tags_.add_tags(object, tags, now);
 }
 
 void PurgeIndex::trim(Seconds now) {
--- a/src/purge/purge_index.h
+++ b/src/purge/purge_index.h
@@ -60,7 +60,7 @@
   Seconds valid_since_for_tags(std::span<const std::uint64_t> tags, Seconds now) const;
 
   /// Records tags that a response named for the object.
-  void learn_tags(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now);
+  void record_tags(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now);
 
   /// Drops purges no longer in force, a bounded number for each call.
   void trim(Seconds now);
--- a/src/purge/purge_registry.h
+++ b/src/purge/purge_registry.h
@@ -108,8 +108,8 @@
   bool is_stale(std::uint64_t object, std::uint32_t group, std::string_view name,
                 std::span<const std::uint64_t> tags, Seconds made_at, Seconds now);
   /// Records tags that a response named for the object.
-  void learn_tags(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now) {
-    if (setup_.replicated) index_.learn_tags(object, tags, now);
+  void record_tags(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now) {
+    if (setup_.replicated) index_.record_tags(object, tags, now);
   }
   /// Rises whenever results of valid_since() or copy_age_limit() may have changed because of a purge or a
   /// discovery gap.
--- a/src/purge/tags.cpp
+++ b/src/purge/tags.cpp
@@ -27,7 +27,7 @@
   return *oldest;
 }
 
-void TagCache::learn(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now) {
+void TagCache::add_tags(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now) {
   auto& record = find_or_add(object, now);
   record.tags_reported = true;
   for (const auto tag : tags) {
--- a/src/purge/tags.h
+++ b/src/purge/tags.h
@@ -47,7 +47,7 @@
   /// The object's record. A new record replaces the least recently used one of its set.
   Record& find_or_add(std::uint64_t object, Seconds now);
   /// Adds tags to the object's record. Earlier tags stay, because older copies may still carry them.
-  void learn(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now);
+  void add_tags(std::uint64_t object, std::span<const std::uint64_t> tags, Seconds now);
 
  private:
   static constexpr std::size_t kWays = 4;
--- a/tests/purge_parts.cpp
+++ b/tests/purge_parts.cpp
@@ -63,7 +63,7 @@
         index.add_tag(stable_hash(fmt::format("t{}", tag)), now), reference.tags.emplace_back(tag, now);
       } else if (step % 7 == 1) {
         const std::uint64_t hash = stable_hash(fmt::format("t{}", tag));
-        index.learn_tags(stable_hash(object_name(object)), {&hash, 1}, now);
+        index.record_tags(stable_hash(object_name(object)), {&hash, 1}, now);
         auto& object_tags = tags[object];
         if (std::count(object_tags.begin(), object_tags.end(), tag) == 0) object_tags.push_back(tag);
       } else {
