--- a/lab/memory.cpp
+++ b/lab/memory.cpp
@@ -17,7 +17,7 @@
       snapshot_replicas(members, {}, now),
       gossip(members, tracker, snapshot_replicas, {}, seed + 2, now) {
   members.announce(compat::announcement(gossip::kChannelVersions));
-  tracker.discovery_heard(now);
+  tracker.note_discovery_message(now);
   for (int s = 0; s < 4; ++s)
     tracker.update_listing(s, {.hash = kServer + static_cast<std::uint64_t>(s)}, now);
 }
@@ -52,7 +52,7 @@
   auto& r = routers_[static_cast<std::size_t>(n)];
   r = std::make_unique<Router>(n, count, now + skew, chance(), skew);
   if (hooks_.furnish) hooks_.furnish(*r, now + skew);
-  for (auto& kind : r->kinds) r->gossip.carry(*kind);
+  for (auto& kind : r->kinds) r->gossip.add_state(*kind);
 }
 
 void Memory::cut(int a, int b, bool both) {
@@ -98,7 +98,7 @@
       auto& r = (*this)[n];
       const Seconds own = now + r.skew;
       for (const auto& [from, bytes] : std::exchange(r.held, {})) take(r, bytes);
-      if (r.bus) r.tracker.discovery_heard(own);
+      if (r.bus) r.tracker.note_discovery_message(own);
       while (const auto packet = r.gossip.next(own))
         send(n, gossip::encode_packet(*packet, r.members.self()), *packet);
       r.gossip.take_catch_up_report();
--- a/src/admin/admin_replies.cpp
+++ b/src/admin/admin_replies.cpp
@@ -260,7 +260,7 @@
     all.push_back({{"name", names_.peers[n]},
                    {"state", membership::to_string(peers[n].state)},
                    {"for_s", now - peers[n].since},
-                   {"heard_s_ago", age_or_null(now, peers[n].last_heard)}});
+                   {"heard_s_ago", age_or_null(now, peers[n].last_contact)}});
   return all;
 }
 
--- a/src/gossip/gossip.h
+++ b/src/gossip/gossip.h
@@ -29,7 +29,7 @@
   Gossip& operator=(const Gossip&) = delete;
 
   /// Carries a state beside members and observations; each once, before anything is received.
-  void carry(replica::ReplicatedState& state) { shared_.states.push_back(&state); }
+  void add_state(replica::ReplicatedState& state) { shared_.states.push_back(&state); }
 
   /// A datagram from a peer.
   void receive(const ReceivedPacket& received, Seconds now);
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -16,7 +16,7 @@
   alive,
   suspect,  ///< it did not answer; dead unless it refutes that in time
   dead,
-  unheard  ///< never heard of since this router's start; local, never sent
+  never_seen  ///< never heard of since this router's start; local, never sent
 };
 
 /// The name as operators read it.
@@ -28,7 +28,7 @@
       return "suspected";
     case MemberState::dead:
       return "dead";
-    case MemberState::unheard:
+    case MemberState::never_seen:
       return "not heard yet";
   }
   return "unknown";
@@ -39,7 +39,7 @@
 struct MemberRecord {
   std::uint64_t member = 0;                ///< stable hash of its name
   std::uint64_t incarnation = 0;           ///< only the member itself raises it
-  MemberState state = MemberState::alive;  ///< never `unheard`
+  MemberState state = MemberState::alive;  ///< never `never_seen`
   std::uint64_t suspected_by = 0;          ///< of a suspicion: who raised it
   /// What it announces to read of each channel, of its incarnation; 0: it did not say. See compat/verdict.h.
   std::uint64_t channel_versions = 0;
@@ -47,13 +47,13 @@
 
 /// Another router of the fleet.
 struct Peer {
-  std::uint64_t name = 0;                     ///< stable hash of its name
-  std::uint64_t incarnation = 0;              ///< the latest known
-  std::uint64_t channel_versions = 0;         ///< as in MemberRecord
-  MemberState state = MemberState::unheard;   ///< as this router knows it
-  Seconds since = 0;                          ///< of the state; a standstill of this process moves it
-  Seconds last_heard = 0;                     ///< from the peer itself; 0: never
-  std::vector<std::uint64_t> suspected_by{};  ///< those that confirm a suspicion, a bounded number
+  std::uint64_t name = 0;                       ///< stable hash of its name
+  std::uint64_t incarnation = 0;                ///< the latest known
+  std::uint64_t channel_versions = 0;           ///< as in MemberRecord
+  MemberState state = MemberState::never_seen;  ///< as this router knows it
+  Seconds since = 0;                            ///< of the state; a standstill of this process moves it
+  Seconds last_contact = 0;                     ///< from the peer itself; 0: never
+  std::vector<std::uint64_t> suspected_by{};    ///< those that confirm a suspicion, a bounded number
 };
 
 /// Alive, or not yet known to be otherwise.
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -24,7 +24,7 @@
 
 std::optional<MemberRecord> Membership::record(int p) const {
   const auto& peer = peers_[static_cast<std::size_t>(p)];
-  if (peer.state == MemberState::unheard) return std::nullopt;
+  if (peer.state == MemberState::never_seen) return std::nullopt;
   return MemberRecord{peer.name, peer.incarnation, peer.state,
                       peer.suspected_by.empty() ? 0 : peer.suspected_by.back(), peer.channel_versions};
 }
@@ -59,9 +59,9 @@
 
 void Membership::heard_from(int p, std::uint64_t incarnation, std::uint64_t channel_versions, Seconds now) {
   auto& peer = peers_[static_cast<std::size_t>(p)];
-  peer.last_heard = now;
+  peer.last_contact = now;
   // At the same incarnation a suspicion is its own to refute: the next datagram to it tells it.
-  if (peer.state == MemberState::unheard || incarnation > peer.incarnation)
+  if (peer.state == MemberState::never_seen || incarnation > peer.incarnation)
     replace(peer, {peer.name, incarnation, MemberState::alive, 0, channel_versions}, now);
   if (channel_versions != 0 && incarnation == peer.incarnation) peer.channel_versions = channel_versions;
 }
@@ -73,7 +73,7 @@
   auto& peer = peers_[static_cast<std::size_t>(p)];
   const auto order = std::pair(record.incarnation, record.state);
   const auto known = std::pair(peer.incarnation, peer.state);
-  if (peer.state == MemberState::unheard || order > known) {
+  if (peer.state == MemberState::never_seen || order > known) {
     replace(peer, record, now);
     return true;
   }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -54,7 +54,7 @@
 
   /// All peers, by number.
   const std::vector<Peer>& peers() const { return peers_; }
-  /// What is passed on of a peer; none while it is unheard.
+  /// What is passed on of a peer; none while it is never_seen.
   std::optional<MemberRecord> record(int peer) const;
   /// What is passed on of this router.
   MemberRecord self() const { return {self_, incarnation_, MemberState::alive, 0, channel_versions_}; }
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -198,7 +198,7 @@
       if (used == 0) return true;
       stream.consume(used);
       clock_.heard(now);
-      if (observations_ != nullptr) observations_->discovery_heard(now);
+      if (observations_ != nullptr) observations_->note_discovery_message(now);
       if (seen > held + 1 && !accept_gap(held, seen)) return false;
       if (gap_after_ != kNoGap && last_ > gap_after_) {
         gap_after_ = kNoGap;
--- a/src/replica/observation_tracker.h
+++ b/src/replica/observation_tracker.h
@@ -65,7 +65,7 @@
   /// The router's own discovery lists the endpoint so.
   void update_listing(int endpoint, const Listing& listing, Seconds now);
   /// Discovery spoke now. Until it has, the list is that of an earlier start and is not published.
-  void discovery_heard(Seconds now) { discovery_heard_at_ = now; }
+  void note_discovery_message(Seconds now) { last_discovery_message_ = now; }
   /// Joins an observation of another router, or of this one's last start.
   EndpointObservations::JoinResult receive(const EndpointObservation& observation, Seconds now);
   /// The observers of this fleet: an observation of any other is refused. Empty: any. Prevents a stranger's
@@ -99,7 +99,7 @@
   void check_ready(TrackedEndpoint& endpoint, const std::optional<EndpointView>& view, Seconds now);
   void check_unavailable(TrackedEndpoint& endpoint, const std::optional<EndpointView>& view, Seconds now);
   void publish(const TrackedEndpoint& endpoint, Health health, Seconds now);
-  bool discovery_fresh(Seconds now) const { return now <= discovery_heard_at_ + bounds_.list_fresh; }
+  bool discovery_fresh(Seconds now) const { return now <= last_discovery_message_ + bounds_.list_fresh; }
 
   const std::uint64_t self_;
   const Bounds bounds_;
@@ -110,7 +110,7 @@
   std::vector<TrackedEndpoint> endpoints_;
   std::vector<std::uint64_t> fleet_;
   std::vector<ObservationKey> updates_;
-  Seconds discovery_heard_at_ = 0;
+  Seconds last_discovery_message_ = 0;
   Seconds check_at_;
   Seconds trim_at_ = 0;
   std::uint64_t refused_ = 0;  // for a timestamp too far ahead or past its retention, or of a stranger
--- a/src/replication/replication_service.cpp
+++ b/src/replication/replication_service.cpp
@@ -66,7 +66,7 @@
                              : nullptr),
       transport_(scheduler, log, members_, gossip_, setup.listen, addresses_of(setup.peers),
                  [this] { observations_may_have_changed(); }),
-      logged_(setup.peers.size(), membership::MemberState::unheard) {
+      logged_(setup.peers.size(), membership::MemberState::never_seen) {
   announce_channels();
   learn_names();
   if (setup_.store == nullptr) return;
--- a/src/rollout/release_check.cpp
+++ b/src/rollout/release_check.cpp
@@ -66,7 +66,7 @@
   std::vector<compat::FleetRouter> routers;
   for (std::size_t peer = 0; peer < setup_.peers.size(); ++peer) {
     const auto& member = members_.peers()[peer];
-    if (member.state == State::unheard) continue;
+    if (member.state == State::never_seen) continue;
     const bool away = member.state == State::dead;
     const auto known = routers.size();
     for (const auto& release : releases)
--- a/tests/replica_parts.cpp
+++ b/tests/replica_parts.cpp
@@ -310,7 +310,7 @@
   int said = 0;
   void go(Seconds until, bool bus_heard) {
     for (; now < until; now += 0.5) {
-      if (bus_heard) r1.discovery_heard(now);
+      if (bus_heard) r1.note_discovery_message(now);
       r1.publish_due(now);
       for (const auto& key : r1.take_updates())
         ++said, r2.receive(*r1.observations().find(key.endpoint, key.observer), now);
@@ -356,7 +356,7 @@
 void silence_parts() {
   // What the fleet knows already is not said again; good news is said by who said the bad, and by witnesses.
   ObservationTracker r(1, 300, {}, {}, 1.0, 3);
-  r.discovery_heard(1000);
+  r.note_discovery_message(1000);
   r.update_listing(0, {.hash = 5, .state = EndpointState::ready, .weight = 1}, 1000);
   r.publish_due(1001);
   const bool calm = r.take_updates().empty();
@@ -366,7 +366,7 @@
   r.update_listing(0, {.hash = 5, .state = EndpointState::draining, .weight = 1}, 1001.1);
   r.publish_due(1002);
   const bool silent = r.take_updates().empty();
-  r.discovery_heard(1012);
+  r.note_discovery_message(1012);
   r.publish_due(1012);
   const bool renewed = r.take_updates().size() == 1;  // nobody else did
   r.update_listing(0, {.hash = 5, .state = EndpointState::ready, .weight = 1}, 1012.1);
