--- a/src/gossip/codec.cpp
+++ b/src/gossip/codec.cpp
@@ -130,7 +130,7 @@
   packet.kind = static_cast<PacketKind>(from.getKind());
   packet.peer = peer;
   packet.number = from.getNumber();
-  packet.about = from.getAbout();
+  packet.target_name = from.getAbout();
   packet.deltas = from.getFills();
   packet.truncated = from.getMore();
   for (const auto fact : from.getFacts()) packet.observations.push_back(read(fact));
@@ -155,7 +155,7 @@
   to.setFrom(self.member);
   to.setIncarnation(self.incarnation);
   to.setNumber(packet.number);
-  to.setAbout(packet.about);
+  to.setAbout(packet.target_name);
   auto records = to.initRecords(static_cast<unsigned>(packet.records.size()));
   for (unsigned n = 0; n < records.size(); ++n) write(records[n], packet.records[n]);
   auto facts = to.initFacts(static_cast<unsigned>(packet.observations.size()));
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -23,7 +23,7 @@
 
 void Gossip::receive(const ReceivedPacket& received, Seconds now) {
   const auto& packet = received.packet;
-  shared_.members.heard_from(packet.peer, received.incarnation, received.channel_versions, now);
+  shared_.members.note_contact(packet.peer, received.incarnation, received.channel_versions, now);
   if (packet.sent_at > 0 && !shared_.states.empty()) clocks_.note(packet.peer, packet.sent_at, now);
   for (const auto& record : packet.records) shared_.members.join(record, now);
   for (const auto& observation : packet.observations)
@@ -60,7 +60,7 @@
     case PacketKind::nack:
       return shared_.members.handle_nack(packet.number);
     case PacketKind::ping_request:
-      return shared_.members.handle_ping_request(packet.peer, packet.number, packet.about, now);
+      return shared_.members.handle_ping_request(packet.peer, packet.number, packet.target_name, now);
     case PacketKind::digest:
       return exchange_.handle_digest(packet.peer, packet.number, packet.digests);
     case PacketKind::digest_reply:
@@ -103,7 +103,7 @@
 std::optional<Packet> Gossip::next_packet(Seconds now) {
   shared_.tracker.publish_due(now);
   const auto probe = shared_.members.next_probe(now);
-  if (shared_.members.take_standstill()) exchange_.start_catch_up(now);
+  if (shared_.members.take_stall()) exchange_.start_catch_up(now);
   rumours_.collect();
   if (probe) return packet_of(*probe);
   queue_messages(now);
@@ -117,7 +117,7 @@
   Packet packet{.kind = static_cast<PacketKind>(probe.kind),
                 .peer = probe.peer,
                 .number = probe.number,
-                .about = probe.about};
+                .target_name = probe.target_name};
   rumours_.add_to(packet, Rumours::Cost::free);
   // What is believed of the other, if that is bad: it refutes it at once.
   const auto record = shared_.members.record(probe.peer);
--- a/src/gossip/packet.h
+++ b/src/gossip/packet.h
@@ -47,7 +47,7 @@
   PacketKind kind = PacketKind::rumours;            ///< of a newer router: any number
   int peer = -1;                                    ///< the other side, by its number among the members
   std::uint64_t number = 0;                         ///< of a probe or a comparison
-  std::uint64_t about = 0;                          ///< of a ping request: whom to ping, by name
+  std::uint64_t target_name = 0;                    ///< of a ping request: whom to ping, by name
   std::uint32_t deltas = 0;                         ///< of a digest reply: how many deltas went before it
   bool truncated = false;                           ///< of a digest reply: not all that differs had room
   std::vector<membership::MemberRecord> records{};  ///< to be joined
--- a/src/membership/bounds.h
+++ b/src/membership/bounds.h
@@ -1,26 +1,29 @@
 /// \file
-/// Times and numbers of the membership protocol.
+/// Times and limits of the membership protocol.
 #pragma once
 
 #include "base/time.h"
 
 namespace walkpaddle::membership {
 
-/// With the names of SWIM and Lifeguard where they have one.
+/// Parameters of SWIM and Lifeguard, with the letters that the papers give them.
 struct Bounds {
-  /// Between two probes: a dead one of 300 is probed by somebody within some milliseconds.
+  /// Interval between two probes of one member: a dead one of 300 is probed by somebody within some
+  /// milliseconds.
   Seconds probe_interval = 0.5;
-  /// Of a direct answer; the rest of the interval is for the helpers'.
+  /// How long a direct answer may take. The rest of the probe interval is left for the helpers' answers.
   Seconds ack_timeout = 0.2;
-  /// SWIM's k, members asked to probe in this one's place: enough at a few percent of loss.
+  /// SWIM's k: how many members are asked to ping a member that did not answer. Three are enough at a loss of
+  /// a few percent.
   int helpers = 3;
-  /// Lifeguard's S, the bound of the local health score.
+  /// Lifeguard's S: the upper limit of the local health score.
   int max_health_score = 8;
-  /// Lifeguard's alpha: the shortest suspicion in probe intervals, for each power of ten of members.
+  /// Lifeguard's alpha: the shortest suspicion in probe intervals, for each power of ten in the number of
+  /// members.
   double suspicion_multiplier = 4;
-  /// Lifeguard's beta: the longest suspicion, one that nobody confirms, in multiples of the shortest.
+  /// Lifeguard's beta: the longest suspicion, one without confirmations, in multiples of the shortest.
   double max_suspicion_multiplier = 3;
-  /// Lifeguard's K: confirmed by so many others a suspicion lasts the shortest time.
+  /// Lifeguard's K: a suspicion that this many other members confirm lasts the shortest time.
   int confirmations = 3;
 };
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -13,7 +13,7 @@
       incarnation_(incarnation),
       random_(seed),
       prober_(bounds, random_, now),
-      called_at_(now) {
+      last_call_(now) {
   for (const auto name : peers) peers_.push_back({.name = name, .since = now});
 }
 
@@ -57,10 +57,11 @@
   updates_.push_back(record);
 }
 
-void Membership::heard_from(int p, std::uint64_t incarnation, std::uint64_t channel_versions, Seconds now) {
+void Membership::note_contact(int p, std::uint64_t incarnation, std::uint64_t channel_versions, Seconds now) {
   auto& peer = peers_[static_cast<std::size_t>(p)];
   peer.last_contact = now;
-  // At the same incarnation a suspicion is its own to refute: the next datagram to it tells it.
+  // A datagram does not end a suspicion of the same incarnation: the next probe tells the peer of the
+  // suspicion, and the peer refutes it.
   if (peer.state == MemberState::never_seen || incarnation > peer.incarnation)
     replace(peer, {peer.name, incarnation, MemberState::alive, 0, channel_versions}, now);
   if (channel_versions != 0 && incarnation == peer.incarnation) peer.channel_versions = channel_versions;
@@ -82,18 +83,20 @@
   return record.state == MemberState::suspect && confirm_suspicion(peer, record);
 }
 
-// What others say of this router: suspected, dead, or an earlier start's record from a clock that was ahead.
+// Handles a record about this router itself; outdated ones are ignored. One that suspects it, takes it for
+// dead or has a greater incarnation (of an earlier start, whose clock was ahead) is answered with a greater
+// incarnation still.
 bool Membership::refute(const MemberRecord& record) {
-  const bool harmless = record.state == MemberState::alive ? record.incarnation <= incarnation_
+  const bool outdated = record.state == MemberState::alive ? record.incarnation <= incarnation_
                                                            : record.incarnation < incarnation_;
-  if (harmless) return false;
+  if (outdated) return false;
   if (record.state == MemberState::suspect) adjust_health_score(1);
   incarnation_ = record.incarnation + 1;
   updates_.push_back(self());
   return true;
 }
 
-// Another that suspects it too: passed on while it shortens the time.
+// Records another member that suspects the peer; passed on only while this shortens the suspicion.
 bool Membership::confirm_suspicion(Peer& peer, const MemberRecord& record) {
   if (static_cast<int>(peer.suspected_by.size()) > bounds_.confirmations) return false;
   if (std::ranges::find(peer.suspected_by, record.suspected_by) != peer.suspected_by.end()) return false;
@@ -102,8 +105,8 @@
   return true;
 }
 
-void Membership::handle_ping_request(int from, std::uint64_t number, std::uint64_t about, Seconds now) {
-  if (const int target = peer_named(about); target >= 0) prober_.relay(from, number, target, now);
+void Membership::handle_ping_request(int from, std::uint64_t number, std::uint64_t target_name, Seconds now) {
+  if (const int target = peer_named(target_name); target >= 0) prober_.relay(from, number, target, now);
 }
 
 void Membership::handle_ack(std::uint64_t number) {
@@ -125,48 +128,49 @@
   }
 }
 
-Seconds Membership::dead_at(const Peer& peer) const {
+Seconds Membership::suspicion_expires_at(const Peer& peer) const {
   const int confirmations = static_cast<int>(peer.suspected_by.size()) - 1;
   return peer.since + suspicion_timeout(bounds_, alive_count() + 1, confirmations);
 }
 
-void Membership::bury_suspects(Seconds now) {
+void Membership::expire_suspicions(Seconds now) {
   for (auto& peer : peers_)
-    if (peer.state == MemberState::suspect && now >= dead_at(peer))
+    if (peer.state == MemberState::suspect && now >= suspicion_expires_at(peer))
       replace(peer, {peer.name, peer.incarnation, MemberState::dead, 0, 0}, now);
 }
 
-// What was not heard while this process stood still speaks of nobody else.
-void Membership::handle_standstill(Seconds duration) {
+// While this process was stopped or starved it received nothing, so missing answers do not count against the
+// peers.
+void Membership::handle_stall(Seconds duration) {
   prober_.reset();
   for (auto& peer : peers_)
     if (peer.state == MemberState::suspect) peer.since += duration;
   adjust_health_score(1);
-  stood_still_ = true;
+  stall_detected_ = true;
 }
 
 std::optional<Probe> Membership::next_probe(Seconds now) {
-  const Seconds silent = now - std::exchange(called_at_, now);
-  if (silent > 2 * bounds_.probe_interval) handle_standstill(silent);
+  const Seconds since_last_call = now - std::exchange(last_call_, now);
+  if (since_last_call > 2 * bounds_.probe_interval) handle_stall(since_last_call);
   if (!prober_.empty()) return prober_.pop();
   prober_.expire_relays(now);
-  bury_suspects(now);
-  const int patience = this->patience();
-  prober_.ask_helpers(peers_, patience, now);
+  expire_suspicions(now);
+  const int health_multiplier = this->health_multiplier();
+  prober_.ask_helpers(peers_, health_multiplier, now);
   if (const auto failure = prober_.take_failure(now)) {
-    // Helpers that say nothing either: the fault may be here.
-    adjust_health_score(std::max(1, failure->silent_helpers));
+    // If helpers did not answer either, the fault may be on this router's side.
+    adjust_health_score(std::max(1, failure->missing_nacks));
     suspect(failure->peer, now);
   }
-  prober_.start_due(peers_, patience, now);
+  prober_.start_due(peers_, health_multiplier, now);
   return prober_.pop();
 }
 
 Seconds Membership::next_due() const {
-  if (!prober_.empty()) return called_at_;
-  Seconds due = prober_.next_due(patience());
+  if (!prober_.empty()) return last_call_;
+  Seconds due = prober_.next_due(health_multiplier());
   for (const auto& peer : peers_)
-    if (peer.state == MemberState::suspect) due = std::min(due, dead_at(peer));
+    if (peer.state == MemberState::suspect) due = std::min(due, suspicion_expires_at(peer));
   return due;
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,10 +1,11 @@
 /// \file
-/// Who of a fleet is alive: SWIM (Das, Gupta and Motivala, 2002) with the extensions of Lifeguard (Dadgar,
-/// Phillips and Currey, 2018). A member that does not answer a probe is suspected; a suspicion that is not
-/// refuted in time makes it dead. A member refutes with a greater incarnation, which no other may give it; a
-/// new start has a greater one by its clock. A member that misses answers itself is slower to suspect, a
-/// suspicion lasts the longer the fewer confirm it, and the suspected one hears of it first. No I/O; called
-/// on the scheduler's thread.
+/// Fleet membership: SWIM (Das, Gupta and Motivala, 2002) with the extensions of Lifeguard (Dadgar, Phillips
+/// and Currey, 2018). A member that does not answer a probe is suspected, and counts as dead if it does not
+/// refute the suspicion in time. It refutes with a greater incarnation, which only the member itself may
+/// raise; a restarted router takes a greater one from its clock. From Lifeguard: a member that misses answers
+/// to its own probes waits longer before it suspects others, a suspicion lasts longer the fewer members
+/// confirm it, and each probe to a suspected member tells it of the suspicion. No I/O; called on the
+/// scheduler's thread.
 #pragma once
 
 #include <cstdint>
@@ -19,58 +20,61 @@
 
 namespace walkpaddle::membership {
 
-/// One router's view of its fleet. Peers have numbers, in the order in which they were given.
+/// One router's view of its fleet. Peers are identified by their index in the constructor's list.
 class Membership {
  public:
-  /// `self` and `peers`: stable hashes of the routers' names. `incarnation`: greater than that of the last
-  /// start. `seed`: of the random choices.
+  /// `self` and `peers`: stable hashes of the routers' names. `incarnation`: greater than that of the
+  /// previous start. `seed`: of the generator for random choices.
   Membership(std::uint64_t self, const std::vector<std::uint64_t>& peers, std::uint64_t incarnation,
              const Bounds& bounds, std::uint32_t seed, Seconds now);
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  /// Any datagram from the peer itself; `channel_versions` as it announces them, 0 if it does not say.
-  void heard_from(int peer, std::uint64_t incarnation, std::uint64_t channel_versions, Seconds now);
-  /// Joins a record that was passed on; true if it was new here.
+  /// Records that a datagram of any kind came from the peer itself. `incarnation` and `channel_versions` are
+  /// as the datagram has them; 0 versions: not announced.
+  void note_contact(int peer, std::uint64_t incarnation, std::uint64_t channel_versions, Seconds now);
+  /// Joins a record received from another router; true if it changed anything here.
   bool join(const MemberRecord& record, Seconds now);
-  /// A peer pings this router.
-  void handle_ping(int from, std::uint64_t number) { prober_.answer(from, number); }
-  /// A peer asks this router to ping the member `about`, by name, in its place.
-  void handle_ping_request(int from, std::uint64_t number, std::uint64_t about, Seconds now);
-  /// An answer to a ping of this router.
+  /// Queues the ack for a ping from a peer. `number`: as in Probe.
+  void handle_ping(int from, std::uint64_t number) { prober_.queue_ack(from, number); }
+  /// Pings the member `target_name` on behalf of the peer `from`. Ignored if no peer has that name.
+  void handle_ping_request(int from, std::uint64_t number, std::uint64_t target_name, Seconds now);
+  /// Handles the answer to a ping that this router sent, for itself or as a helper.
   void handle_ack(std::uint64_t number);
-  /// A helper had no answer either.
+  /// Handles a helper's report that it had no answer either.
   void handle_nack(std::uint64_t number) { prober_.handle_nack(number); }
 
-  /// The next datagram of the failure detector; nullopt: none now.
+  /// The next datagram of the failure detector to send; nullopt: none now.
   std::optional<Probe> next_probe(Seconds now);
-  /// When next_probe() may have more without an input.
+  /// The time at which next_probe() may have a datagram even if no input arrives.
   Seconds next_due() const;
 
-  /// Records that changed here since the last call, to be spread.
+  /// The records that changed here since the last call, for gossip to spread.
   std::vector<MemberRecord> take_updates() { return std::exchange(updates_, {}); }
-  /// Whether this process stood still (stopped, or starved) since the last call.
-  bool take_standstill() { return std::exchange(stood_still_, false); }
+  /// Whether a stall of this process (it was stopped, or got no CPU time) was detected since the last call.
+  bool take_stall() { return std::exchange(stall_detected_, false); }
 
-  /// All peers, by number.
+  /// All peers, by index.
   const std::vector<Peer>& peers() const { return peers_; }
-  /// What is passed on of a peer; none while it is never_seen.
+  /// The record of a peer as it is sent to others; nullopt while its state is `never_seen`.
   std::optional<MemberRecord> record(int peer) const;
-  /// What is passed on of this router.
+  /// The record of this router as it is sent to others.
   MemberRecord self() const { return {self_, incarnation_, MemberState::alive, 0, channel_versions_}; }
-  /// What this router reads of each channel; to be called before anything is sent.
+  /// Sets the channel versions that this router reads, see compat/announcement.h. Must be called before
+  /// anything is sent.
   void announce(std::uint64_t channel_versions) { channel_versions_ = channel_versions; }
-  /// The number of the peer of that name; -1: it is not of the fleet.
+  /// The index of the peer with that name; -1 if there is none in the fleet.
   int peer_named(std::uint64_t name) const;
-  /// Peers that are alive or suspected.
+  /// The number of peers that are alive or suspected.
   int alive_count() const;
-  /// One of them by chance; -1: there is none.
+  /// The index of a random peer that is alive or suspected; -1 if there is none.
   int random_alive_peer();
-  /// Lifeguard's local health score: 0 is well; raised while this router misses answers itself.
+  /// Lifeguard's local health score: 0 is healthy; it rises when this router misses answers to its own
+  /// probes.
   int local_health_score() const { return health_score_; }
-  /// Suspicions raised here.
+  /// The number of suspicions that this router raised.
   std::uint64_t suspicions() const { return suspicions_; }
-  /// Suspicions heard of that were refuted: the member lived.
+  /// The number of suspicions known here that the member refuted.
   std::uint64_t refuted() const { return refuted_; }
 
  private:
@@ -78,11 +82,11 @@
   bool refute(const MemberRecord& record);
   bool confirm_suspicion(Peer& peer, const MemberRecord& record);
   void suspect(int peer, Seconds now);
-  void bury_suspects(Seconds now);
-  Seconds dead_at(const Peer& peer) const;
+  void expire_suspicions(Seconds now);
+  Seconds suspicion_expires_at(const Peer& peer) const;
   void adjust_health_score(int step);
-  void handle_standstill(Seconds duration);
-  int patience() const { return 1 + health_score_; }
+  void handle_stall(Seconds duration);
+  int health_multiplier() const { return 1 + health_score_; }
 
   const std::uint64_t self_;
   const Bounds bounds_;
@@ -94,9 +98,9 @@
   std::vector<MemberRecord> updates_;
   std::uint64_t suspicions_ = 0;
   std::uint64_t refuted_ = 0;
-  Seconds called_at_;  // of next_probe()
+  Seconds last_call_;  // of next_probe()
   int health_score_ = 0;
-  bool stood_still_ = false;
+  bool stall_detected_ = false;
 };
 
 }  // namespace walkpaddle::membership
--- a/src/membership/prober.cpp
+++ b/src/membership/prober.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// What a stranger's flood may make wait here.
+// Limits on what a flood of pings and ping requests can queue here.
 constexpr std::size_t kMaxRelays = 64;
 constexpr std::size_t kMaxOutgoing = 256;
 
@@ -17,10 +17,10 @@
     : bounds_(bounds),
       random_(random),
       number_(static_cast<std::uint64_t>(random_()) << 32),
-      // Routers that start together do not probe together.
+      // A random phase: routers that start together do not probe at the same moments.
       probe_at_(now + bounds.probe_interval * std::uniform_real_distribution<>(0, 1)(random_)) {}
 
-void Prober::answer(int from, std::uint64_t number) {
+void Prober::queue_ack(int from, std::uint64_t number) {
   if (outgoing_.size() < kMaxOutgoing)
     outgoing_.push_back({.kind = Probe::Kind::ack, .peer = from, .number = number});
 }
@@ -33,8 +33,8 @@
 }
 
 bool Prober::handle_ack(std::uint64_t number) {
-  if (open_ && open_->number == number) {
-    open_.reset();
+  if (pending_ && pending_->number == number) {
+    pending_.reset();
     return true;
   }
   const auto it = std::ranges::find(relays_, number, &Relay::own_number);
@@ -46,42 +46,46 @@
 }
 
 void Prober::handle_nack(std::uint64_t number) {
-  if (open_ && open_->number == number && open_->awaited_nacks > 0) --open_->awaited_nacks;
+  if (pending_ && pending_->number == number && pending_->awaited_nacks > 0) --pending_->awaited_nacks;
 }
 
 void Prober::reset() {
-  open_.reset();
+  pending_.reset();
   relays_.clear();
 }
 
 void Prober::expire_relays(Seconds now) {
-  while (!relays_.empty() && now >= relays_.front().until) {
+  while (!relays_.empty() && now >= relays_.front().expires_at) {
     const auto& relay = relays_.front();
     outgoing_.push_back({.kind = Probe::Kind::nack, .peer = relay.from, .number = relay.number});
     relays_.pop_front();
   }
 }
 
-void Prober::ask_helpers(const std::vector<Peer>& peers, int patience, Seconds now) {
-  if (!open_ || open_->helpers_asked || now < open_->started_at + bounds_.ack_timeout * patience) return;
-  open_->helpers_asked = true;
+void Prober::ask_helpers(const std::vector<Peer>& peers, int health_multiplier, Seconds now) {
+  if (!pending_ || pending_->helpers_asked ||
+      now < pending_->started_at + bounds_.ack_timeout * health_multiplier)
+    return;
+  pending_->helpers_asked = true;
   std::vector<int> helpers;
   for (std::size_t p = 0; p < peers.size(); ++p)
-    if (peers[p].state == MemberState::alive && static_cast<int>(p) != open_->peer)
+    if (peers[p].state == MemberState::alive && static_cast<int>(p) != pending_->peer)
       helpers.push_back(static_cast<int>(p));
   std::ranges::shuffle(helpers, random_);
   helpers.resize(std::min(helpers.size(), static_cast<std::size_t>(bounds_.helpers)));
-  const auto target = peers[static_cast<std::size_t>(open_->peer)].name;
+  const auto target = peers[static_cast<std::size_t>(pending_->peer)].name;
   for (const int helper : helpers) {
-    ++open_->awaited_nacks;
-    outgoing_.push_back(
-        {.kind = Probe::Kind::ping_request, .peer = helper, .number = open_->number, .about = target});
+    ++pending_->awaited_nacks;
+    outgoing_.push_back({.kind = Probe::Kind::ping_request,
+                         .peer = helper,
+                         .number = pending_->number,
+                         .target_name = target});
   }
 }
 
 std::optional<Prober::Failure> Prober::take_failure(Seconds now) {
-  if (!open_ || now < open_->fails_at) return std::nullopt;
-  const auto failed = *std::exchange(open_, std::nullopt);
+  if (!pending_ || now < pending_->fails_at) return std::nullopt;
+  const auto failed = *std::exchange(pending_, std::nullopt);
   return Failure{failed.peer, failed.awaited_nacks};
 }
 
@@ -101,29 +105,29 @@
   }
 }
 
-void Prober::start_due(const std::vector<Peer>& peers, int patience, Seconds now) {
-  constexpr Seconds kMargin = 1e-3;  // the open probe ends before the next one is due
+void Prober::start_due(const std::vector<Peer>& peers, int health_multiplier, Seconds now) {
+  constexpr Seconds kMargin = 1e-3;  // the pending probe ends before the next one is due
   if (now < probe_at_) return;
   probe_at_ = now + bounds_.probe_interval;
-  if (const int p = open_ ? -1 : next_in_round(peers); p >= 0) {
+  if (const int p = pending_ ? -1 : next_in_round(peers); p >= 0) {
     ++number_;
-    open_ = {.peer = p,
-             .number = number_,
-             .started_at = now,
-             .fails_at = now + bounds_.probe_interval * patience - kMargin};
+    pending_ = {.peer = p,
+                .number = number_,
+                .started_at = now,
+                .fails_at = now + bounds_.probe_interval * health_multiplier - kMargin};
     outgoing_.push_back({.kind = Probe::Kind::ping, .peer = p, .number = number_});
   }
-  seek_missing(peers);
+  ping_dead_or_unseen(peers);
 }
 
-void Prober::seek_missing(const std::vector<Peer>& peers) {
-  constexpr std::size_t kAtOnceIfAlone = 8;
+void Prober::ping_dead_or_unseen(const std::vector<Peer>& peers) {
+  constexpr std::size_t kMaxPingsIfAlone = 8;
   std::vector<int> missing;
   for (std::size_t p = 0; p < peers.size(); ++p)
     if (!counts_as_alive(peers[p].state)) missing.push_back(static_cast<int>(p));
   const bool alone = missing.size() == peers.size();
   std::ranges::shuffle(missing, random_);
-  missing.resize(std::min(missing.size(), alone ? kAtOnceIfAlone : std::size_t{1}));
+  missing.resize(std::min(missing.size(), alone ? kMaxPingsIfAlone : std::size_t{1}));
   for (const int p : missing) {
     ++number_;
     outgoing_.push_back({.kind = Probe::Kind::ping, .peer = p, .number = number_});
@@ -137,12 +141,12 @@
   return probe;
 }
 
-Seconds Prober::next_due(int patience) const {
+Seconds Prober::next_due(int health_multiplier) const {
   Seconds due = probe_at_;
-  if (!relays_.empty()) due = std::min(due, relays_.front().until);
-  if (open_) {
-    const Seconds helpers_at = open_->started_at + bounds_.ack_timeout * patience;
-    due = std::min(due, open_->helpers_asked ? open_->fails_at : helpers_at);
+  if (!relays_.empty()) due = std::min(due, relays_.front().expires_at);
+  if (pending_) {
+    const Seconds helpers_at = pending_->started_at + bounds_.ack_timeout * health_multiplier;
+    due = std::min(due, pending_->helpers_asked ? pending_->fails_at : helpers_at);
   }
   return due;
 }
--- a/src/membership/prober.h
+++ b/src/membership/prober.h
@@ -1,7 +1,7 @@
 /// \file
-/// Whom a member probes when, and for whom it probes: the failure detector of SWIM (Das, Gupta and Motivala,
-/// 2002). Each interval one member is pinged, in a shuffled round; one that does not answer is pinged through
-/// helpers. What a failed probe means is Membership's. No I/O; called on the scheduler's thread.
+/// The probing part of the failure detector of SWIM (Das, Gupta and Motivala, 2002). In each interval one
+/// member is pinged, in a shuffled round-robin order; a member that does not answer is pinged through
+/// helpers. Membership decides what follows from a failed probe. No I/O; called on the scheduler's thread.
 #pragma once
 
 #include <cstdint>
@@ -17,60 +17,63 @@
 
 /// One datagram of the failure detector.
 struct Probe {
-  /// Their numbers are on the wire.
+  /// What the datagram is for. The values go over the wire.
   enum class Kind : std::uint8_t {
     ping,
     ack,
-    nack,         ///< a helper had no answer either
-    ping_request  ///< asks a helper to ping another
+    nack,         ///< a helper got no answer from the target either
+    ping_request  ///< asks a helper to ping the target
   };
-  Kind kind = Kind::ping;    ///< what it is for
-  int peer = -1;             ///< its receiver, by number
-  std::uint64_t number = 0;  ///< an answer has that of the question
-  std::uint64_t about = 0;   ///< of a ping request: whom the helper is to ping
+  Kind kind = Kind::ping;         ///< the purpose
+  int peer = -1;                  ///< index of the receiver among the peers
+  std::uint64_t number = 0;       ///< sequence number; an ack or nack has that of its ping or ping request
+  std::uint64_t target_name = 0;  ///< for a ping request: stable hash of the target's name
 };
 
-/// The probes of one member: its own, those that it does for others, and its answers.
+/// One member's own probes, the pings that it sends for others as a helper, and its answers.
 class Prober {
  public:
-  /// A probe of this member's own that stayed unanswered.
+  /// The result of an own probe that got no answer.
   struct Failure {
-    int peer = -1;           ///< that did not answer
-    int silent_helpers = 0;  ///< asked, but said nothing either
+    int peer = -1;          ///< index of the peer that did not answer
+    int missing_nacks = 0;  ///< helpers that were asked and sent neither ack nor nack
   };
 
-  /// `random` is shared with Membership and must outlive this.
+  /// `random` is the generator of Membership and must outlive this object.
   Prober(const Bounds& bounds, std::mt19937& random, Seconds now);
 
-  /// A ping is to be answered.
-  void answer(int from, std::uint64_t number);
-  /// A ping request: `target` is to be pinged for `from`.
+  /// Queues the ack for a ping from the peer `from`.
+  void queue_ack(int from, std::uint64_t number);
+  /// Handles a ping request: pings the peer `target` on behalf of the peer `from`.
   void relay(int from, std::uint64_t number, int target, Seconds now);
-  /// True if it answers this member's own probe; a relayed one is passed on.
+  /// Handles an ack: true if it answers the own probe. One for a relayed ping is sent on to the asking peer.
   bool handle_ack(std::uint64_t number);
-  /// A helper lives but does not reach the target either: the fault is less likely here.
+  /// Handles a nack: the helper answers but cannot reach the target either, so the fault is less likely on
+  /// this member's side.
   void handle_nack(std::uint64_t number);
-  /// Drops what is open: this process stood still, what it did not hear meanwhile speaks of nobody else.
+  /// Drops the pending probe and all relays after a stall of this process, which would have missed the
+  /// answers.
   void reset();
 
-  /// Answers relays that timed out with a nack.
+  /// Sends a nack for each relayed ping that timed out.
   void expire_relays(Seconds now);
-  /// Asks helpers if the open probe has had no direct answer. `patience`: the factor of its times, from 1.
-  void ask_helpers(const std::vector<Peer>& peers, int patience, Seconds now);
-  /// The open probe, if it has failed; once.
+  /// Asks helpers if the pending probe has had no direct answer in time. `health_multiplier`: from 1, the
+  /// factor by which the probe's timeouts are extended.
+  void ask_helpers(const std::vector<Peer>& peers, int health_multiplier, Seconds now);
+  /// Ends the pending probe if it has failed and returns the failure, once for each probe.
   std::optional<Failure> take_failure(Seconds now);
-  /// Starts the next probe if it is due; also seeks peers never heard or dead. Prevents a healed cut from
-  /// staying unnoticed.
-  void start_due(const std::vector<Peer>& peers, int patience, Seconds now);
+  /// Starts the next probe if it is due. Also pings peers that are dead or were never seen, as otherwise the
+  /// end of a network partition would go unnoticed.
+  void start_due(const std::vector<Peer>& peers, int health_multiplier, Seconds now);
 
-  /// The next datagram; nullopt: none is waiting.
+  /// The next datagram to send; nullopt: none is queued.
   std::optional<Probe> pop();
-  bool empty() const { return outgoing_.empty(); }  ///< whether pop() has none
-  /// When there may be more to do without an input.
-  Seconds next_due(int patience) const;
+  bool empty() const { return outgoing_.empty(); }  ///< whether no datagram is queued
+  /// The time at which there may be something to do even if no input arrives.
+  Seconds next_due(int health_multiplier) const;
 
  private:
-  struct OpenProbe {
+  struct PendingProbe {
     int peer = -1;
     std::uint64_t number = 0;
     Seconds started_at = 0;
@@ -80,19 +83,19 @@
   };
   struct Relay {
     int from = -1;
-    std::uint64_t number = 0;      // as the asking member gave it
-    std::uint64_t own_number = 0;  // of the ping that it led to
-    Seconds until = 0;
+    std::uint64_t number = 0;      // sequence number of the ping request
+    std::uint64_t own_number = 0;  // sequence number of the relayed ping
+    Seconds expires_at = 0;
   };
   int next_in_round(const std::vector<Peer>& peers);
-  void seek_missing(const std::vector<Peer>& peers);
+  void ping_dead_or_unseen(const std::vector<Peer>& peers);
 
   const Bounds bounds_;
   std::mt19937& random_;
-  std::uint64_t number_;  // of the last ping
+  std::uint64_t number_;  // sequence number of the last ping sent
   Seconds probe_at_;
   std::vector<int> round_;
-  std::optional<OpenProbe> open_;
+  std::optional<PendingProbe> pending_;
   std::deque<Relay> relays_;
   std::deque<Probe> outgoing_;
 };
