--- a/src/gossip/bounds.h
+++ b/src/gossip/bounds.h
@@ -1,5 +1,5 @@
 /// \file
-/// Times and sizes of the gossip.
+/// Times and sizes of gossip.
 #pragma once
 
 #include <cstddef>
@@ -8,29 +8,32 @@
 
 namespace walkpaddle::gossip {
 
-/// With these a router's load does not grow with the fleet.
+/// Limits that keep a router's traffic independent of the fleet's size.
 struct Bounds {
-  /// Receivers of one round of rumours: half of 300 know after four rounds, the last after seven.
+  /// Receivers of one round of rumours: half of a fleet of 300 have a rumour after four rounds, the last
+  /// router after seven.
   int fanout = 4;
-  /// Between rounds; the first of a rumour goes at once.
+  /// Time between rounds. A new rumour goes out at once if the last round is longer ago than this.
   Seconds round_interval = 0.05;
-  /// Between comparisons with one member, in calm: what rumours missed is found in seconds.
+  /// Mean time between comparisons with one member: what rumours missed is found within seconds.
   Seconds compare_interval = 2;
   /// The same while this router catches up.
   Seconds catch_up_interval = 0.1;
-  /// Members that have sent all end a catch-up: one may lag itself.
+  /// How many members must have sent all that this router lacked before its catch-up ends. One is not enough,
+  /// as it may lag behind itself.
   int catch_up_peers = 2;
-  /// Of a datagram: 56 bytes each, with the records within an Ethernet frame.
+  /// Observations in a datagram, 56 bytes each. Together with the records they fit an Ethernet frame.
   std::size_t observations_per_packet = 16;
-  /// Of a datagram: 32 bytes each.
+  /// Member records in a datagram, 32 bytes each.
   std::size_t records_per_packet = 8;
-  /// Deltas for one digest: some 70 kB, then the next comparison.
+  /// Delta datagrams sent for one digest, some 70 kB. The rest is left to the next comparison.
   std::size_t max_deltas = 64;
-  /// Datagrams that wait to go out; past it digests are not answered.
+  /// Size of the send queue in datagrams. While no more than `max_deltas` of it are free, digests are not
+  /// answered.
   std::size_t max_queued = 512;
-  /// Of each sort; past it only comparisons carry.
+  /// Rumours of each type of content. Further ones are dropped and left to comparisons.
   std::size_t max_rumours = 4096;
-  /// Of other states' items in a datagram, at least one item.
+  /// Bytes of items of other states in a datagram; one item is always sent.
   std::size_t item_bytes_per_packet = 1040;
 };
 
--- a/src/gossip/clock_offsets.h
+++ b/src/gossip/clock_offsets.h
@@ -1,5 +1,5 @@
 /// \file
-/// How far this router's clock is from the others'. No I/O.
+/// Estimates how far this router's clock is off from the other routers' clocks. No I/O.
 #pragma once
 
 #include <map>
@@ -8,14 +8,15 @@
 
 namespace walkpaddle::gossip {
 
-/// Offsets by the datagrams' times of sending. A datagram's way counts as nothing: it is far under what
-/// matters.
+/// Clock offsets of the peers, taken from the send times in their datagrams. The transit time is ignored, as
+/// it is far below the offsets that matter.
 class ClockOffsets {
  public:
-  /// A datagram of the peer that was sent at `sent_at` on its clock.
+  /// Records a datagram that the peer sent at `sent_at` on its clock and that arrived at `now` on this
+  /// router's.
   void note(int peer, Seconds sent_at, Seconds now) { offsets_[peer] = {sent_at - now, now}; }
-  /// The median of how far others that spoke lately are ahead of this router's clock; 0 where fewer than two
-  /// did.
+  /// The median offset of the peers whose datagrams arrived in the last minute, in seconds; above 0 if they
+  /// are ahead of this router's clock. 0 if there are fewer than two such peers.
   Seconds median(Seconds now) const;
 
  private:
--- a/src/gossip/codec.cpp
+++ b/src/gossip/codec.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxReadBytes = 65536;  // what reading one message may cost
+constexpr std::size_t kMaxReadBytes = 65536;  // bounds the cost of reading one message, see read_root()
 
 void write(schema::Fact::Builder to, const EndpointObservation& observation) {
   to.setServer(observation.endpoint);
@@ -62,9 +62,9 @@
           .channel_versions = from.getReads()};
 }
 
-double checked_figure(float value) {
-  constexpr float kMaxFigure = 1e6;  // limits and seconds: far past any
-  if (!(value >= 0 && value <= kMaxFigure)) throw_bad_value("figure", std::to_string(value));
+double checked_snapshot_value(float value) {
+  constexpr float kMaxSnapshotValue = 1e6;  // far above any limit, count or time in seconds
+  if (!(value >= 0 && value <= kMaxSnapshotValue)) throw_bad_value("snapshot value", std::to_string(value));
   return value;
 }
 
@@ -100,16 +100,16 @@
       .taken_at = checked_time(from.getAt()),
       .part = from.getPart(),
       .parts = from.getParts(),
-      .link_limit = checked_figure(from.getLink()),
-      .miss_ratio = from.getMisses() < 0 ? -1 : std::min(1.0, checked_figure(from.getMisses()))};
+      .link_limit = checked_snapshot_value(from.getLink()),
+      .miss_ratio = from.getMisses() < 0 ? -1 : std::min(1.0, checked_snapshot_value(from.getMisses()))};
   for (const auto limit : from.getRooms())
-    snapshot.limits.push_back(
-        {limit.getServer(), checked_figure(limit.getHops()), checked_figure(limit.getFills())});
+    snapshot.limits.push_back({limit.getServer(), checked_snapshot_value(limit.getHops()),
+                               checked_snapshot_value(limit.getFills())});
   for (const auto object : from.getObjects())
-    snapshot.objects.push_back({object.getObject(), checked_figure(object.getCount())});
+    snapshot.objects.push_back({object.getObject(), checked_snapshot_value(object.getCount())});
   for (const auto time : from.getRules())
-    snapshot.service_times.push_back(
-        {checked_figure(time.getSending()), static_cast<int>(std::min(time.getAnswers(), kMaxAnswers))});
+    snapshot.service_times.push_back({checked_snapshot_value(time.getSending()),
+                                      static_cast<int>(std::min(time.getAnswers(), kMaxAnswers))});
   return snapshot;
 }
 
@@ -144,7 +144,7 @@
 
 }  // namespace
 
-// The order in which the lists are made is that of the bytes.
+// The order of the init calls sets the order of the lists in the encoded bytes.
 std::string encode_packet(const Packet& packet, const membership::MemberRecord& self) {
   capnp::MallocMessageBuilder message;
   auto to = message.initRoot<schema::Packet>();
@@ -173,7 +173,7 @@
 }
 
 std::optional<ReceivedPacket> decode_packet(std::string_view bytes, const PeerOf& peer_of) {
-  if (bytes.size() > kMaxPacketBytes) throw_bad_value("datagram of length", std::to_string(bytes.size()));
+  if (bytes.size() > kMaxPacketBytes) throw_bad_value("datagram length", std::to_string(bytes.size()));
   const auto read_packet = [&](const schema::Packet::Reader& from) -> std::optional<ReceivedPacket> {
     if (from.getVersion() < 1) throw_bad_value("version", std::to_string(from.getVersion()));
     const int peer = peer_of(from.getFrom());
--- a/src/gossip/codec.h
+++ b/src/gossip/codec.h
@@ -1,6 +1,6 @@
 /// \file
-/// Datagrams of the gossip as bytes (Cap'n Proto, fleet/fleet.capnp), and what it keeps in the store. What
-/// cannot be read is InputError. No I/O.
+/// Encodes and decodes gossip datagrams and what gossip keeps in the store (Cap'n Proto, fleet/fleet.capnp).
+/// Bytes that cannot be decoded raise InputError. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -15,29 +15,30 @@
 
 namespace walkpaddle::gossip {
 
-constexpr std::size_t kMaxPacketBytes = 4096;  ///< a longer datagram is refused
+constexpr std::size_t kMaxPacketBytes = 4096;  ///< longer datagrams are refused
 
-/// Gives the number of the peer of that name, -1 for a stranger.
+/// Maps the stable hash of a router's name to the index of that peer; -1 if it is not in the fleet.
 using PeerOf = std::function<int(std::uint64_t name)>;
 
-/// The bytes of a datagram. `self`: what its sender says of itself.
+/// Encodes a datagram. `self`: the sender's own record.
 std::string encode_packet(const Packet& packet, const membership::MemberRecord& self);
 
-/// Reads a datagram; nullopt if its sender is a stranger, of whom nothing is read. Throws InputError.
+/// Decodes a datagram; nullopt if the sender is not in the fleet, in which case the rest is not read. Throws
+/// InputError.
 std::optional<ReceivedPacket> decode_packet(std::string_view bytes, const PeerOf& peer_of);
 
-/// Reads a datagram whole before anything of it is handed on; false if its sender is a stranger, of whom
-/// nothing is taken. Throws InputError.
+/// Decodes a whole datagram and then passes it to `gossip`; false, and nothing is passed on, if the sender is
+/// not in the fleet. Throws InputError before anything is passed on.
 bool deliver_packet(std::string_view bytes, const PeerOf& peer_of, Gossip& gossip, Seconds now);
 
-/// An observation as it stands in the store.
+/// Encodes an observation for the store.
 std::string encode_observation(const replica::EndpointObservation& observation);
-/// Throws InputError if it cannot be read.
+/// Decodes an observation from the store. Throws InputError.
 replica::EndpointObservation decode_observation(std::string_view bytes);
 
-/// A snapshot as it stands in the store.
+/// Encodes a snapshot for the store.
 std::string encode_snapshot(const ReplicatedSnapshot& snapshot);
-/// Throws InputError if it cannot be read.
+/// Decodes a snapshot from the store. Throws InputError.
 ReplicatedSnapshot decode_snapshot(std::string_view bytes);
 
 }  // namespace walkpaddle::gossip
--- a/src/gossip/digest.h
+++ b/src/gossip/digest.h
@@ -1,6 +1,7 @@
 /// \file
-/// Digests of all that is shared, range by range: those of endpoint observations, those of member records,
-/// then those of each other state in the order of the states' numbers. Equal digests, equal copies. No I/O.
+/// Digests of all replicated state, one for each range of its entries: first the ranges of endpoint
+/// observations, then those of member records, then those of each other state by the states' numbers. Copies
+/// with equal digests are taken to be equal. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,24 +12,24 @@
 
 namespace walkpaddle::gossip {
 
-constexpr int kMemberRanges = 8;  ///< ranges of member records
+constexpr int kMemberRanges = 8;  ///< number of ranges that member records are split into
 
-/// What a range, by its place among the digests, is of.
+/// Which entries a range holds.
 struct RangeContent {
-  /// The sort of its entries.
+  /// The type of the entries.
   enum class Kind : std::uint8_t { observations, records, items };
-  Kind kind = Kind::observations;  ///< of this range
-  int range = 0;                   ///< within its kind
-  std::uint8_t state = 0;          ///< of items: replica::ReplicatedState::number()
+  Kind kind = Kind::observations;  ///< the type of this range's entries
+  int range = 0;                   ///< index of the range within its kind
+  std::uint8_t state = 0;          ///< for items: replica::ReplicatedState::number()
 };
 
-/// What the range at `place` is of.
+/// Which entries the range holds whose digest is at index `place` of digests_of().
 RangeContent content_of_range(std::size_t place);
 
-/// The range, within those of member records, that a member falls into.
+/// The range of member records that a member belongs to, from 0. `member`: stable hash of its name.
 int member_range(std::uint64_t member);
 
-/// The digests of this router's copy; 0: the range is empty.
+/// The digests of this router's copy of all state, by range; 0: the range is empty.
 std::vector<std::uint64_t> digests_of(const SharedState& shared);
 
 }  // namespace walkpaddle::gossip
--- a/src/gossip/exchange.cpp
+++ b/src/gossip/exchange.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Fills datagrams of one comparison with the ranges that differ.
+// Writes the entries of ranges that differ into delta datagrams of one comparison.
 class DeltaWriter {
  public:
   DeltaWriter(const SharedState& shared, PacketQueue& queue, const Bounds& bounds, int peer,
@@ -91,18 +91,18 @@
       compare_at_(now),
       catch_up_from_(now) {}
 
-// From a random range on, so that what has no room now is not the same each time.
+// Starts at a random range, so that it is not always the same ranges that are left out for want of room.
 Exchange::Sent Exchange::send_differing(int peer, std::uint64_t number,
                                         std::span<const std::uint64_t> theirs) {
   const auto ours = digests_of(shared_);
-  const auto most = std::min(bounds_.max_deltas, queue_.free_slots());
+  const auto max_deltas = std::min(bounds_.max_deltas, queue_.free_slots());
   const auto start = random_() % ours.size();
   DeltaWriter deltas(shared_, queue_, bounds_, peer, number);
   bool truncated = false;
   for (std::size_t n = 0; n < ours.size() && !truncated; ++n) {
     const auto place = (start + n) % ours.size();
     if (place >= theirs.size() || ours[place] == theirs[place]) continue;
-    truncated = deltas.written() >= most;
+    truncated = deltas.written() >= max_deltas;
     if (!truncated) deltas.add(content_of_range(place));
   }
   deltas.flush();
@@ -110,7 +110,8 @@
 }
 
 void Exchange::handle_digest(int from, std::uint64_t number, std::span<const std::uint64_t> theirs) {
-  if (queue_.free_slots() <= bounds_.max_deltas) return;  // it asks another, or again
+  // Unanswered, the peer compares with another member, or tries again.
+  if (queue_.free_slots() <= bounds_.max_deltas) return;
   const auto sent = send_differing(from, number, theirs);
   queue_.push({.kind = PacketKind::digest_reply,
                .peer = from,
@@ -125,29 +126,29 @@
   if (it != comparisons_.end() && it->second.number == number) ++it->second.deltas;
 }
 
-// The reply has the digests of their copy as it was when they had sent theirs: what still differs they lack,
-// or it was lost on the way.
+// The reply has the digests of the peer's copy after it sent its deltas. Ranges that still differ hold what
+// the peer lacks, or what was lost on the way.
 void Exchange::handle_reply(const Packet& reply, Seconds now) {
   const auto it = comparisons_.find(reply.peer);
   if (it == comparisons_.end() || it->second.number != reply.number) return;
-  const bool whole = it->second.deltas >= reply.deltas && !reply.truncated;
+  const bool complete = it->second.deltas >= reply.deltas && !reply.truncated;
   comparisons_.erase(it);
   send_differing(reply.peer, 0, reply.digests);
-  if (whole && catching_up_) note_whole_copy(reply.peer, now);
+  if (complete && catching_up_) note_complete_peer(reply.peer, now);
 }
 
-void Exchange::note_whole_copy(int from, Seconds now) {
-  whole_copies_.insert(from);
-  const int copies = static_cast<int>(whole_copies_.size());
-  if (copies < std::min(bounds_.catch_up_peers, shared_.members.alive_count())) return;
+void Exchange::note_complete_peer(int from, Seconds now) {
+  complete_peers_.insert(from);
+  const int complete_count = static_cast<int>(complete_peers_.size());
+  if (complete_count < std::min(bounds_.catch_up_peers, shared_.members.alive_count())) return;
   catching_up_ = false;
-  report_ = {now - catch_up_from_, copies, shared_.observations_received - received_before_};
+  report_ = {now - catch_up_from_, complete_count, shared_.observations_received - received_before_};
   compare_at_ = now + bounds_.compare_interval;
 }
 
 void Exchange::start_catch_up(Seconds now) {
   catching_up_ = true;
-  whole_copies_.clear();
+  complete_peers_.clear();
   comparisons_.clear();
   catch_up_from_ = now;
   compare_at_ = now;
@@ -156,15 +157,15 @@
 
 void Exchange::compare_if_due(Seconds now) {
   constexpr Seconds kReplyTimeout = 5;
-  constexpr int kDraws = 8;  // for a member that has not sent all yet
+  constexpr int kMaxDraws = 8;  // attempts to draw a member that has not sent everything yet
   if (now < compare_at_) return;
   std::erase_if(comparisons_, [&](const auto& c) { return now > c.second.started_at + kReplyTimeout; });
   const Seconds interval = catching_up_ ? bounds_.catch_up_interval : bounds_.compare_interval;
-  // Half to one and a half of it: routers that started together drift apart.
+  // 0.5 to 1.5 intervals, so that routers that started together do not stay in step.
   compare_at_ = now + interval * std::uniform_real_distribution<>(0.5, 1.5)(random_);
   auto& members = shared_.members;
   int peer = members.random_alive_peer();
-  for (int draw = 0; draw < kDraws && peer >= 0 && whole_copies_.contains(peer); ++draw)
+  for (int draw = 0; draw < kMaxDraws && peer >= 0 && complete_peers_.contains(peer); ++draw)
     peer = members.random_alive_peer();
   if (peer < 0) return;
   ++number_;
--- a/src/gossip/exchange.h
+++ b/src/gossip/exchange.h
@@ -1,11 +1,11 @@
 /// \file
-/// What rumours missed is found by comparing digests with one member at a time (anti-entropy: Demers et al.,
-/// 1987), which sends only the ranges that differ, in datagrams of bounded size and number. A router that
-/// starts, or that stood still, catches up: it compares with one member after the other until some have sent
-/// all that it lacked. It serves meanwhile. No I/O; called on the scheduler's thread.
+/// Anti-entropy (Demers et al., 1987): finds what rumours missed by comparing digests with one member at a
+/// time. Only ranges that differ are sent, in datagrams of bounded size and number. After its start or a
+/// stall a router catches up: it compares with one member after another until enough of them have sent all
+/// that it lacked. It serves requests meanwhile. No I/O; called on the scheduler's thread.
 ///
-/// One comparison: a digest to the other; its deltas and then its digest reply back; deltas of what it lacks
-/// to it.
+/// One comparison: this router sends its digests; the peer sends deltas and then a digest reply; this router
+/// sends deltas of what the peer lacks.
 #pragma once
 
 #include <cstdint>
@@ -23,60 +23,61 @@
 
 namespace walkpaddle::gossip {
 
-/// How a catch-up went.
+/// The result of a catch-up.
 struct CatchUpReport {
-  Seconds duration = 0;            ///< from the start or the standstill
-  int members = 0;                 ///< that sent all; 0: there was none to ask
-  std::uint64_t observations = 0;  ///< that were new here meanwhile
+  Seconds duration = 0;            ///< since the start or the end of the stall
+  int members = 0;                 ///< how many sent all that was lacking; 0: there was none to ask
+  std::uint64_t observations = 0;  ///< how many new ones arrived meanwhile
 };
 
-/// One router's comparisons with others.
+/// One router's comparisons with its peers.
 class Exchange {
  public:
-  /// `shared` and `queue` must outlive this. `seed`: of the random choices.
+  /// `shared` and `queue` must outlive this. `seed`: of the generator for random choices.
   Exchange(SharedState& shared, PacketQueue& queue, const Bounds& bounds, std::uint32_t seed, Seconds now);
 
-  /// A peer's digests: sends what differs, then this router's. Not answered while much waits to go out.
+  /// Answers a peer's digests with the entries of ranges that differ and with this router's digests. Does not
+  /// answer while the send queue is nearly full.
   void handle_digest(int from, std::uint64_t number, std::span<const std::uint64_t> theirs);
-  /// A part of what differs has come.
+  /// Counts a delta of the comparison `number`.
   void handle_delta(int from, std::uint64_t number);
-  /// The peer has sent all; sends what it lacks.
+  /// Ends a comparison: the peer has sent its deltas. Sends it what it lacks.
   void handle_reply(const Packet& reply, Seconds now);
 
-  /// Compares with a member if it is time for that.
+  /// Starts a comparison with a random member if one is due.
   void compare_if_due(Seconds now);
-  /// This router may have missed much.
+  /// Starts a catch-up, as this router may have missed many updates.
   void start_catch_up(Seconds now);
-  /// When compare_if_due() has something to do.
+  /// The time at which the next comparison is due.
   Seconds next_due() const { return compare_at_; }
 
-  /// Whether this router has not caught up yet.
+  /// Whether a catch-up is under way.
   bool catching_up() const { return catching_up_; }
-  /// Once after each catch-up.
+  /// The result of a finished catch-up, once for each.
   std::optional<CatchUpReport> take_report() { return std::exchange(report_, std::nullopt); }
 
  private:
   struct Comparison {
     std::uint64_t number = 0;
     Seconds started_at = 0;
-    std::uint32_t deltas = 0;  // that have come
+    std::uint32_t deltas = 0;  // received so far
   };
   struct Sent {
     std::uint32_t deltas = 0;
-    bool truncated = false;  // not all that differs had room
+    bool truncated = false;  // some ranges that differ were left out
   };
   Sent send_differing(int peer, std::uint64_t number, std::span<const std::uint64_t> theirs);
-  void note_whole_copy(int from, Seconds now);
+  void note_complete_peer(int from, Seconds now);
 
   SharedState& shared_;
   PacketQueue& queue_;
   const Bounds bounds_;
   std::mt19937 random_;
-  std::uint64_t number_;                   // of the last comparison
-  std::map<int, Comparison> comparisons_;  // the last with each member that was asked
-  std::set<int> whole_copies_;             // members that have sent all
+  std::uint64_t number_;                   // number of the last comparison started
+  std::map<int, Comparison> comparisons_;  // the latest open one with each peer
+  std::set<int> complete_peers_;           // peers that have sent all in this catch-up
   std::optional<CatchUpReport> report_;
-  std::uint64_t received_before_ = 0;  // observations, at the start of the catch-up
+  std::uint64_t received_before_ = 0;  // observations received before the catch-up started
   Seconds compare_at_;
   Seconds catch_up_from_;
   bool catching_up_ = true;
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -35,10 +35,10 @@
     else
       receive_item(item, now);
   }
-  receive_kind(packet, now);
+  dispatch(packet, now);
 }
 
-// An item that cannot be read costs itself alone; one of a state that is not known here is passed over.
+// An unreadable item is counted and dropped alone; an item of a state unknown here is ignored.
 void Gossip::receive_item(const Item& item, Seconds now) try {
   if (auto* state = shared_.find(item.kind)) state->join(item.bytes, now);
 } catch (const InputError&) {
@@ -51,7 +51,7 @@
   ++unreadable_items_;
 }
 
-void Gossip::receive_kind(const Packet& packet, Seconds now) {
+void Gossip::dispatch(const Packet& packet, Seconds now) {
   switch (packet.kind) {
     case PacketKind::ping:
       return shared_.members.handle_ping(packet.peer, packet.number);
@@ -78,11 +78,11 @@
     case PacketKind::message:
       return;
   }
-  // A newer router's kind: passed over.
+  // Kinds of newer protocol versions are ignored.
 }
 
 bool Gossip::reads_items(int peer) const {
-  constexpr int kItemsVersion = 2;  // of the gossip channel, from which on datagrams have items
+  constexpr int kItemsVersion = 2;  // version of the gossip channel that introduced items
   const auto versions = shared_.members.peers()[static_cast<std::size_t>(peer)].channel_versions;
   const int reads = compat::announced_version(versions, compat::AnnouncedChannel::gossip);
   return compat::version_to_write(kItemsVersion, {reads}) >= kItemsVersion;
@@ -94,7 +94,7 @@
     if (!packet || shared_.states.empty()) return packet;
     packet->sent_at = now;
     if (packet->items.empty() || reads_items(packet->peer)) return packet;
-    // An older router would pass over them.
+    // An older router would ignore the items.
     packet->items.clear();
     if (packet->kind != PacketKind::message) return packet;
   }
@@ -119,7 +119,7 @@
                 .number = probe.number,
                 .target_name = probe.target_name};
   rumours_.add_to(packet, Rumours::Cost::free);
-  // What is believed of the other, if that is bad: it refutes it at once.
+  // Tells a peer that it is suspected or taken for dead, so that it can refute that at once.
   const auto record = shared_.members.record(probe.peer);
   if (record && record->state != membership::MemberState::alive) packet.records.push_back(*record);
   return packet;
--- a/src/gossip/gossip.h
+++ b/src/gossip/gossip.h
@@ -1,7 +1,7 @@
 /// \file
-/// How what routers share goes round a fleet: connects the failure detector, rumours, comparisons and
-/// catch-up, replicas of snapshots, and messages between routers. What a router sends does not grow with the
-/// fleet. No I/O; called on the scheduler's thread.
+/// Replication of state between the routers of a fleet: combines the failure detector, rumours, comparisons
+/// and catch-up, replicas of snapshots, and messages between two routers. The traffic of a router does not
+/// grow with the fleet. No I/O; called on the scheduler's thread.
 #pragma once
 
 #include <cstdint>
@@ -19,36 +19,38 @@
 
 namespace walkpaddle::gossip {
 
-/// One router's gossip: datagrams in, datagrams out.
+/// One router's gossip protocol: takes received datagrams and makes those to send.
 class Gossip {
  public:
-  /// The parts must outlive this. `seed`: of the random choices.
+  /// All references must outlive this object. `seed`: of the generator for random choices.
   Gossip(membership::Membership& members, replica::ObservationTracker& tracker, SnapshotReplicas& snapshots,
          const Bounds& bounds, std::uint32_t seed, Seconds now);
   Gossip(const Gossip&) = delete;
   Gossip& operator=(const Gossip&) = delete;
 
-  /// Carries a state beside members and observations; each once, before anything is received.
+  /// Adds a state to replicate beside members and observations. Each is added once, before the first
+  /// datagram; it must outlive this object.
   void add_state(replica::ReplicatedState& state) { shared_.states.push_back(&state); }
 
-  /// A datagram from a peer.
+  /// Handles a datagram from a peer.
   void receive(const ReceivedPacket& received, Seconds now);
-  /// The next datagram to be sent; nullopt: none now.
+  /// The next datagram to send; nullopt: none now.
   std::optional<Packet> next(Seconds now);
-  /// When next() may have more without an input.
+  /// The time at which next() may have a datagram even if no input arrives.
   Seconds next_due(Seconds now) const;
 
   /// Whether this router has not caught up with the fleet yet.
   bool catching_up() const { return exchange_.catching_up(); }
-  /// Once after each catch-up.
+  /// The result of a finished catch-up, once for each.
   std::optional<CatchUpReport> take_catch_up_report() { return exchange_.take_report(); }
-  /// Observations of others that were new here.
+  /// The number of observations that were received and new here.
   std::uint64_t observations_received() const { return shared_.observations_received; }
-  /// Items and messages that their state could not read.
+  /// The number of items and messages that could not be read.
   std::uint64_t unreadable_items() const { return unreadable_items_; }
-  /// How far the others' clocks are ahead, see ClockOffsets; 0 where nothing is carried.
+  /// How far the peers' clocks are ahead of this router's in seconds, see ClockOffsets; 0 if no state was
+  /// added.
   Seconds clock_offset(Seconds now) const { return clocks_.median(now); }
-  /// Of this router's copy, see digest.h.
+  /// The digests of this router's copy, see digest.h.
   std::vector<std::uint64_t> digests() const;
 
  private:
@@ -59,7 +61,7 @@
   void queue_snapshots(Seconds now);
   void receive_item(const Item& item, Seconds now);
   void receive_message(int from, const Item& item, Seconds now);
-  void receive_kind(const Packet& packet, Seconds now);
+  void dispatch(const Packet& packet, Seconds now);
   bool reads_items(int peer) const;
 
   SharedState shared_;
--- a/src/gossip/rumours.cpp
+++ b/src/gossip/rumours.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-// Hands at most `most` rumours to `add`, those with the most rounds left first, until it gives false.
+// Passes at most `max_count` rumours to `add`, those with the most rounds left first, until it returns false.
 template <class Key, class Add>
-void pick(std::map<Key, int>& rumours, std::size_t most, Rumours::Cost cost, Add&& add) {
+void pick(std::map<Key, int>& rumours, std::size_t max_count, Rumours::Cost cost, Add&& add) {
   std::vector<std::pair<int, Key>> order;
   order.reserve(rumours.size());
   for (const auto& [key, rounds_left] : rumours) order.emplace_back(-rounds_left, key);
-  const auto count = std::min(most, order.size());
+  const auto count = std::min(max_count, order.size());
   std::ranges::partial_sort(order, order.begin() + static_cast<std::ptrdiff_t>(count));
   for (std::size_t n = 0; n < count; ++n) {
     const auto& key = order[n].second;
@@ -28,7 +28,8 @@
 
 }  // namespace
 
-// A fleet of n is reached whole, but for one in thousands, by this many rounds of four: ln n and some more.
+// The number of rounds that a rumour is sent for. It grows with the logarithm of the fleet's size: with a
+// fanout of four a rumour reaches all members but one in thousands.
 int Rumours::rounds() const {
   return 2 + static_cast<int>(std::ceil(std::log10(shared_.members.alive_count() + 2.0)));
 }
@@ -47,12 +48,12 @@
       if (items_.size() < bounds_.max_rumours) items_[{state->number(), id}] = rounds;
 }
 
-// Gives the bytes that they took.
+// Returns the bytes of the items added.
 std::size_t Rumours::add_items(Packet& packet, Cost cost) {
   std::size_t bytes = 0;
   pick(items_, items_.size(), cost, [&](const ItemKey& key) {
     auto item = shared_.find(key.first)->bytes(key.second);
-    if (item.empty()) return true;  // another replaced it
+    if (item.empty()) return true;  // replaced by another item since
     if (bytes > 0 && bytes + item.size() > bounds_.item_bytes_per_packet) return false;
     bytes += item.size();
     packet.items.push_back({key.first, std::move(item)});
@@ -63,7 +64,7 @@
 
 void Rumours::add_to(Packet& packet, Cost cost) {
   constexpr std::size_t kObservationBytes = 56;
-  // What items took is not there for observations.
+  // The bytes that items take are not available for observations.
   const auto taken = add_items(packet, cost) / kObservationBytes;
   const auto max_observations =
       bounds_.observations_per_packet - std::min(bounds_.observations_per_packet, taken);
--- a/src/gossip/rumours.h
+++ b/src/gossip/rumours.h
@@ -1,6 +1,6 @@
 /// \file
-/// What is new here goes round by rumour mongering (Demers et al., 1987): each rumour is sent for some rounds
-/// to a few members drawn by chance. No I/O; called on the scheduler's thread.
+/// Rumour mongering (Demers et al., 1987): each new record, observation or item is sent to a few random
+/// members in each of several rounds. No I/O; called on the scheduler's thread.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,27 @@
 
 namespace walkpaddle::gossip {
 
-/// The rumours that still go round.
+/// The rumours that this router still sends.
 class Rumours {
  public:
-  /// Whether a datagram counts as one of a rumour's rounds.
+  /// Whether a datagram uses up one of the rounds of each rumour that it carries.
   enum class Cost : std::uint8_t {
-    free,  ///< rides on a datagram that goes anyway
-    round
+    free,  ///< no, it is sent anyway
+    round  ///< yes
   };
 
   /// `shared` must outlive this.
   Rumours(SharedState& shared, const Bounds& bounds) : shared_(shared), bounds_(bounds) {}
 
-  /// Takes up what changed here since the last call.
+  /// Starts rumours for what changed here since the last call.
   void collect();
-  /// Adds as many as have room, those least often sent first.
+  /// Adds as many rumours to the datagram as fit, those with the most rounds left first.
   void add_to(Packet& packet, Cost cost);
-  /// Whether none goes round.
+  /// Whether there is no rumour to send.
   bool empty() const { return observations_.empty() && records_.empty() && items_.empty(); }
 
  private:
-  using ItemKey = std::pair<std::uint8_t, std::uint64_t>;  // number of the state, id
+  using ItemKey = std::pair<std::uint8_t, std::uint64_t>;  // number of the state, id of the item
   template <class Key>
   using RoundsLeft = std::map<Key, int>;
   int rounds() const;
@@ -42,7 +42,7 @@
   SharedState& shared_;
   const Bounds bounds_;
   RoundsLeft<replica::ObservationKey> observations_;
-  RoundsLeft<std::uint64_t> records_;  // by member
+  RoundsLeft<std::uint64_t> records_;  // by the member's name
   RoundsLeft<ItemKey> items_;
 };
 
--- a/src/gossip/shared_state.h
+++ b/src/gossip/shared_state.h
@@ -1,5 +1,5 @@
 /// \file
-/// The replicated states of one router as the gossip sees them. No I/O.
+/// All replicated state of one router, as gossip uses it. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -12,14 +12,14 @@
 
 namespace walkpaddle::gossip {
 
-/// What rumours spread and comparisons compare. The parts must outlive it.
+/// The state that rumours spread and comparisons compare. What it refers to must outlive it.
 struct SharedState {
   membership::Membership& members;                  ///< the member records
   replica::ObservationTracker& tracker;             ///< the endpoint observations
-  std::vector<replica::ReplicatedState*> states{};  ///< the others, each once
-  std::uint64_t observations_received = 0;          ///< that were new here
+  std::vector<replica::ReplicatedState*> states{};  ///< further kinds of state, each once
+  std::uint64_t observations_received = 0;          ///< how many were received and new here
 
-  /// The state of that number; null: it is not known here.
+  /// The further state with that number; null if it is unknown here.
   replica::ReplicatedState* find(std::uint8_t number) const {
     const auto it = std::ranges::find(states, number, [](const auto* state) { return state->number(); });
     return it == states.end() ? nullptr : *it;
--- a/src/gossip/snapshot_replicas.cpp
+++ b/src/gossip/snapshot_replicas.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr std::size_t kMaxOutgoing = 256;  // past it requests are not answered
+constexpr std::size_t kMaxOutgoing = 256;  // above this requests are not answered
 
-bool is_whole(const std::vector<ReplicatedSnapshot>& parts) {
+bool is_complete(const std::vector<ReplicatedSnapshot>& parts) {
   return !parts.empty() && static_cast<int>(parts.size()) == parts.front().parts;
 }
 
-// The entries of one part, of `per_part` each.
+// The entries of one part, `per_part` in each.
 template <class Entry>
 std::vector<Entry> slice(const std::vector<Entry>& all, int part, std::size_t per_part) {
   const auto first = std::min(all.size(), static_cast<std::size_t>(part) * per_part);
@@ -46,7 +46,7 @@
       replicate_at_(now + bounds.interval),
       request_at_(now) {}
 
-// Rendezvous hashing: the same at the start as before it, while the same are alive.
+// Rendezvous hashing: a restarted router finds the holders of before, if the same members are alive.
 std::vector<int> SnapshotReplicas::replica_holders(std::uint64_t router) const {
   std::vector<std::pair<std::uint64_t, int>> order;
   const auto& peers = members_.peers();
@@ -63,17 +63,18 @@
   return holders;
 }
 
-void SnapshotReplicas::drop_past(Seconds now) {
-  const auto past = [&](const Parts& parts) {
+void SnapshotReplicas::drop_expired(Seconds now) {
+  const auto expired = [&](const Parts& parts) {
     return parts.empty() || parts.front().taken_at < now - bounds_.retention;
   };
-  std::erase_if(replicas_, [&](const auto& of) { return past(of.second.whole) && past(of.second.incoming); });
+  std::erase_if(replicas_,
+                [&](const auto& of) { return expired(of.second.complete) && expired(of.second.incoming); });
 }
 
 void SnapshotReplicas::replicate(ReplicatedSnapshot snapshot, Seconds now) {
   replicate_at_ = now + bounds_.interval;
-  requests_over_ = true;  // what was kept from before is past
-  drop_past(now);
+  recovery_over_ = true;  // a snapshot from before the start is out of date now
+  drop_expired(now);
   const auto self = members_.self().member;
   auto limits = std::exchange(snapshot.limits, {});
   auto objects = std::exchange(snapshot.objects, {});
@@ -91,24 +92,24 @@
     snapshot.objects = slice(objects, snapshot.part, per_part);
     const auto part = std::make_shared<const ReplicatedSnapshot>(snapshot);
     for (const int p : holders) outgoing_.push_back({p, part});
-    snapshot.service_times.clear();  // with the first part alone
+    snapshot.service_times.clear();  // in the first part only
   }
 }
 
 bool SnapshotReplicas::acceptable(std::uint64_t from, const ReplicatedSnapshot& part, Seconds now) const {
-  constexpr Seconds kMaxAhead = 1;  // of the sender's clock
+  constexpr Seconds kMaxAhead = 1;  // how far the sender's clock may be ahead
   const auto max_parts =
       static_cast<int>((bounds_.max_limits + bounds_.entries_per_part - 1) / bounds_.entries_per_part);
-  const bool numbered =
+  const bool valid_part_number =
       part.parts >= 1 && part.parts <= max_parts && part.part >= 0 && part.part < part.parts;
   const bool fits =
       part.limits.size() <= bounds_.entries_per_part && part.objects.size() <= bounds_.entries_per_part;
-  const bool may_speak = part.router == members_.self().member || part.router == from;
-  return numbered && fits && may_speak && part.taken_at <= now + kMaxAhead;
+  const bool permitted_sender = part.router == members_.self().member || part.router == from;
+  return valid_part_number && fits && permitted_sender && part.taken_at <= now + kMaxAhead;
 }
 
-// Parts of one snapshot, each once. A later one replaces them, but what came whole stands until the later is
-// whole too.
+// Collects the parts of one snapshot. A part of a later snapshot discards an incomplete earlier one; the last
+// complete snapshot stays until a later one is complete.
 void SnapshotReplicas::receive(std::uint64_t from, ReplicatedSnapshot part, Seconds now) {
   if (!acceptable(from, part, now)) return;
   const auto self = members_.self().member;
@@ -121,16 +122,16 @@
   }
   if (std::ranges::find(parts, part.part, &ReplicatedSnapshot::part) != parts.end()) return;
   parts.push_back(std::move(part));
-  if (!is_whole(parts)) return;
-  auto whole = std::exchange(parts, {});
+  if (!is_complete(parts)) return;
+  auto complete = std::exchange(parts, {});
   if (own)
-    recover(assemble(self, whole));
+    recover(assemble(self, complete));
   else
-    replicas_[from].whole = std::move(whole);
+    replicas_[from].complete = std::move(complete);
 }
 
 void SnapshotReplicas::recover(ReplicatedSnapshot snapshot) {
-  if (requests_over_ || snapshot.taken_at <= newest_recovered_) return;
+  if (recovery_over_ || snapshot.taken_at <= newest_recovered_) return;
   newest_recovered_ = snapshot.taken_at;
   recovered_ = std::move(snapshot);
 }
@@ -142,15 +143,15 @@
 void SnapshotReplicas::handle_request(int from) {
   const auto it = replicas_.find(members_.peers()[static_cast<std::size_t>(from)].name);
   if (it == replicas_.end() || outgoing_.size() > kMaxOutgoing) return;
-  for (const auto& part : it->second.whole)
+  for (const auto& part : it->second.complete)
     outgoing_.push_back({from, std::make_shared<const ReplicatedSnapshot>(part)});
 }
 
-// A start asks until its time for that is over, as more of the others turn out to be alive; the newest
-// counts.
+// After its start a router repeats its requests for a while, as it finds more of its peers alive. The newest
+// snapshot that arrives is used.
 std::optional<SnapshotReplicas::Send> SnapshotReplicas::next(Seconds now) {
-  if (!requests_over_ && now >= started_ + bounds_.request_for) requests_over_ = true;
-  if (!requests_over_ && now >= request_at_) {
+  if (!recovery_over_ && now >= started_ + bounds_.request_for) recovery_over_ = true;
+  if (!recovery_over_ && now >= request_at_) {
     request_at_ = now + bounds_.request_interval;
     for (const int p : replica_holders(members_.self().member)) outgoing_.push_back({p, nullptr});
   }
@@ -161,7 +162,7 @@
 }
 
 Seconds SnapshotReplicas::next_due() const {
-  if (requests_over_) return replicate_at_;
+  if (recovery_over_) return replicate_at_;
   return std::min({replicate_at_, request_at_, started_ + bounds_.request_for});
 }
 
