--- a/src/replica/capnp_message.h
+++ b/src/replica/capnp_message.h
@@ -1,7 +1,7 @@
 /// \file
-/// Cap'n Proto messages as flat bytes, and back. What cannot be read is InputError, whatever the library
-/// threw. Reading is bounded. Prevents a small message of nested or repeated pointers from costing much time.
-/// No I/O.
+/// Converts Cap'n Proto messages to flat bytes and back. A message that cannot be read raises InputError,
+/// whatever the library threw. Reading is bounded, so that a small message of nested or repeated pointers
+/// cannot cost much time. No I/O.
 #pragma once
 
 #include <capnp/message.h>
@@ -20,15 +20,16 @@
 
 namespace walkpaddle::replica {
 
-/// The message as flat bytes, a whole number of words.
+/// Encodes the message as flat bytes, a whole number of words.
 inline std::string message_bytes(capnp::MallocMessageBuilder& message) {
   const auto words = capnp::messageToFlatArray(message);
   const auto bytes = words.asBytes();
   return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
-/// Calls `read` with the root of the message in `bytes` and gives what it gives. `max_bytes`: what the
-/// largest message has. Throws InputError if the message cannot be read.
+/// Calls `read` with the root of the message in `bytes` and returns its result. `max_bytes`: the size of the
+/// largest valid message; reading may traverse four times as much. Throws InputError if the message cannot be
+/// read.
 template <class Root, class Read>
 auto read_root(std::string_view bytes, std::size_t max_bytes, Read&& read) {
   // An aligned copy: the library reads words in place.
@@ -41,11 +42,11 @@
     capnp::FlatArrayMessageReader reader({words.data(), words.size()}, bounds);
     return std::forward<Read>(read)(reader.getRoot<Root>());
   } catch (const kj::Exception& e) {
-    throw InputError(std::string("a message that cannot be read: ") + e.getDescription().cStr());
+    throw InputError(std::string("Cap'n Proto message cannot be read: ") + e.getDescription().cStr());
   }
 }
 
-/// The value, if it can be a time in seconds: finite, not negative, at most 1e11. Throws InputError
+/// Returns the value if it can be a time in seconds: finite, not negative, at most 1e11. Throws InputError
 /// otherwise.
 inline Seconds checked_time(double value) {
   constexpr Seconds kLatestTime = 1e11;
@@ -54,7 +55,7 @@
   return value;
 }
 
-/// The text in place; valid while the message is.
+/// A view of the text without a copy; valid as long as the message.
 inline std::string_view text_view(const capnp::Text::Reader& text) { return {text.begin(), text.size()}; }
 
 }  // namespace walkpaddle::replica
--- a/src/replica/endpoint_observations.cpp
+++ b/src/replica/endpoint_observations.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Over fixed words, the same on every machine of the fleet's byte order. Never 0: an empty range has that.
+// Hashes fixed words, so that all machines of the fleet, which share a byte order, get the same value. Never
+// 0, which is the digest of an empty range.
 std::uint64_t hash_of(const EndpointObservation& o) {
   const std::uint64_t words[] = {
       o.endpoint,
@@ -27,8 +28,8 @@
          o.concurrency_limit >= 0 && static_cast<int>(o.health) < kHealthCount;
 }
 
-// Whether `a` replaces `b` of the same observer: the later one; at equal timestamps, which cannot come from
-// one honest router, the worse news, so that any two copies choose alike.
+// Whether `a` replaces `b` of the same observer. The later one does. Two with equal timestamps cannot come
+// from a correct router; then the worse one does, so that all copies choose the same.
 bool replaces(const EndpointObservation& a, const EndpointObservation& b) {
   return std::tuple(a.observed_at, a.health, -a.concurrency_limit) >
          std::tuple(b.observed_at, b.health, -b.concurrency_limit);
@@ -56,13 +57,13 @@
     endpoint.by_observer.clear();
     endpoint.started = observation.started;
   }
-  const auto held = endpoint.by_observer.find(observation.observer);
-  if (held == endpoint.by_observer.end()) {
+  const auto entry = endpoint.by_observer.find(observation.observer);
+  if (entry == endpoint.by_observer.end()) {
     if (endpoint.by_observer.size() >= bounds_.observers) return refuse();
-  } else if (!replaces(observation, held->second)) {
+  } else if (!replaces(observation, entry->second)) {
     return JoinResult::known;
   } else {
-    update_digest(held->second, Change::removed);
+    update_digest(entry->second, Change::removed);
   }
   endpoint.by_observer[observation.observer] = observation;
   update_digest(observation, Change::added);
@@ -86,10 +87,10 @@
 
 void EndpointObservations::trim(Seconds now) {
   for (auto it = endpoints_.begin(); it != endpoints_.end();) {
-    std::erase_if(it->second.by_observer, [&](const auto& held) {
-      const bool past = held.second.observed_at.seconds() < now - bounds_.retention;
-      if (past) update_digest(held.second, Change::removed);
-      return past;
+    std::erase_if(it->second.by_observer, [&](const auto& entry) {
+      const bool expired = entry.second.observed_at.seconds() < now - bounds_.retention;
+      if (expired) update_digest(entry.second, Change::removed);
+      return expired;
     });
     it = it->second.by_observer.empty() ? endpoints_.erase(it) : std::next(it);
   }
@@ -101,10 +102,10 @@
 }
 
 const EndpointObservation* EndpointObservations::find(std::uint64_t endpoint, std::uint64_t observer) const {
-  const auto* held = find(endpoint);
-  if (held == nullptr) return nullptr;
-  const auto it = held->by_observer.find(observer);
-  return it == held->by_observer.end() ? nullptr : &it->second;
+  const auto* found = find(endpoint);
+  if (found == nullptr) return nullptr;
+  const auto it = found->by_observer.find(observer);
+  return it == found->by_observer.end() ? nullptr : &it->second;
 }
 
 std::vector<EndpointObservation> EndpointObservations::of_range(int range) const {
--- a/src/replica/endpoint_observations.h
+++ b/src/replica/endpoint_observations.h
@@ -3,13 +3,13 @@
 /// single observations (Almeida et al., 2018). The join is commutative, associative and idempotent, so order,
 /// loss and duplication of messages change nothing. No I/O.
 ///
-/// The join: a later start of an endpoint wins outright and drops what was known of the earlier ones. Within
-/// a start each observer has one observation, its latest. What an endpoint is taken for is read from the set
-/// by endpoint_view.h.
+/// The join: observations of a later start of an endpoint replace all those of earlier starts. Within one
+/// start each observer has one observation, its latest. endpoint_view.h derives an endpoint's health from the
+/// set.
 ///
-/// Copies are compared by digests of ranges of endpoints: equal sums, equal observations, whatever order they
-/// came in. An observation is dropped a fixed time after it was seen, at all routers alike, so that none
-/// brings it back.
+/// Copies are compared by digests of ranges of endpoints. A digest is a sum of hashes, so it does not depend
+/// on the order in which observations arrived. All routers drop an observation at a fixed age, so that none
+/// of them brings it back.
 #pragma once
 
 #include <array>
@@ -22,35 +22,39 @@
 
 namespace walkpaddle::replica {
 
-/// One router's copy of the set.
+/// One router's copy of the replicated set.
 class EndpointObservations {
  public:
   /// Sizes and lifetimes.
   struct Bounds {
-    /// A fleet's endpoint list holds some hundreds; beyond this a new one is refused and counted.
+    /// Endpoints in the set. A fleet's endpoint list has some hundreds; observations of endpoints beyond the
+    /// limit are refused and counted.
     std::size_t endpoints = 4096;
-    /// Routers of one fleet; past this a new observer is refused. Who is of the fleet is the host's to say
-    /// (ObservationTracker::set_fleet).
+    /// Observers of one endpoint, that is, routers of the fleet; observations of further ones are refused.
+    /// Whether an observer belongs to the fleet is checked elsewhere (ObservationTracker::set_fleet).
     std::size_t observers = 512;
-    /// `slow`, `cold` and a concurrency limit hold this long unless seen again: a cold endpoint is warm
-    /// within 18 to 22 s at the deployments on record, a slow spell lasts 14 to 33 s.
+    /// How long `slow`, `cold` and a concurrency limit stay in force unless they are observed again. At the
+    /// deployments on record a cold endpoint is warm within 18 to 22 s, and a slow period lasts 14 to 33 s.
     Seconds soft_lifetime = 20;
-    /// `draining` and `down` hold this long unless renewed. The observer renews after a third of it, so two
-    /// renewals may be lost. Prevents an endpoint left idle by an observer that is gone for good.
+    /// How long `draining` and `down` stay in force unless they are renewed, so that an observer that is gone
+    /// for good does not leave an endpoint unused. Observers renew after a third of this, so two renewals may
+    /// be lost.
     Seconds hard_lifetime = 30;
-    /// So many other observers that saw it ready later outweigh one observer's bad news.
+    /// How many other observers must have seen the endpoint ready later to override an observation.
     int quorum = 2;
-    /// Nothing that is read lasts longer than hard_lifetime; ten of these, for routers that were away.
+    /// How long observations are kept. None affects an endpoint's health for longer than `hard_lifetime`;
+    /// they are kept ten times as long for routers that were away.
     Seconds retention = 300;
   };
-  /// Ranges of endpoints, each with a digest: 512 bytes; 1,000 observations are 16 a range.
+  /// Ranges of endpoints, each with a digest. All digests take 512 bytes; of 1,000 observations some 16 fall
+  /// into a range.
   static constexpr int kDigestRanges = 64;
-  /// What joining one observation did.
+  /// The result of joining one observation.
   enum class JoinResult : std::uint8_t {
-    changed,        ///< it was new here
-    known,          ///< the copy holds it, or a later one of the same observer
-    earlier_start,  ///< it is of a start that a later one replaced
-    refused         ///< a value out of range, or no room
+    changed,        ///< the observation was new here
+    known,          ///< the set has it, or a later one of the same observer
+    earlier_start,  ///< it is of a start before the latest known
+    refused         ///< a value is out of range, or a limit is reached
   };
   /// All observations of one endpoint's latest known start.
   struct Endpoint {
@@ -58,35 +62,35 @@
     std::map<std::uint64_t, EndpointObservation> by_observer;  ///< never empty
   };
 
-  /// With the default bounds.
+  /// An empty set with the default bounds.
   EndpointObservations() : EndpointObservations(Bounds{}) {}
-  /// With bounds of a test.
+  /// An empty set with other bounds.
   explicit EndpointObservations(const Bounds& bounds) : bounds_(bounds) {}
 
-  /// Joins one observation; a router's own come the same way as others'.
+  /// Joins one observation, this router's own or another's.
   JoinResult join(const EndpointObservation& observation);
-  /// Joins all of another copy.
+  /// Joins all observations of another copy.
   void join(const EndpointObservations& other);
-  /// Drops what is past its retention.
+  /// Drops observations that are older than the retention time.
   void trim(Seconds now);
 
-  /// Null if there is none.
+  /// The observation of one endpoint by one observer; null if there is none.
   const EndpointObservation* find(std::uint64_t endpoint, std::uint64_t observer) const;
-  /// Null if nothing is known of it.
+  /// The observations of one endpoint; null if there are none.
   const Endpoint* find(std::uint64_t endpoint) const;
-  /// All, in a fixed order that is the same for equal copies.
+  /// All observations, in an order that is the same for equal copies.
   std::vector<EndpointObservation> all() const;
 
-  /// The sum of a range's hashes; 0: the range is empty.
+  /// The sum of the hashes of a range's observations; 0: the range is empty.
   std::uint64_t digest(int range) const { return digests_[static_cast<std::size_t>(range)]; }
   /// All observations of a range.
   std::vector<EndpointObservation> of_range(int range) const;
-  /// The range that an endpoint falls into, from 0.
+  /// The range that an endpoint belongs to, from 0.
   static int range_of(std::uint64_t endpoint) { return static_cast<int>(endpoint % kDigestRanges); }
 
-  std::size_t endpoint_count() const { return endpoints_.size(); }  ///< endpoints with an observation
-  std::size_t size() const { return size_; }                        ///< observations
-  std::uint64_t refused() const { return refused_; }                ///< how many were refused so far
+  std::size_t endpoint_count() const { return endpoints_.size(); }  ///< endpoints with observations
+  std::size_t size() const { return size_; }                        ///< number of observations
+  std::uint64_t refused() const { return refused_; }                ///< number of observations refused so far
   const Bounds& bounds() const { return bounds_; }                  ///< as constructed
 
  private:
--- a/src/replica/endpoint_view.cpp
+++ b/src/replica/endpoint_view.cpp
@@ -15,7 +15,7 @@
   return now.seconds() - observed_at.seconds();
 }
 
-// The observation's health while it lasts, `ready` after.
+// The observation's health during its lifetime, `ready` afterwards.
 Health health_in_force(const EndpointObservation& o, const Bounds& bounds, HybridTimestamp now) {
   if (o.health == Health::ready) return o.health;
   const Seconds lifetime = is_soft(o.health) ? bounds.soft_lifetime : bounds.hard_lifetime;
@@ -24,8 +24,8 @@
 
 // Whether enough other observers saw the endpoint ready after this observation.
 bool outvoted(const Endpoint& endpoint, const EndpointObservation& o, const Bounds& bounds) {
-  const auto ready_later = std::ranges::count_if(endpoint.by_observer, [&](const auto& held) {
-    const auto& other = held.second;
+  const auto ready_later = std::ranges::count_if(endpoint.by_observer, [&](const auto& entry) {
+    const auto& other = entry.second;
     return other.observer != o.observer && other.health == Health::ready && other.observed_at > o.observed_at;
   });
   return ready_later >= bounds.quorum;
--- a/src/replica/hybrid_clock.cpp
+++ b/src/replica/hybrid_clock.cpp
@@ -10,7 +10,8 @@
 
 constexpr auto kMaxCount = std::numeric_limits<std::uint32_t>::max();
 
-// After four billion events in a microsecond the physical part steps on.
+// The next timestamp. If the count overflows, after 2^32 events in a microsecond, the physical part is
+// advanced.
 HybridTimestamp successor(std::int64_t micros, std::uint32_t count) {
   if (count == kMaxCount) return {micros + 1, 0};
   return {micros, count + 1};
--- a/src/replica/observation_tracker.cpp
+++ b/src/replica/observation_tracker.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr Seconds kNever = 1e15;
-constexpr Seconds kRetryInterval = 1;  // while discovery is silent
+constexpr Seconds kRetryInterval = 1;  // between checks while discovery is not in contact
 
-int badness(EndpointState state) {
+int severity(EndpointState state) {
   switch (state) {
     case EndpointState::gone:
       return 2;
@@ -27,13 +27,13 @@
   return EndpointState::ready;
 }
 
-// The listing with a drain, an end or a later start as the fleet has it; never better than the router's own.
+// The router's own listing with the fleet's state or start where these are worse or later; never better.
 ObservationTracker::Listing worse_of(const ObservationTracker::Listing& own, const EndpointView& view) {
   auto listing = own;
   if (view.started > own.started) listing.started = view.started;
   if (view.started < own.started) return listing;  // the observations are of an earlier start
   const EndpointState state = state_of(view.health);
-  if (badness(state) > badness(own.state)) listing.state = state;
+  if (severity(state) > severity(own.state)) listing.state = state;
   return listing;
 }
 
@@ -58,10 +58,10 @@
   if (index < 0 || static_cast<std::size_t>(index) >= bounds_.endpoints) return;
   const auto place = static_cast<std::size_t>(index);
   if (place >= endpoints_.size())
-    endpoints_.resize(place + 1, TrackedEndpoint{.own = {}, .handed = {}, .check_at = kNever});
+    endpoints_.resize(place + 1, TrackedEndpoint{.own = {}, .reported = {}, .check_at = kNever});
   auto& endpoint = endpoints_[place];
   const auto before = std::exchange(endpoint.own, listing);
-  endpoint.handed.reset();  // the policy has just heard this from discovery itself
+  endpoint.reported.reset();  // the policy gets this listing from discovery directly
   if (before && before->state == listing.state && before->started == listing.started) return;
   endpoint.since = now;
   endpoint.recovered = before && before->state != EndpointState::ready &&
@@ -80,12 +80,12 @@
   updates_.push_back({endpoint.own->hash, self_});
 }
 
-// Whether discovery says something that the fleet does not know, and when to check again.
+// Publishes the endpoint's listing if the fleet does not know of it, and sets the time of the next check.
 void ObservationTracker::check(TrackedEndpoint& endpoint, Seconds now) {
   endpoint.check_at = kNever;
   const auto& own = *endpoint.own;
   const auto view = view_endpoint(observations_, own.hash, clock_.last());
-  if (view && view->started > own.started) return;  // this list is behind
+  if (view && view->started > own.started) return;  // this router's list is out of date
   if (own.state == EndpointState::ready)
     check_ready(endpoint, view, now);
   else
@@ -95,7 +95,8 @@
 void ObservationTracker::check_ready(TrackedEndpoint& endpoint, const std::optional<EndpointView>& view,
                                      Seconds now) {
   const auto& own = *endpoint.own;
-  // A start that the fleet does not know yet is a restart: the endpoint is cold for every router.
+  // A recent start that the fleet does not know yet is a restart, which leaves the endpoint cold for all
+  // routers.
   const bool restarted = own.started > 0 && now - own.started <= observations_.bounds().soft_lifetime &&
                          (!view || view->started < own.started);
   if (restarted) {
@@ -105,8 +106,9 @@
   const auto* published = observations_.find(own.hash, self_);
   const bool published_bad =
       published != nullptr && published->started == own.started && published->health >= Health::draining;
-  const bool over = published_bad || (endpoint.recovered && view && view->health >= Health::draining);
-  if (!over) return;
+  const bool publish_recovery =
+      published_bad || (endpoint.recovered && view && view->health >= Health::draining);
+  if (!publish_recovery) return;
   if (discovery_fresh(now))
     publish(endpoint, Health::ready, now);
   else
@@ -115,14 +117,15 @@
 
 void ObservationTracker::check_unavailable(TrackedEndpoint& endpoint, const std::optional<EndpointView>& view,
                                            Seconds now) {
-  // An endpoint gone from one list is gone from every router's within seconds: two minutes of renewals are
-  // plenty, and the set does not carry the fleet's history. A drain is renewed as long as it lasts.
+  // An endpoint that is gone from one router's list is gone from all lists within seconds. Two minutes of
+  // renewals are ample, and keep the set free of endpoints that are long gone. A drain is renewed as long as
+  // it lasts.
   constexpr Seconds kRenewGoneFor = 120;
   const auto& own = *endpoint.own;
   if (own.state == EndpointState::gone && now > endpoint.since + kRenewGoneFor) return;
   const Health health = own.state == EndpointState::gone ? Health::down : Health::draining;
-  // Renewed a third of its lifetime after anybody's last: two renewals may be lost. What is outvoted does not
-  // count as published.
+  // Renewed a third of the lifetime after any router last published it, so two renewals may be lost. An
+  // observation that a quorum overrides does not count as published.
   const Seconds renewal = observations_.bounds().hard_lifetime / 3;
   const bool in_force = view && view->health >= health;
   const Seconds last = in_force ? last_observed(observations_, own.hash, own.started, health).seconds() : 0;
@@ -153,9 +156,10 @@
 
 EndpointObservations::JoinResult ObservationTracker::receive(const EndpointObservation& observation,
                                                              Seconds now) {
-  const bool stranger = !fleet_.empty() && std::ranges::find(fleet_, observation.observer) == fleet_.end();
-  const bool past = observation.observed_at.seconds() < now - observations_.bounds().retention;
-  if (stranger || past || !clock_.receive(observation.observed_at, now)) {
+  const bool not_in_fleet =
+      !fleet_.empty() && std::ranges::find(fleet_, observation.observer) == fleet_.end();
+  const bool expired = observation.observed_at.seconds() < now - observations_.bounds().retention;
+  if (not_in_fleet || expired || !clock_.receive(observation.observed_at, now)) {
     ++refused_;
     return EndpointObservations::JoinResult::refused;
   }
@@ -174,10 +178,10 @@
     if (!endpoint.own) continue;
     const auto view = view_endpoint(observations_, endpoint.own->hash, at);
     const auto listing = view ? worse_of(*endpoint.own, *view) : *endpoint.own;
-    // What discovery says reaches the policy from discovery; only a difference is handed on here.
-    const auto& before = endpoint.handed ? *endpoint.handed : *endpoint.own;
+    // The policy gets discovery's listings directly; only differences from these are reported here.
+    const auto& before = endpoint.reported ? *endpoint.reported : *endpoint.own;
     if (listing == before) continue;
-    endpoint.handed = listing;
+    endpoint.reported = listing;
     changes.push_back({static_cast<int>(n), listing});
   }
   return changes;
