--- a/src/gossip/clock_offsets.h
+++ b/src/gossip/clock_offsets.h
@@ -24,7 +24,7 @@
     Seconds ahead = 0;
     Seconds noted_at = 0;
   };
-  std::map<int, Offset> offsets_;  // by peer
+  std::map<int, Offset> offsets_;  // by the peer's index
 };
 
 }  // namespace walkpaddle::gossip
--- a/src/gossip/exchange.cpp
+++ b/src/gossip/exchange.cpp
@@ -157,7 +157,7 @@
 
 void Exchange::compare_if_due(Seconds now) {
   constexpr Seconds kReplyTimeout = 5;
-  constexpr int kMaxDraws = 8;  // attempts to draw a member that has not sent everything yet
+  constexpr int kMaxDraws = 8;  // draws for a member that has not sent everything yet
   if (now < compare_at_) return;
   std::erase_if(comparisons_, [&](const auto& c) { return now > c.second.started_at + kReplyTimeout; });
   const Seconds interval = catching_up_ ? bounds_.catch_up_interval : bounds_.compare_interval;
--- a/src/gossip/exchange.h
+++ b/src/gossip/exchange.h
@@ -75,7 +75,7 @@
   std::mt19937 random_;
   std::uint64_t number_;                   // number of the last comparison started
   std::map<int, Comparison> comparisons_;  // the latest open one with each peer
-  std::set<int> complete_peers_;           // peers that have sent all in this catch-up
+  std::set<int> complete_peers_;           // peers that have sent all in the latest catch-up
   std::optional<CatchUpReport> report_;
   std::uint64_t received_before_ = 0;  // observations received before the catch-up started
   Seconds compare_at_;
--- a/src/gossip/replicated_snapshot.h
+++ b/src/gossip/replicated_snapshot.h
@@ -16,8 +16,8 @@
   /// An endpoint's concurrency limits.
   struct Limit {
     std::uint64_t endpoint = 0;  ///< stable hash of its id
-    double attempts = 0;         ///< in flight
-    double fills = 0;            ///< in flight
+    double attempts = 0;         ///< limit of attempts in flight
+    double fills = 0;            ///< limit of fills in flight
     /// Equal in every field.
     bool operator==(const Limit&) const = default;
   };
--- a/src/gossip/snapshot_replicas.h
+++ b/src/gossip/snapshot_replicas.h
@@ -28,8 +28,8 @@
     Seconds request_interval = 0.25;  ///< between requests after the start
     Seconds request_for = 5;          ///< how long to send requests; by then the policy has learnt by itself
     std::size_t entries_per_part = 32;  ///< limits in a part, and as many objects; 16 bytes each
-    std::size_t max_objects = 256;      ///< of one router, those with the highest counts
-    std::size_t max_limits = 4096;      ///< of one router
+    std::size_t max_objects = 256;      ///< objects of one router, those with the highest counts
+    std::size_t max_limits = 4096;      ///< limits of one router
     Seconds retention = 300;  ///< five half-lives: too little is left of a limit to be worth sending
   };
   /// A datagram to send.
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -31,7 +31,7 @@
   Membership& operator=(const Membership&) = delete;
 
   /// Records that a datagram of any kind came from the peer itself. `incarnation` and `channel_versions` are
-  /// as the datagram has them; 0 versions: not announced.
+  /// those in the datagram; versions of 0 are not announced.
   void note_contact(int peer, std::uint64_t incarnation, std::uint64_t channel_versions, Seconds now);
   /// Joins a record received from another router; true if it changed anything here.
   bool join(const MemberRecord& record, Seconds now);
@@ -98,7 +98,7 @@
   std::vector<MemberRecord> updates_;
   std::uint64_t suspicions_ = 0;
   std::uint64_t refuted_ = 0;
-  Seconds last_call_;  // of next_probe()
+  Seconds last_call_;  // time of the last call of next_probe()
   int health_score_ = 0;
   bool stall_detected_ = false;
 };
--- a/src/replica/observation_tracker.h
+++ b/src/replica/observation_tracker.h
@@ -48,7 +48,7 @@
   };
   /// Sizes and times.
   struct Bounds {
-    std::size_t endpoints = 4096;  ///< of the router's own list; further ones are ignored
+    std::size_t endpoints = 4096;  ///< endpoints of the router's own list; further ones are ignored
     /// How long after the last message from discovery the list may be published. Discovery sends one every
     /// second, so two may be missed.
     Seconds max_list_age = 3;
--- a/tests/fleet_world.cpp
+++ b/tests/fleet_world.cpp
@@ -91,7 +91,7 @@
   };
   struct IssuedPurge {
     PurgeStamp stamp;
-    std::string what;
+    std::string target;
     Seconds issued, accepted = -1, in_force_at = -1;
     int at;
   };
@@ -144,9 +144,9 @@
     if (uniform() < profile_.purges * step) {
       const int n = static_cast<int>(random_() % nodes_.size());
       if (!running(n)) return;
-      const auto what = fmt::format("o{}", random_() % 400);
-      const auto& e = nodes_[n].purges->issue(PurgeKind::object, what, local_time(n));
-      issued_.push_back({e.stamp, what, now_, -1, -1, n});
+      const auto target = fmt::format("o{}", random_() % 400);
+      const auto& e = nodes_[n].purges->issue(PurgeKind::object, target, local_time(n));
+      issued_.push_back({e.stamp, target, now_, -1, -1, n});
       ++result_.issued;
     }
   }
@@ -254,10 +254,10 @@
   }
 
   // When the oldest copy of the object that router n lets pass was made, in simulation time.
-  Seconds oldest_passed(int n, const std::string& what) {
+  Seconds oldest_passed(int n, const std::string& target) {
     auto& p = *nodes_[n].purges;
     const Seconds now = local_time(n), limit = p.copy_age_limit(now);
-    const Seconds since = p.valid_since(stable_hash(what), 0, what, now);
+    const Seconds since = p.valid_since(stable_hash(target), 0, target, now);
     return std::max(since, limit > 0 ? now - limit : 0) - 1e9 - nodes_[n].skew;
   }
 
@@ -277,7 +277,7 @@
           all = false;
           continue;
         }
-        const bool in_force = oldest_passed(n, k->what) >= k->issued - 1e-6;
+        const bool in_force = oldest_passed(n, k->target) >= k->issued - 1e-6;
         all = all && in_force;
         ++result_.checks;
         if (!in_force && now_ > k->accepted + nodes_[n].purges->promised_delay() + kStepMargin)
