--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -23,7 +23,7 @@
 
 void Gossip::receive(const ReceivedPacket& received, Seconds now) {
   const auto& packet = received.packet;
-  shared_.members.heard_from(packet.peer, received.incarnation, received.channel_versions, now);
+  shared_.members.note_contact(packet.peer, received.incarnation, received.channel_versions, now);
   if (packet.sent_at > 0 && !shared_.states.empty()) clocks_.note(packet.peer, packet.sent_at, now);
   for (const auto& record : packet.records) shared_.members.join(record, now);
   for (const auto& observation : packet.observations)
@@ -35,10 +35,10 @@
     else
       receive_item(item, now);
   }
-  receive_kind(packet, now);
+  dispatch(packet, now);
 }
 
-// An item that cannot be read costs itself alone; one of a state that is not known here is passed over.
+// An unreadable item is counted and dropped alone; an item of a state unknown here is ignored.
 void Gossip::receive_item(const Item& item, Seconds now) try {
   if (auto* state = shared_.find(item.kind)) state->join(item.bytes, now);
 } catch (const InputError&) {
@@ -51,7 +51,7 @@
   ++unreadable_items_;
 }
 
-void Gossip::receive_kind(const Packet& packet, Seconds now) {
+void Gossip::dispatch(const Packet& packet, Seconds now) {
   switch (packet.kind) {
     case PacketKind::ping:
       return shared_.members.handle_ping(packet.peer, packet.number);
@@ -60,7 +60,7 @@
     case PacketKind::nack:
       return shared_.members.handle_nack(packet.number);
     case PacketKind::ping_request:
-      return shared_.members.handle_ping_request(packet.peer, packet.number, packet.about, now);
+      return shared_.members.handle_ping_request(packet.peer, packet.number, packet.target_name, now);
     case PacketKind::digest:
       return exchange_.handle_digest(packet.peer, packet.number, packet.digests);
     case PacketKind::digest_reply:
@@ -78,11 +78,11 @@
     case PacketKind::message:
       return;
   }
-  // A newer router's kind: passed over.
+  // Kinds of newer protocol versions are ignored.
 }
 
 bool Gossip::reads_items(int peer) const {
-  constexpr int kItemsVersion = 2;  // of the gossip channel, from which on datagrams have items
+  constexpr int kItemsVersion = 2;  // version of the gossip channel that introduced items
   const auto versions = shared_.members.peers()[static_cast<std::size_t>(peer)].channel_versions;
   const int reads = compat::announced_version(versions, compat::AnnouncedChannel::gossip);
   return compat::version_to_write(kItemsVersion, {reads}) >= kItemsVersion;
@@ -94,7 +94,7 @@
     if (!packet || shared_.states.empty()) return packet;
     packet->sent_at = now;
     if (packet->items.empty() || reads_items(packet->peer)) return packet;
-    // An older router would pass over them.
+    // An older router would ignore the items.
     packet->items.clear();
     if (packet->kind != PacketKind::message) return packet;
   }
@@ -103,7 +103,7 @@
 std::optional<Packet> Gossip::next_packet(Seconds now) {
   shared_.tracker.publish_due(now);
   const auto probe = shared_.members.next_probe(now);
-  if (shared_.members.take_standstill()) exchange_.start_catch_up(now);
+  if (shared_.members.take_stall()) exchange_.start_catch_up(now);
   rumours_.collect();
   if (probe) return packet_of(*probe);
   queue_messages(now);
@@ -117,9 +117,9 @@
   Packet packet{.kind = static_cast<PacketKind>(probe.kind),
                 .peer = probe.peer,
                 .number = probe.number,
-                .about = probe.about};
+                .target_name = probe.target_name};
   rumours_.add_to(packet, Rumours::Cost::free);
-  // What is believed of the other, if that is bad: it refutes it at once.
+  // Tells a peer that it is suspected or taken for dead, so that it can refute that at once.
   const auto record = shared_.members.record(probe.peer);
   if (record && record->state != membership::MemberState::alive) packet.records.push_back(*record);
   return packet;
