--- a/src/rollout/canary_analysis.cpp
+++ b/src/rollout/canary_analysis.cpp
@@ -15,25 +15,25 @@
 /// How many times as much: little harm needs much evidence, gross harm a handful of ends.
 constexpr std::array<double, 6> kAlternativeRatios{1.15, 1.5, 2.5, 6, 20, 100};
 /// A router's own past counts as much as so many bad ends of the fleet's mean.
-constexpr double kShrinkageEnds = 20;
+constexpr double kShrinkageEvents = 20;
 /// A rate of nothing at all so far is taken for one in ten thousand.
 constexpr double kMinRate = 1e-4;
 /// Slow is what this share of the answers, or somewhat less, took before.
 constexpr double kSlowShare = 0.1;
 /// One part of a hundredth of an end, met once, would outweigh all others.
-constexpr double kMinSpreadPart = 0.2;
+constexpr double kMinDispersionExpected = 0.2;
 /// The spread is measured from so many routers on.
-constexpr double kMinSpreadTerms = 3;
-constexpr double kMaxSpread = 100;
+constexpr double kMinDispersionTerms = 3;
+constexpr double kMaxDispersion = 100;
 constexpr double kMaxLogLikelihoodRatio = 50;
 constexpr double kMemoryMarginMb = 16;
-constexpr int kHeavyIntervals = 3;
+constexpr int kHighMemoryIntervals = 3;
 /// Shorter times of the processor are a scheduler's noise.
 constexpr Seconds kMinCpuTime = 2;
 
 std::size_t index_of(Measure measure) { return static_cast<std::size_t>(measure); }
 
-double bad_ends(const RolloutMetrics& metrics, Measure measure, std::size_t slow_from) {
+double adverse_events(const RolloutMetrics& metrics, Measure measure, std::size_t first_slow_bucket) {
   switch (measure) {
     case Measure::rejected:
       return static_cast<double>(metrics.rejected);
@@ -43,7 +43,7 @@
       return static_cast<double>(metrics.late);
     case Measure::slow: {
       double slow = 0;
-      for (auto bucket = slow_from; bucket < RolloutMetrics::kLatencyBuckets; ++bucket)
+      for (auto bucket = first_slow_bucket; bucket < RolloutMetrics::kLatencyBuckets; ++bucket)
         slow += metrics.latency[bucket];
       return slow;
     }
@@ -97,7 +97,7 @@
   update_slow_bucket();
   const auto requests = static_cast<double>(fleet_baseline_.requests);
   for (const auto measure : kAllMeasures) {
-    const double bad = bad_ends(fleet_baseline_, measure, slow_from_);
+    const double bad = adverse_events(fleet_baseline_, measure, first_slow_bucket_);
     fleet_rate_[index_of(measure)] = std::max(kMinRate, requests > 0 ? bad / requests : 0);
   }
 }
@@ -107,10 +107,10 @@
   double all = 0;
   for (const auto answers : latency) all += answers;
   double slow = 0;
-  slow_from_ = RolloutMetrics::kLatencyBuckets;
-  while (slow_from_ > 1 && slow + latency[slow_from_ - 1] <= kSlowShare * all) {
-    --slow_from_;
-    slow += latency[slow_from_];
+  first_slow_bucket_ = RolloutMetrics::kLatencyBuckets;
+  while (first_slow_bucket_ > 1 && slow + latency[first_slow_bucket_ - 1] <= kSlowShare * all) {
+    --first_slow_bucket_;
+    slow += latency[first_slow_bucket_];
   }
 }
 
@@ -118,12 +118,12 @@
   const double mean = std::max(kMinRate, fleet_rate_[index_of(measure)]);
   const auto baseline = baselines_.find(router);
   if (baseline == baselines_.end()) return mean;
-  return (bad_ends(baseline->second, measure, slow_from_) + kShrinkageEnds) /
-         (static_cast<double>(baseline->second.requests) + kShrinkageEnds / mean);
+  return (adverse_events(baseline->second, measure, first_slow_bucket_) + kShrinkageEvents) /
+         (static_cast<double>(baseline->second.requests) + kShrinkageEvents / mean);
 }
 
 void CanaryAnalysis::add_interval(const std::vector<Sample>& samples) {
-  std::map<std::size_t, Site> sites;
+  std::map<std::size_t, SiteSamples> sites;
   for (const auto& sample : samples) {
     stage_requests_[sample.cohort] += sample.delta.requests;
     if (sample.cohort == Cohort::canary) {
@@ -134,51 +134,51 @@
   }
   for (const auto measure : kAllMeasures)
     for (const auto& [number, site] : sites) compare(measure, site);
-  add_load(samples);
+  add_resource_usage(samples);
   conclude();
 }
 
-void CanaryAnalysis::compare(Measure measure, const Site& site) {
+void CanaryAnalysis::compare(Measure measure, const SiteSamples& site) {
   auto& evidence = evidence_[index_of(measure)];
   PerCohort<double> bad;
   PerCohort<double> expected;
   for (const auto* sample : site) {
-    bad[sample->cohort] += bad_ends(sample->delta, measure, slow_from_);
+    bad[sample->cohort] += adverse_events(sample->delta, measure, first_slow_bucket_);
     expected[sample->cohort] += static_cast<double>(sample->delta.requests) * rate(sample->router, measure);
   }
   if (expected.control <= 0) return;
-  if (bad.control > 0) add_spread(evidence, measure, site, bad.control, expected.control);
+  if (bad.control > 0) add_dispersion(evidence, measure, site, bad.control, expected.control);
   if (expected.canary <= 0) return;
   const double tolerated = limits_.tolerated_ratio * expected.canary;
-  evidence.bad += bad.canary;
+  evidence.observed += bad.canary;
   evidence.expected += std::max(0.0, bad.control) * expected.canary / expected.control;
   double spread = 1;
-  if (evidence.spread_terms >= kMinSpreadTerms)
-    spread = std::clamp(evidence.spread / evidence.spread_terms, 1.0, kMaxSpread);
+  if (evidence.dispersion_terms >= kMinDispersionTerms)
+    spread = std::clamp(evidence.dispersion / evidence.dispersion_terms, 1.0, kMaxDispersion);
   for (std::size_t n = 0; n < kAlternatives; ++n) {
-    const double null_part = tolerated / (tolerated + expected.control);
+    const double null_share = tolerated / (tolerated + expected.control);
     const double more = kAlternativeRatios[n] * tolerated;
-    const double alternative_part = more / (more + expected.control);
-    evidence.log_likelihood_ratio[n] += (bad.canary * std::log(alternative_part / null_part) +
-                                         bad.control * std::log((1 - alternative_part) / (1 - null_part))) /
+    const double alternative_share = more / (more + expected.control);
+    evidence.log_likelihood_ratio[n] += (bad.canary * std::log(alternative_share / null_share) +
+                                         bad.control * std::log((1 - alternative_share) / (1 - null_share))) /
                                         spread;
   }
 }
 
 /// What each router of the control has against its part of their total, as Pearson's statistic.
-void CanaryAnalysis::add_spread(Evidence& evidence, Measure measure, const Site& site, double bad,
-                                double expected) const {
+void CanaryAnalysis::add_dispersion(Evidence& evidence, Measure measure, const SiteSamples& site, double bad,
+                                    double expected) const {
   for (const auto* sample : site) {
     if (sample->cohort != Cohort::control || sample->delta.requests == 0) continue;
     const double part =
         bad * static_cast<double>(sample->delta.requests) * rate(sample->router, measure) / expected;
-    const double off = bad_ends(sample->delta, measure, slow_from_) - part;
-    evidence.spread += off * off / std::max(part, kMinSpreadPart);
-    evidence.spread_terms += 1;
+    const double off = adverse_events(sample->delta, measure, first_slow_bucket_) - part;
+    evidence.dispersion += off * off / std::max(part, kMinDispersionExpected);
+    evidence.dispersion_terms += 1;
   }
 }
 
-void CanaryAnalysis::add_load(const std::vector<Sample>& samples) {
+void CanaryAnalysis::add_resource_usage(const std::vector<Sample>& samples) {
   PerCohort<double> memory;
   PerCohort<int> count;
   for (const auto& [router, site, cohort, delta] : samples) {
@@ -192,7 +192,7 @@
   const bool heavy = count.control > 0 && count.canary > 0 &&
                      memory.canary / count.canary > limits_.memory_ratio * memory.control / count.control &&
                      memory.canary / count.canary > memory.control / count.control + kMemoryMarginMb;
-  heavy_intervals_ = heavy ? heavy_intervals_ + 1 : 0;
+  high_memory_intervals_ = heavy ? high_memory_intervals_ + 1 : 0;
 }
 
 void CanaryAnalysis::conclude() {
@@ -201,7 +201,7 @@
   reason_.clear();
   if (canary_violations_ > 0) raise(CanaryVerdict::worse, "a rule was broken by the new generation");
   for (const auto measure : kAllMeasures) conclude_measure(measure);
-  conclude_load();
+  conclude_resource_usage();
 }
 
 void CanaryAnalysis::conclude_measure(Measure measure) {
@@ -210,18 +210,20 @@
   double ratio = 0;
   for (const double log_ratio : evidence.log_likelihood_ratio)
     ratio += std::exp(std::min(log_ratio, kMaxLogLikelihoodRatio)) / kAlternatives;
-  if ((evidence.bad - evidence.expected) / requests < limits_.harm_threshold * harm_weight(measure)) return;
+  if ((evidence.observed - evidence.expected) / requests < limits_.harm_threshold * harm_weight(measure))
+    return;
   char text[200];
   std::snprintf(text, sizeof text, "%s: %.4f a txn with the new generation, %.4f expected, of %.0f txns",
-                to_string(measure).data(), evidence.bad / requests, evidence.expected / requests, requests);
+                to_string(measure).data(), evidence.observed / requests, evidence.expected / requests,
+                requests);
   if (ratio > kMeasures / limits_.false_stop_chance)
     raise(CanaryVerdict::worse, text);
   else if (ratio > limits_.inconclusive_from)
     raise(CanaryVerdict::inconclusive, text);
 }
 
-void CanaryAnalysis::conclude_load() {
-  if (heavy_intervals_ >= kHeavyIntervals)
+void CanaryAnalysis::conclude_resource_usage() {
+  if (high_memory_intervals_ >= kHighMemoryIntervals)
     raise(CanaryVerdict::worse, "memory: over 1.5 times that of the old generation");
   if (cpu_time_.control <= kMinCpuTime || cpu_time_.canary <= kMinCpuTime) return;
   if (cpu_requests_.control <= 0 || cpu_requests_.canary <= 0) return;
--- a/src/rollout/canary_analysis.h
+++ b/src/rollout/canary_analysis.h
@@ -103,35 +103,36 @@
 
   struct Evidence {
     std::array<double, kAlternatives> log_likelihood_ratio{};
-    double bad = 0;       // of the canary
-    double expected = 0;  // of the canary
-    double spread = 0;    // Pearson's statistic of the control
-    double spread_terms = 0;
+    double observed = 0;    // of the canary
+    double expected = 0;    // of the canary
+    double dispersion = 0;  // Pearson's statistic of the control
+    double dispersion_terms = 0;
   };
-  using Site = std::vector<const Sample*>;
+  using SiteSamples = std::vector<const Sample*>;
 
   double rate(std::uint64_t router, Measure measure) const;
   void update_slow_bucket();
-  void compare(Measure measure, const Site& site);
-  void add_spread(Evidence& evidence, Measure measure, const Site& site, double bad, double expected) const;
-  void add_load(const std::vector<Sample>& samples);
+  void compare(Measure measure, const SiteSamples& site);
+  void add_dispersion(Evidence& evidence, Measure measure, const SiteSamples& site, double bad,
+                      double expected) const;
+  void add_resource_usage(const std::vector<Sample>& samples);
   void conclude();
   void conclude_measure(Measure measure);
-  void conclude_load();
+  void conclude_resource_usage();
   void raise(CanaryVerdict verdict, const std::string& reason);
 
   Limits limits_;
   std::map<std::uint64_t, RolloutMetrics> baselines_;  // by router
   RolloutMetrics fleet_baseline_;
   std::array<double, kMeasures> fleet_rate_{};
-  std::size_t slow_from_ = RolloutMetrics::kLatencyBuckets;  // the first bucket that counts as slow
+  std::size_t first_slow_bucket_ = RolloutMetrics::kLatencyBuckets;  // the first bucket that counts as slow
   std::array<Evidence, kMeasures> evidence_{};
   PerCohort<std::uint64_t> stage_requests_;
   std::uint64_t canary_requests_ = 0;
   std::uint64_t canary_violations_ = 0;
   PerCohort<Seconds> cpu_time_;
   PerCohort<double> cpu_requests_;
-  int heavy_intervals_ = 0;  // in a row, with too much memory
+  int high_memory_intervals_ = 0;  // in a row, with too much memory
   CanaryVerdict verdict_ = CanaryVerdict::healthy;
   std::string reason_;
 };
--- a/src/rollout/coordinator.cpp
+++ b/src/rollout/coordinator.cpp
@@ -69,7 +69,8 @@
   const auto move = rollout_.next_move(now);
   for (const auto& line : rollout_.take_log_lines()) log_("change", "{}", line);
   if (store_ != nullptr && !store_->failed())
-    persisted_.persist(*store_, is_full ? PersistedState::Extent::all : PersistedState::Extent::own);
+    persisted_.persist(*store_,
+                       is_full ? PersistedState::Extent::all : PersistedState::Extent::private_state);
   if (is_full) {
     next_full_poll_ = now + kFullPollInterval;
     release_check_.forget();
@@ -86,9 +87,9 @@
 
 void RolloutCoordinator::report_calendar(Seconds now) {
   auto why = calendar_.why_not_current(now).value_or("");
-  if (why == reported_) return;
+  if (why == reported_reason_) return;
   log_("freeze", "{}", why.empty() ? "the calendar is current" : why);
-  reported_ = std::move(why);
+  reported_reason_ = std::move(why);
 }
 
 Seconds RolloutCoordinator::next_due() const { return std::min(next_full_poll_, rollout_.next_due()); }
--- a/src/rollout/coordinator.h
+++ b/src/rollout/coordinator.h
@@ -81,7 +81,7 @@
   Rollout rollout_;
   PersistedState persisted_;
   Seconds next_full_poll_ = 0;
-  std::string reported_;  // why the calendar was last not current
+  std::string reported_reason_;  // why the calendar was last not current
 };
 
 }  // namespace walkpaddle::rollout
--- a/src/rollout/driver.cpp
+++ b/src/rollout/driver.cpp
@@ -36,7 +36,7 @@
   auto* record = state_.active();
   if (record == nullptr) {
     resign();
-    voter_.limit_silence(now);
+    voter_.limit_driver_silence(now);
     context_.wake.set(now + context_.limits.request_interval);
     return;
   }
@@ -44,13 +44,13 @@
   if (drive_)
     drive(*record, now);
   else
-    elect(*record, now);
+    try_election(*record, now);
 }
 
 // ---- elections ---------------------------------------------------------------------------------
 
-void RolloutDriver::elect(RolloutRecord& record, Seconds now) {
-  if (!may_stand(record, now)) return;
+void RolloutDriver::try_election(RolloutRecord& record, Seconds now) {
+  if (!may_stand_for_election(record, now)) return;
   std::uniform_real_distribution<> leases(0.5, 1.5);
   next_election_ = now + context_.limits.lease * leases(random_);
   voter_.stand_for_election(record.place);
@@ -62,7 +62,7 @@
 }
 
 /// The last in the order to change asks first: while it lives it drives to the end, as an old router.
-bool RolloutDriver::may_stand(const RolloutRecord& record, Seconds now) const {
+bool RolloutDriver::may_stand_for_election(const RolloutRecord& record, Seconds now) const {
   constexpr std::size_t kMaxWaitSteps = 8;
   std::size_t alive_after = 0;
   for (auto place = record.place + 1; place < record.order.size(); ++place)
@@ -70,22 +70,22 @@
   const auto steps = static_cast<double>(std::min(alive_after, kMaxWaitSteps));
   const Seconds patience = context_.limits.lease * (1 + 0.5 * steps);
   const bool nobody_drove_yet = record.decision.stage == 0 && voter_.term() == 0 && alive_after == 0;
-  if (now - voter_.driver_heard() < patience && !nobody_drove_yet) return false;
+  if (now - voter_.last_driver_contact() < patience && !nobody_drove_yet) return false;
   return now >= next_election_ && !context_.calendar.why_not_current(now);
 }
 
 /// Whether this router drives on, or still waits for votes; else it has resigned.
-bool RolloutDriver::hold_office(RolloutRecord& record, Seconds now) {
+bool RolloutDriver::confirm_role(RolloutRecord& record, Seconds now) {
   const auto majority = context_.fleet.majority();
   if (drive_->stages) {
-    if (drive_->progress.fresh(now) >= majority) return true;
+    if (drive_->progress.fresh_reports(now) >= majority) return true;
     context_.log.add(record.plan.name, "no majority answers, this router drives it no more");
     voter_.restart_lease(now);
     resign();
     return false;
   }
   if (drive_->progress.votes() >= majority) {
-    take_office(record, now);
+    become_driver(record, now);
     return true;
   }
   if (now - drive_->since <= context_.limits.lease) return true;
@@ -95,14 +95,14 @@
 
 /// What a majority agreed to under an earlier term may be decided: one of this majority agreed to it. It is
 /// asked for again, as a stop may stand since; what came before it was decided.
-void RolloutDriver::take_office(RolloutRecord& record, Seconds now) {
+void RolloutDriver::become_driver(RolloutRecord& record, Seconds now) {
   const auto agreed = std::max(record.decision.stage, drive_->progress.furthest_agreed());
   if (agreed > record.decision.stage + 1) state_.set_decision(record, {voter_.term(), agreed - 1, false});
-  auto state = State::judging;
+  auto state = State::comparing;
   if (agreed > record.decision.stage)
-    state = State::asking;
+    state = State::requesting_agreement;
   else if (record.decision.stage == 0)
-    state = State::watching;
+    state = State::taking_baseline;
   drive_->stages.emplace(context_, drive_->progress, record.plan, state, now);
   context_.log.add(record.plan.name, "this router drives it, term " + std::to_string(voter_.term()));
   drive_->request_at = now;
@@ -114,11 +114,11 @@
   const auto own = host_.own_report(record, true);
   drive_->progress.set_own_report(own, now);
   drive_->progress.note_phase(context_.fleet.self(), own, now);
-  if (!hold_office(record, now)) return;
+  if (!confirm_role(record, now)) return;
   if (drive_->stages && now >= drive_->stages->evaluate_at()) evaluate(record, now);
   if (!drive_) return;
-  if (drive_->is(State::asking)) conclude_agreement(record, now);
-  if (drive_->is(State::judging) && drive_->stages->give_turns(record, now))
+  if (drive_->is(State::requesting_agreement)) conclude_agreement(record, now);
+  if (drive_->is(State::comparing) && drive_->stages->give_turns(record, now))
     drive_->request_at = std::min(drive_->request_at, now);
   if (now >= drive_->request_at) request(record, now);
 }
@@ -128,7 +128,7 @@
   switch (action.step) {
     case StageAction::Step::wait:
       return;
-    case StageAction::Step::ask:
+    case StageAction::Step::request_agreement:
       drive_->request_at = now;
       return;
     case StageAction::Step::stop:
@@ -146,13 +146,13 @@
   const auto agreed = drive_->progress.agreed_past(record.decision.stage, voter_.term());
   if (agreed < context_.fleet.majority() || record.stop) return;
   state_.set_decision(record, {voter_.term(), record.decision.stage + 1, false});
-  drive_->stages->stage_begins(now);
+  drive_->stages->begin_stage(now);
   drive_->request_at = now;
 }
 
 void RolloutDriver::request(RolloutRecord& record, Seconds now) {
   const bool is_election = !drive_->stages;
-  const bool is_asking = drive_->is(State::asking);
+  const bool is_asking = drive_->is(State::requesting_agreement);
   const bool is_urgent = is_election || is_asking;
   drive_->request_at = now + (is_urgent ? context_.limits.retry_interval : context_.limits.request_interval);
   const std::uint32_t wanted = is_asking ? record.decision.stage + 1 : 0;
@@ -171,13 +171,14 @@
 void RolloutDriver::receive(int from, const RouterReport& report, Seconds now) {
   if (report.term > voter_.term()) {
     next_election_ = now + context_.limits.lease;
-    voter_.outvoted_by(report.term);
+    voter_.observe_term(report.term);
     resign();
     return;
   }
   if (!drive_->progress.receive(from, report, voter_.term(), now)) return;
   const auto* record = state_.find(drive_->rollout);
-  if (record != nullptr && drive_->is(State::asking) && report.agreed_stage > record->decision.stage)
+  if (record != nullptr && drive_->is(State::requesting_agreement) &&
+      report.agreed_stage > record->decision.stage)
     context_.wake.at_once();
 }
 
--- a/src/rollout/driver.h
+++ b/src/rollout/driver.h
@@ -65,11 +65,11 @@
     bool is(StageRunner::State state) const { return stages && stages->state() == state; }
   };
 
-  void elect(RolloutRecord& record, Seconds now);
-  bool may_stand(const RolloutRecord& record, Seconds now) const;
+  void try_election(RolloutRecord& record, Seconds now);
+  bool may_stand_for_election(const RolloutRecord& record, Seconds now) const;
   void drive(RolloutRecord& record, Seconds now);
-  bool hold_office(RolloutRecord& record, Seconds now);
-  void take_office(RolloutRecord& record, Seconds now);
+  bool confirm_role(RolloutRecord& record, Seconds now);
+  void become_driver(RolloutRecord& record, Seconds now);
   void evaluate(RolloutRecord& record, Seconds now);
   void conclude_agreement(RolloutRecord& record, Seconds now);
   void request(RolloutRecord& record, Seconds now);
--- a/src/rollout/fleet_progress.cpp
+++ b/src/rollout/fleet_progress.cpp
@@ -53,7 +53,7 @@
   return now - report.at <= context_.limits.lease;
 }
 
-std::size_t FleetProgress::fresh(Seconds now) const {
+std::size_t FleetProgress::fresh_reports(Seconds now) const {
   const auto is_fresh_entry = [&](const auto& entry) { return is_fresh(entry.second, now); };
   return static_cast<std::size_t>(std::ranges::count_if(reports_, is_fresh_entry));
 }
@@ -78,12 +78,12 @@
 }
 
 void FleetProgress::give_turn(int number, Seconds now) {
-  if (context_.fleet.alive(number)) turn_given_.try_emplace(number, now);
+  if (context_.fleet.alive(number)) turn_given_at_.try_emplace(number, now);
   ++turns_;
 }
 
 bool FleetProgress::can_move(int number) const {
-  if (turn_given_.contains(number)) return true;
+  if (turn_given_at_.contains(number)) return true;
   if (!context_.fleet.alive(number)) return false;
   const auto it = reports_.find(number);
   return it == reports_.end() || it->second.report.phase != RouterPhase::held;
@@ -117,7 +117,7 @@
 
 std::size_t FleetProgress::failed_starts(const RolloutPlan& plan, Seconds now) const {
   const auto died_since = died(plan, now);
-  return failed_.size() + (is_common_trouble(died_since) ? 0 : died_since);
+  return failed_.size() + (is_fleet_wide_failure(died_since) ? 0 : died_since);
 }
 
 /// Those that are down since soon after their move, or since their turn came.
@@ -128,20 +128,20 @@
   for (const auto& [number, move] : moves_)
     died += count(!fleet.alive(number) && now - move.at < limits.crash_window + 2 * limits.lease);
   const Seconds patience = plan.ready_within + limits.lease;
-  for (const auto& [number, given] : turn_given_)
+  for (const auto& [number, given] : turn_given_at_)
     died += count(!fleet.alive(number) && !moves_.contains(number) && now > given + patience);
   return died;
 }
 
-bool FleetProgress::is_common_trouble(std::size_t died) const {
+bool FleetProgress::is_fleet_wide_failure(std::size_t died) const {
   std::size_t untouched = 0;
   std::size_t dead_untouched = 0;
   for (int number = 0; number <= context_.fleet.self(); ++number) {
-    if (moves_.contains(number) || turn_given_.contains(number)) continue;
+    if (moves_.contains(number) || turn_given_at_.contains(number)) continue;
     ++untouched;
     dead_untouched += count(!context_.fleet.alive(number));
   }
-  const auto tried = std::max(moves_.size(), turn_given_.size());
+  const auto tried = std::max(moves_.size(), turn_given_at_.size());
   return dead_untouched > 0 && 2 * dead_untouched * tried >= died * untouched;
 }
 
--- a/src/rollout/fleet_progress.h
+++ b/src/rollout/fleet_progress.h
@@ -42,7 +42,7 @@
   /// Whether the report came within a lease.
   bool is_fresh(const TimedReport& report, Seconds now) const;
   /// How many routers' last reports are fresh.
-  std::size_t fresh(Seconds now) const;
+  std::size_t fresh_reports(Seconds now) const;
   /// How many granted their vote.
   std::size_t votes() const;
   /// How many agreed under `term` to a stage past `stage`.
@@ -74,7 +74,7 @@
   };
 
   std::size_t died(const RolloutPlan& plan, Seconds now) const;
-  bool is_common_trouble(std::size_t died) const;
+  bool is_fleet_wide_failure(std::size_t died) const;
   bool is_settled(int number, Seconds warm_up, Seconds now) const;
 
   const RolloutContext& context_;
@@ -82,7 +82,7 @@
   std::map<int, TimedReport> reports_;
   std::map<int, Move> moves_;
   std::map<int, RouterPhase> last_phases_;
-  std::map<int, Seconds> turn_given_;  // when, to one that was alive
+  std::map<int, Seconds> turn_given_at_;  // when, to one that was alive
   std::set<int> failed_;
 };
 
--- a/src/rollout/local_router.cpp
+++ b/src/rollout/local_router.cpp
@@ -12,22 +12,22 @@
 
 std::optional<GenerationMove> LocalRouter::next_move(Seconds now) {
   if (moving_) return std::nullopt;
-  forget_completed_release();
+  clear_completed_release();
   for (auto& [name, record] : state_.records()) {
     if (const auto at = rollback_at(record)) {
       if (now >= *at) return begin_move(record, true);
       context_.wake.no_later_than(*at);
     }
-    if (!is_turn(record)) continue;
-    record.own.waits = why_held(record, now);
-    if (record.own.waits.empty()) return begin_move(record, false);
+    if (!may_move(record)) continue;
+    record.own.wait_reason = hold_reason(record, now);
+    if (record.own.wait_reason.empty()) return begin_move(record, false);
   }
   return std::nullopt;
 }
 
 /// A release is tried once while it is under way; one that this machine came to run and the fleet has is
 /// taken again whenever its supervisor starts the program before.
-void LocalRouter::forget_completed_release() {
+void LocalRouter::clear_completed_release() {
   if (attempted_release_.empty()) return;
   const auto* record = state_.find(attempted_release_);
   if (record != nullptr && record->decision.done && running_ == record->plan.after)
@@ -43,17 +43,17 @@
   const auto moved = std::max(record.own.turns, decided);
   const auto later = moved > record.place ? moved - 1 - record.place : 0;
   const auto group = later / max_moving(record.plan, context_.fleet.size());
-  return record.stop_heard + static_cast<Seconds>(group) * rollback_interval(record.plan);
+  return record.stop_received_at + static_cast<Seconds>(group) * rollback_interval(record.plan);
 }
 
 /// Whether this router is to move forth, if no freeze window holds it.
-bool LocalRouter::is_turn(const RolloutRecord& record) const {
+bool LocalRouter::may_move(const RolloutRecord& record) const {
   if (record.stop || running_ != record.plan.before || failed(record)) return false;
   if (record.decision.done) return true;
   return &record == state_.active() && record.decision.stage > 0 && record.place < record.own.turns;
 }
 
-std::string LocalRouter::why_held(const RolloutRecord& record, Seconds now) const {
+std::string LocalRouter::hold_reason(const RolloutRecord& record, Seconds now) const {
   // What the whole fleet has, a router that returns takes even in a freeze: it is no change any more.
   if (record.decision.done) return {};
   const freeze::PlannedChange move{.change = record.plan.name,
@@ -94,7 +94,7 @@
   if (moving_) return RouterPhase::moving;
   if (running_ == record.plan.after) return RouterPhase::new_generation;
   if (failed(record)) return RouterPhase::failed;
-  return record.own.waits.empty() ? RouterPhase::old_generation : RouterPhase::held;
+  return record.own.wait_reason.empty() ? RouterPhase::old_generation : RouterPhase::held;
 }
 
 /// This router's move did; of a release its machine remembers that it was tried.
--- a/src/rollout/local_router.h
+++ b/src/rollout/local_router.h
@@ -52,10 +52,10 @@
   void restore_attempted_release(std::string_view rollout) { attempted_release_ = rollout; }
 
  private:
-  void forget_completed_release();
+  void clear_completed_release();
   std::optional<Seconds> rollback_at(const RolloutRecord& record) const;
-  bool is_turn(const RolloutRecord& record) const;
-  std::string why_held(const RolloutRecord& record, Seconds now) const;
+  bool may_move(const RolloutRecord& record) const;
+  std::string hold_reason(const RolloutRecord& record, Seconds now) const;
   bool failed(const RolloutRecord& record) const;
   const GenerationMove& begin_move(const RolloutRecord& record, bool is_rollback);
 
--- a/src/rollout/metrics.cpp
+++ b/src/rollout/metrics.cpp
@@ -41,14 +41,14 @@
   for (std::size_t bucket = 0; bucket < kLatencyBuckets; ++bucket) latency[bucket] += other.latency[bucket];
 }
 
-void MetricsCollector::begin(std::uint64_t epoch, Seconds quiet_until) {
+void MetricsCollector::begin(std::uint64_t epoch, Seconds count_from) {
   metrics_ = {.epoch = epoch};
-  quiet_until_ = quiet_until;
+  count_from_ = count_from;
 }
 
 void MetricsCollector::request_ended(RequestOutcome outcome, Seconds latency, Seconds latency_objective,
                                      int attempts, Seconds now) {
-  if (now < quiet_until_) return;
+  if (now < count_from_) return;
   ++metrics_.requests;
   metrics_.attempts += static_cast<std::uint64_t>(attempts);
   switch (outcome) {
@@ -66,7 +66,7 @@
 }
 
 void MetricsCollector::attempt_ended(AttemptResult result, Seconds now) {
-  if (now < quiet_until_) return;
+  if (now < count_from_) return;
   if (result.filled) ++metrics_.fills;
   if (result.rejected) ++metrics_.rejected_attempts;
 }
@@ -74,7 +74,7 @@
 void MetricsCollector::invariant_violated() { ++metrics_.invariant_violations; }
 
 void MetricsCollector::load_measured(double memory_mb, Seconds cpu_time, Seconds now) {
-  if (now < quiet_until_) cpu_time_before_ = cpu_time;
+  if (now < count_from_) cpu_time_before_ = cpu_time;
   metrics_.memory_mb = memory_mb;
   metrics_.cpu_time = cpu_time - cpu_time_before_;
 }
--- a/src/rollout/metrics.h
+++ b/src/rollout/metrics.h
@@ -53,8 +53,8 @@
     bool rejected = false;  ///< the cache server had no capacity
   };
 
-  /// Begins anew. `epoch`: Unix time in microseconds does; what ends before `quiet_until` is not counted.
-  void begin(std::uint64_t epoch, Seconds quiet_until);
+  /// Begins anew. `epoch`: Unix time in microseconds does; what ends before `count_from` is not counted.
+  void begin(std::uint64_t epoch, Seconds count_from);
   /// A request ended after `latency` and `attempts` attempts.
   void request_ended(RequestOutcome outcome, Seconds latency, Seconds latency_objective, int attempts,
                      Seconds now);
@@ -69,7 +69,7 @@
 
  private:
   RolloutMetrics metrics_;
-  Seconds quiet_until_ = 0;
+  Seconds count_from_ = 0;
   Seconds cpu_time_before_ = 0;  // of the process, when the warm-up ended
 };
 
--- a/src/rollout/persisted_state.cpp
+++ b/src/rollout/persisted_state.cpp
@@ -35,7 +35,7 @@
   Entries entries;
   for (const auto* kind : kinds_) {
     if (auto own = kind->private_state(); !own.empty()) entries[key_of_kind('o', *kind)] = std::move(own);
-    if (extent == Extent::own) continue;
+    if (extent == Extent::private_state) continue;
     for (int range = 0; range < replica::ReplicatedState::kDigestRanges; ++range)
       for (const auto id : kind->ids_of_range(range)) entries[key_of_item(*kind, id)] = kind->bytes(id);
   }
@@ -49,7 +49,7 @@
     if (stored != stored_.end() && stored->second == value) continue;
     if (store.put(key, value, 0)) stored_[key] = value;
   }
-  if (extent == Extent::own) return;
+  if (extent == Extent::private_state) return;
   std::erase_if(
       stored_, [&](const auto& entry) { return !entries.contains(entry.first) && store.erase(entry.first); });
 }
--- a/src/rollout/persisted_state.h
+++ b/src/rollout/persisted_state.h
@@ -20,8 +20,8 @@
  public:
   /// What a call writes.
   enum class Extent : std::uint8_t {
-    own,  ///< what this router must not forget: it goes before an answer that rests on it leaves
-    all,  ///< the items too; what is no more is erased
+    private_state,  ///< what this router must not forget: it goes before an answer that rests on it leaves
+    all,            ///< the items too; what is no more is erased
   };
 
   /// The kinds outlive this.
--- a/src/rollout/release_check.cpp
+++ b/src/rollout/release_check.cpp
@@ -33,7 +33,7 @@
 }  // namespace
 
 std::string ReleaseCheck::refusal(const RolloutPlan& plan) {
-  if (const auto router = router_without_part())
+  if (const auto router = router_without_rollouts())
     return *router + " takes no part in changes: its file has no changes section, or its program is older";
   if (plan.work != freeze::kRelease) return {};
   const auto [known, is_new] = refusals_.try_emplace(plan.name);
@@ -41,7 +41,7 @@
   return known->second;
 }
 
-std::optional<std::string> ReleaseCheck::router_without_part() const {
+std::optional<std::string> ReleaseCheck::router_without_rollouts() const {
   for (std::size_t peer = 0; peer < setup_.peers.size(); ++peer) {
     const auto& member = members_.peers()[peer];
     const bool is_alive = member.state == State::alive || member.state == State::suspect;
--- a/src/rollout/release_check.h
+++ b/src/rollout/release_check.h
@@ -41,7 +41,7 @@
   void forget() { refusals_.clear(); }
 
  private:
-  std::optional<std::string> router_without_part() const;
+  std::optional<std::string> router_without_rollouts() const;
   std::string refusal_of_release(const std::string& generation) const;
   std::vector<compat::FleetRouter> routers_running(const std::vector<compat::Release>& releases) const;
 
--- a/src/rollout/replicated_state.cpp
+++ b/src/rollout/replicated_state.cpp
@@ -62,7 +62,7 @@
     if (record->plan != plan) resolve_conflict(*record, plan, now);
     return;
   }
-  if (!evict_dispensable()) {
+  if (!evict_finished()) {
     context_.log.add(plan.name, "refused, there are too many changes");
     return;
   }
@@ -79,7 +79,7 @@
 }
 
 /// The first that is over and whose generations nobody needs any more makes room. False: there is none.
-bool RolloutState::evict_dispensable() {
+bool RolloutState::evict_finished() {
   if (records_.size() < context_.limits.rollouts) return true;
   const auto dispensable = std::ranges::find_if(records_, [this](const auto& entry) {
     const auto& record = entry.second;
@@ -131,7 +131,7 @@
   const auto& name = record.plan.name;
   const bool first = !record.stop.has_value();
   if (first) {
-    record.stop_heard = now;
+    record.stop_received_at = now;
     context_.log.add(name, "STOPPED, " + stop.why);
   }
   record.stop = stop;
--- a/src/rollout/replicated_state.h
+++ b/src/rollout/replicated_state.h
@@ -26,7 +26,7 @@
   std::uint64_t agreed_term = 0;   ///< under which term it agreed
   std::size_t turns = 0;           ///< so many of the order may have moved, as the driver last said
   bool move_failed = false;        ///< this router's move did
-  std::string waits{};             ///< why this router does not move in its turn
+  std::string wait_reason{};       ///< why this router does not move in its turn
 };
 
 /// A rollout as this router knows it.
@@ -37,7 +37,7 @@
   std::size_t place = 0;                   ///< of this router in the order
   StageDecision decision{};                ///< how far it may go
   std::optional<RolloutStop> stop{};       ///< the top of the join
-  Seconds stop_heard = 0;                  ///< when a stop was first heard here
+  Seconds stop_received_at = 0;            ///< when a stop was first heard here
   Participation own{};                     ///< of this router
 
   /// It goes on no more.
@@ -107,7 +107,7 @@
  private:
   void set_plan(const RolloutPlan& plan, Seconds now);
   void resolve_conflict(RolloutRecord& record, const RolloutPlan& plan, Seconds now);
-  bool evict_dispensable();
+  bool evict_finished();
   void add(const RolloutPlan& plan, Seconds now);
   bool set_stop(RolloutRecord& record, const RolloutStop& stop, Seconds now);
   std::optional<std::string> refusal_of_proposal(const RolloutPlan& plan) const;
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -137,14 +137,14 @@
                        .stages = record.stages(),
                        .done = record.decision.done,
                        .stopped = record.stop.has_value(),
-                       .why = record.stop ? record.stop->why : record.own.waits,
+                       .why = record.stop ? record.stop->why : record.own.wait_reason,
                        .drives = stages != nullptr,
                        .turns = record.decision.done ? fleet : record.own.turns,
                        .fleet = fleet};
   if (stages != nullptr) {
     status.control_requests = stages->requests(Cohort::control);
     status.canary_requests = stages->requests(Cohort::canary);
-    if (status.why.empty()) status.why = stages->waits();
+    if (status.why.empty()) status.why = stages->wait_reason();
   }
   if (!record.over() && status.why.empty()) status.why = context_.calendar.why_not_current(now).value_or("");
   return status;
--- a/src/rollout/stage_runner.cpp
+++ b/src/rollout/stage_runner.cpp
@@ -26,12 +26,12 @@
       evaluate_at_(now),
       analysis_({.tolerated_ratio = plan.tolerated_ratio, .harm_threshold = plan.harm_threshold}) {}
 
-void StageRunner::stage_begins(Seconds now) {
-  state_ = State::judging;
+void StageRunner::begin_stage(Seconds now) {
+  state_ = State::comparing;
   stage_began_ = now;
   evaluate_at_ = now;
-  last_held_back_ = true;
-  waits_.clear();
+  holding_back_last_ = true;
+  wait_reason_.clear();
   analysis_.begin_stage();
 }
 
@@ -39,18 +39,18 @@
 
 StageAction StageRunner::evaluate(const RolloutRecord& record, Seconds now) {
   evaluate_at_ = now + context_.limits.request_interval;
-  if (must_go_back(record, now))
+  if (must_roll_back(record, now))
     return {Step::stop,
             "overtaken by a freeze window that was declared late: it goes back while there is time"};
   const auto samples = take_samples(now);
-  if (state_ != State::watching) {
+  if (state_ != State::taking_baseline) {
     analysis_.add_interval(samples);
     if (auto reason = reason_to_stop(record, now)) return {Step::stop, std::move(*reason)};
   }
   return advance(record, now);
 }
 
-bool StageRunner::must_go_back(const RolloutRecord& record, Seconds now) const {
+bool StageRunner::must_roll_back(const RolloutRecord& record, Seconds now) const {
   if (record.decision.stage == 0) return false;
   const auto fleet = context_.fleet.size();
   const auto& plan = record.plan;
@@ -69,8 +69,8 @@
     if (timed.report.phase == RouterPhase::moving) continue;
     const bool is_canary = timed.report.phase == RouterPhase::new_generation;
     const auto router = context_.fleet.router(number).router;
-    auto& last = compared_[number];
-    const bool baseline_only = state_ == State::watching && !is_canary;
+    auto& last = last_metrics_[number];
+    const bool baseline_only = state_ == State::taking_baseline && !is_canary;
     const bool is_first = last.epoch == 0 && !is_canary;
     if (!baseline_only && is_first) {
       analysis_.add_baseline(router, metrics);  // a driver that came later: its past so far
@@ -99,7 +99,7 @@
 
 /// Goes on, waits or stops: past what a stage needs, with leave of the calendar, and no doubt left.
 StageAction StageRunner::advance(const RolloutRecord& record, Seconds now) {
-  if (state_ == State::asking) return {};
+  if (state_ == State::requesting_agreement) return {};
   if (record.decision.stage == 0) return begin(record, now);
   const auto& plan = record.plan;
   const auto routers = count_routers();
@@ -108,9 +108,10 @@
   if (is_last && progress_.turns() == context_.fleet.size()) return finish(routers, all_moved);
   const bool ready = now >= stage_began_ + plan.min_stage_time && all_moved && routers.new_generation > 0;
   const bool in_doubt = analysis_.verdict() == CanaryVerdict::inconclusive;
-  if (!ready || in_doubt || !has_seen_enough(plan, routers)) return wait_or_time_out(record, routers, now);
-  if (!is_last) return ask_to_go_on(record, now);
-  last_held_back_ = false;
+  if (!ready || in_doubt || !has_enough_requests(plan, routers))
+    return wait_or_time_out(record, routers, now);
+  if (!is_last) return request_next_stage(record, now);
+  holding_back_last_ = false;
   return {};
 }
 
@@ -120,42 +121,43 @@
   const auto refused = context_.refusal(plan);
   const Seconds worst = max_rollout_duration(plan, context_.fleet.size());
   const auto permission = context_.calendar.decide(Action::propose, planned_change(plan, worst, now), now);
-  waits_ = refused.empty() ? permission.why : refused;
+  wait_reason_ = refused.empty() ? permission.why : refused;
   if (now < stage_began_ + plan.min_stage_time) return {};
-  if (!refused.empty() || permission.outcome == Outcome::never) return {Step::stop, "refused: " + waits_};
+  if (!refused.empty() || permission.outcome == Outcome::never)
+    return {Step::stop, "refused: " + wait_reason_};
   if (!permission.allowed()) return {};
-  for (const auto& [number, metrics] : compared_)
+  for (const auto& [number, metrics] : last_metrics_)
     analysis_.add_baseline(context_.fleet.router(number).router, metrics);
-  state_ = State::asking;
-  return {Step::ask};
+  state_ = State::requesting_agreement;
+  return {Step::request_agreement};
 }
 
 StageAction StageRunner::finish(const RouterCounts& routers, bool all_moved) {
   if (all_moved && routers.old_generation == 0) return {Step::finish};
-  waits_.clear();
+  wait_reason_.clear();
   if (routers.held > 0)
-    waits_ = std::to_string(routers.held) + " routers are held by a freeze window at their site";
+    wait_reason_ = std::to_string(routers.held) + " routers are held by a freeze window at their site";
   return {};
 }
 
-StageAction StageRunner::ask_to_go_on(const RolloutRecord& record, Seconds now) {
+StageAction StageRunner::request_next_stage(const RolloutRecord& record, Seconds now) {
   const auto& plan = record.plan;
   const Seconds worst = plan.max_stage_time + max_rollback_duration(plan, context_.fleet.size());
   const auto permission = context_.calendar.decide(Action::go_on, planned_change(plan, worst, now), now);
   if (!permission.allowed()) {
-    waits_ = permission.why;
+    wait_reason_ = permission.why;
     return {};
   }
-  waits_.clear();
-  state_ = State::asking;
-  return {Step::ask};
+  wait_reason_.clear();
+  state_ = State::requesting_agreement;
+  return {Step::request_agreement};
 }
 
 StageAction StageRunner::wait_or_time_out(const RolloutRecord& record, const RouterCounts& routers,
                                           Seconds now) {
   const auto& plan = record.plan;
   const bool in_doubt = analysis_.verdict() == CanaryVerdict::inconclusive;
-  waits_ = in_doubt ? "in doubt: " + analysis_.reason() : "";
+  wait_reason_ = in_doubt ? "in doubt: " + analysis_.reason() : "";
   if (now < stage_began_ + plan.max_stage_time || routers.held > 0) return {};
   if (in_doubt) return {Step::stop, "still in doubt after its longest time: " + analysis_.reason()};
   return {Step::stop, "too little was seen in the longest time of stage " +
@@ -165,7 +167,7 @@
                           std::to_string(plan.min_requests) + " wanted"};
 }
 
-bool StageRunner::has_seen_enough(const RolloutPlan& plan, const RouterCounts& routers) const {
+bool StageRunner::has_enough_requests(const RolloutPlan& plan, const RouterCounts& routers) const {
   if (requests(Cohort::canary) < plan.min_requests) return false;
   return routers.old_generation == 0 || requests(Cohort::control) >= plan.min_requests;
 }
@@ -223,7 +225,7 @@
   const auto can_move = [this](std::size_t number) { return progress_.can_move(static_cast<int>(number)); };
   const auto fleet = context_.fleet.size();
   const bool is_last = record.decision.stage == record.stages();
-  if (is_last && !last_held_back_) return fleet;
+  if (is_last && !holding_back_last_) return fleet;
   auto wanted = record.stage_sizes[record.decision.stage - 1];
   // The last of all wait until the analysis has seen what the rest do: else nobody is left to compare with.
   if (is_last && record.stages() > 1) {
--- a/src/rollout/voter.cpp
+++ b/src/rollout/voter.cpp
@@ -14,13 +14,13 @@
 void Voter::restore_term(std::uint64_t term) { term_ = std::max(term_, term); }
 
 /// A router that keeps nothing on disk may have forgotten a promise, for as long as one lasts.
-bool Voter::remembers_promises(Seconds now) const {
+bool Voter::knows_its_promises(Seconds now) const {
   return context_.durable || now > context_.started + context_.limits.lease;
 }
 
 bool Voter::vote(const RolloutRecord& record, const DriverRequest& request, int from, Seconds now) {
-  const bool lease_is_over = now - driver_heard_ > context_.limits.lease || promised_to_ == from;
-  const bool granted = request.term > term_ && lease_is_over && remembers_promises(now) && !record.stop;
+  const bool lease_is_over = now - last_driver_contact_ > context_.limits.lease || promised_to_ == from;
+  const bool granted = request.term > term_ && lease_is_over && knows_its_promises(now) && !record.stop;
   if (!granted) return false;
   term_ = request.term;
   promised_to_ = from;
@@ -31,14 +31,14 @@
   if (term < term_) return false;
   term_ = term;
   promised_to_ = from;
-  driver_heard_ = now;
+  last_driver_contact_ = now;
   return true;
 }
 
 bool Voter::agree(RolloutRecord& record, std::uint64_t term, std::uint32_t stage, Seconds now) const {
   if (term != term_ || record.stop || stage == 0 || stage > record.decision.stage + 1) return false;
-  const Seconds forgetful_until = context_.started + (context_.durable ? 0 : context_.limits.lease);
-  if (now < forgetful_until) return false;
+  const Seconds promises_unknown_until = context_.started + (context_.durable ? 0 : context_.limits.lease);
+  if (now < promises_unknown_until) return false;
   if (context_.calendar.why_not_current(now)) return false;
   if (!context_.refusal(record.plan).empty()) return false;
   record.own.agreed_stage = std::max(record.own.agreed_stage, stage);
@@ -52,10 +52,10 @@
   return term_;
 }
 
-void Voter::outvoted_by(std::uint64_t term) { term_ = std::max(term_, term); }
+void Voter::observe_term(std::uint64_t term) { term_ = std::max(term_, term); }
 
-void Voter::limit_silence(Seconds now) {
-  driver_heard_ = std::max(driver_heard_, now - context_.limits.lease);
+void Voter::limit_driver_silence(Seconds now) {
+  last_driver_contact_ = std::max(last_driver_contact_, now - context_.limits.lease);
 }
 
 }  // namespace walkpaddle::rollout
--- a/src/rollout/voter.h
+++ b/src/rollout/voter.h
@@ -20,7 +20,7 @@
 class Voter {
  public:
   /// `context` outlives this.
-  Voter(const RolloutContext& context, Seconds now) : context_(context), driver_heard_(now) {}
+  Voter(const RolloutContext& context, Seconds now) : context_(context), last_driver_contact_(now) {}
 
   /// The greatest term that this router promised; 0: none.
   std::uint64_t term() const { return term_; }
@@ -37,22 +37,22 @@
   /// Promises the next term to this router itself, which is at `place` in the order; gives the term.
   std::uint64_t stand_for_election(std::size_t place);
   /// Another router promised more: the next term is past it.
-  void outvoted_by(std::uint64_t term);
+  void observe_term(std::uint64_t term);
 
   /// Since when no driver was heard.
-  Seconds driver_heard() const { return driver_heard_; }
+  Seconds last_driver_contact() const { return last_driver_contact_; }
   /// A driver's silence counts from `now` on.
-  void restart_lease(Seconds now) { driver_heard_ = now; }
+  void restart_lease(Seconds now) { last_driver_contact_ = now; }
   /// A driver's silence counts for a lease at most, up to `now`.
-  void limit_silence(Seconds now);
+  void limit_driver_silence(Seconds now);
 
  private:
-  bool remembers_promises(Seconds now) const;
+  bool knows_its_promises(Seconds now) const;
 
   const RolloutContext& context_;
   std::uint64_t term_ = 0;
   int promised_to_ = -1;  // number of the router; -1: nobody
-  Seconds driver_heard_;
+  Seconds last_driver_contact_;
 };
 
 }  // namespace walkpaddle::rollout
