--- a/bench/changes.cpp
+++ b/bench/changes.cpp
@@ -144,7 +144,7 @@
                static_cast<double>(fleet.between_routers() - bytes) / kCalm / count,
                (cpu() - used) / kCalm / count * 100);
     fleet.links().faults({.lost = 0.05, .twice = 0.02, .delay = 0.01});
-    const auto drove = said("this router drives it");
+    const auto drove = said("this router is the driver");
     int driver = 0;
     for (int n = 0; n < count; ++n)
       if (drove[static_cast<std::size_t>(n)] > drove[static_cast<std::size_t>(driver)]) driver = n;
@@ -153,7 +153,7 @@
     co_await e.wait(s.now() + 25);
     Seconds again = 0;
     for (int n = 0; n < count; ++n)
-      if (const auto t = said("this router drives it")[static_cast<std::size_t>(n)];
+      if (const auto t = said("this router is the driver")[static_cast<std::size_t>(n)];
           n != driver && t > killed)
         again = t;
     fmt::print("driver killed: another drives after {:.1f} s\n", again - killed);
--- a/src/rollout/canary_analysis.cpp
+++ b/src/rollout/canary_analysis.cpp
@@ -12,23 +12,28 @@
                                   Measure::slow,     Measure::retries, Measure::fills};
 static_assert(kAllMeasures.size() == kMeasures);
 
-/// How many times as much: little harm needs much evidence, gross harm a handful of ends.
+/// Alternative hypotheses: ratios of the canary's events to the tolerated number. The small ratios detect
+/// slight harm from much evidence, the large ones detect gross harm from a few events.
 constexpr std::array<double, 6> kAlternativeRatios{1.15, 1.5, 2.5, 6, 20, 100};
-/// A router's own past counts as much as so many bad ends of the fleet's mean.
+/// Weight of the fleet's mean rate in a router's own rate, in events: prior events at the mean rate that are
+/// added to the router's baseline.
 constexpr double kShrinkageEvents = 20;
-/// A rate of nothing at all so far is taken for one in ten thousand.
+/// Lower bound of the fleet's rates, in events per request; it stands in where no event was seen.
 constexpr double kMinRate = 1e-4;
-/// Slow is what this share of the answers, or somewhat less, took before.
+/// Largest share of the baseline's answers that the buckets counted as slow may hold.
 constexpr double kSlowShare = 0.1;
-/// One part of a hundredth of an end, met once, would outweigh all others.
+/// Lower bound of the expected events of a dispersion term. Without it a single event at a router that
+/// expects a hundredth of an event would outweigh all other terms.
 constexpr double kMinDispersionExpected = 0.2;
-/// The spread is measured from so many routers on.
+/// The number of dispersion terms (one for each control router and interval) from which the measured
+/// dispersion is used.
 constexpr double kMinDispersionTerms = 3;
 constexpr double kMaxDispersion = 100;
 constexpr double kMaxLogLikelihoodRatio = 50;
 constexpr double kMemoryMarginMb = 16;
 constexpr int kHighMemoryIntervals = 3;
-/// Shorter times of the processor are a scheduler's noise.
+/// Processor time that each cohort must exceed before the two are compared: shorter times are dominated by
+/// the noise of the operating system's scheduler.
 constexpr Seconds kMinCpuTime = 2;
 
 std::size_t index_of(Measure measure) { return static_cast<std::size_t>(measure); }
@@ -56,7 +61,8 @@
   return 0;
 }
 
-/// Of fills, retries and slow answers a tenth more is not a tenth of the requests worse off.
+/// Factor of the harm threshold. It is higher for slow answers, retries and fills: an increase of these by a
+/// tenth of the requests does not mean that a tenth of the requests is worse off.
 double harm_weight(Measure measure) {
   switch (measure) {
     case Measure::rejected:
@@ -76,7 +82,7 @@
 std::string_view to_string(Measure measure) {
   switch (measure) {
     case Measure::rejected:
-      return "refused";
+      return "rejected";
     case Measure::failed:
       return "failed";
     case Measure::late:
@@ -84,7 +90,7 @@
     case Measure::slow:
       return "slow";
     case Measure::retries:
-      return "hops past the first";
+      return "retries";
     case Measure::fills:
       return "fills";
   }
@@ -97,15 +103,15 @@
   update_slow_bucket();
   const auto requests = static_cast<double>(fleet_baseline_.requests);
   for (const auto measure : kAllMeasures) {
-    const double bad = adverse_events(fleet_baseline_, measure, first_slow_bucket_);
-    fleet_rate_[index_of(measure)] = std::max(kMinRate, requests > 0 ? bad / requests : 0);
+    const double events = adverse_events(fleet_baseline_, measure, first_slow_bucket_);
+    fleet_rate_[index_of(measure)] = std::max(kMinRate, requests > 0 ? events / requests : 0);
   }
 }
 
 void CanaryAnalysis::update_slow_bucket() {
   const auto& latency = fleet_baseline_.latency;
   double all = 0;
-  for (const auto answers : latency) all += answers;
+  for (const auto count : latency) all += count;
   double slow = 0;
   first_slow_bucket_ = RolloutMetrics::kLatencyBuckets;
   while (first_slow_bucket_ > 1 && slow + latency[first_slow_bucket_ - 1] <= kSlowShare * all) {
@@ -140,40 +146,42 @@
 
 void CanaryAnalysis::compare(Measure measure, const SiteSamples& site) {
   auto& evidence = evidence_[index_of(measure)];
-  PerCohort<double> bad;
+  PerCohort<double> events;
   PerCohort<double> expected;
   for (const auto* sample : site) {
-    bad[sample->cohort] += adverse_events(sample->delta, measure, first_slow_bucket_);
+    events[sample->cohort] += adverse_events(sample->delta, measure, first_slow_bucket_);
     expected[sample->cohort] += static_cast<double>(sample->delta.requests) * rate(sample->router, measure);
   }
   if (expected.control <= 0) return;
-  if (bad.control > 0) add_dispersion(evidence, measure, site, bad.control, expected.control);
+  if (events.control > 0) add_dispersion(evidence, measure, site, events.control, expected.control);
   if (expected.canary <= 0) return;
   const double tolerated = limits_.tolerated_ratio * expected.canary;
-  evidence.observed += bad.canary;
-  evidence.expected += std::max(0.0, bad.control) * expected.canary / expected.control;
-  double spread = 1;
+  evidence.observed += events.canary;
+  evidence.expected += std::max(0.0, events.control) * expected.canary / expected.control;
+  double dispersion = 1;
   if (evidence.dispersion_terms >= kMinDispersionTerms)
-    spread = std::clamp(evidence.dispersion / evidence.dispersion_terms, 1.0, kMaxDispersion);
+    dispersion = std::clamp(evidence.dispersion / evidence.dispersion_terms, 1.0, kMaxDispersion);
   for (std::size_t n = 0; n < kAlternatives; ++n) {
     const double null_share = tolerated / (tolerated + expected.control);
-    const double more = kAlternativeRatios[n] * tolerated;
-    const double alternative_share = more / (more + expected.control);
-    evidence.log_likelihood_ratio[n] += (bad.canary * std::log(alternative_share / null_share) +
-                                         bad.control * std::log((1 - alternative_share) / (1 - null_share))) /
-                                        spread;
+    const double alternative = kAlternativeRatios[n] * tolerated;
+    const double alternative_share = alternative / (alternative + expected.control);
+    evidence.log_likelihood_ratio[n] +=
+        (events.canary * std::log(alternative_share / null_share) +
+         events.control * std::log((1 - alternative_share) / (1 - null_share))) /
+        dispersion;
   }
 }
 
-/// What each router of the control has against its part of their total, as Pearson's statistic.
-void CanaryAnalysis::add_dispersion(Evidence& evidence, Measure measure, const SiteSamples& site, double bad,
-                                    double expected) const {
+/// Adds a term of Pearson's chi-squared statistic for each control router: its events against its share of
+/// the control's total.
+void CanaryAnalysis::add_dispersion(Evidence& evidence, Measure measure, const SiteSamples& site,
+                                    double events, double expected) const {
   for (const auto* sample : site) {
     if (sample->cohort != Cohort::control || sample->delta.requests == 0) continue;
-    const double part =
-        bad * static_cast<double>(sample->delta.requests) * rate(sample->router, measure) / expected;
-    const double off = adverse_events(sample->delta, measure, first_slow_bucket_) - part;
-    evidence.dispersion += off * off / std::max(part, kMinDispersionExpected);
+    const double expected_events =
+        events * static_cast<double>(sample->delta.requests) * rate(sample->router, measure) / expected;
+    const double deviation = adverse_events(sample->delta, measure, first_slow_bucket_) - expected_events;
+    evidence.dispersion += deviation * deviation / std::max(expected_events, kMinDispersionExpected);
     evidence.dispersion_terms += 1;
   }
 }
@@ -189,17 +197,17 @@
     memory[cohort] += delta.memory_mb;
     ++count[cohort];
   }
-  const bool heavy = count.control > 0 && count.canary > 0 &&
-                     memory.canary / count.canary > limits_.memory_ratio * memory.control / count.control &&
-                     memory.canary / count.canary > memory.control / count.control + kMemoryMarginMb;
-  high_memory_intervals_ = heavy ? high_memory_intervals_ + 1 : 0;
+  const bool is_high = count.control > 0 && count.canary > 0 &&
+                       memory.canary / count.canary > limits_.memory_ratio * memory.control / count.control &&
+                       memory.canary / count.canary > memory.control / count.control + kMemoryMarginMb;
+  high_memory_intervals_ = is_high ? high_memory_intervals_ + 1 : 0;
 }
 
 void CanaryAnalysis::conclude() {
   if (verdict_ == CanaryVerdict::worse) return;
   verdict_ = CanaryVerdict::healthy;
   reason_.clear();
-  if (canary_violations_ > 0) raise(CanaryVerdict::worse, "a rule was broken by the new generation");
+  if (canary_violations_ > 0) raise(CanaryVerdict::worse, "the new generation violated an invariant");
   for (const auto measure : kAllMeasures) conclude_measure(measure);
   conclude_resource_usage();
 }
@@ -213,9 +221,9 @@
   if ((evidence.observed - evidence.expected) / requests < limits_.harm_threshold * harm_weight(measure))
     return;
   char text[200];
-  std::snprintf(text, sizeof text, "%s: %.4f a txn with the new generation, %.4f expected, of %.0f txns",
-                to_string(measure).data(), evidence.observed / requests, evidence.expected / requests,
-                requests);
+  std::snprintf(
+      text, sizeof text, "%s: %.4f per request with the new generation, %.4f expected, over %.0f requests",
+      to_string(measure).data(), evidence.observed / requests, evidence.expected / requests, requests);
   if (ratio > kMeasures / limits_.false_stop_chance)
     raise(CanaryVerdict::worse, text);
   else if (ratio > limits_.inconclusive_from)
@@ -228,10 +236,10 @@
   if (cpu_time_.control <= kMinCpuTime || cpu_time_.canary <= kMinCpuTime) return;
   if (cpu_requests_.control <= 0 || cpu_requests_.canary <= 0) return;
   if (cpu_time_.canary / cpu_requests_.canary > limits_.cpu_ratio * cpu_time_.control / cpu_requests_.control)
-    raise(CanaryVerdict::worse, "processor time a txn: over 1.5 times that of the old generation");
+    raise(CanaryVerdict::worse, "processor time per request: over 1.5 times that of the old generation");
 }
 
-/// The first reason of the gravest verdict stays.
+/// Keeps the first reason of the most severe verdict.
 void CanaryAnalysis::raise(CanaryVerdict verdict, const std::string& reason) {
   if (verdict <= verdict_) return;
   verdict_ = verdict;
--- a/src/rollout/canary_analysis.h
+++ b/src/rollout/canary_analysis.h
@@ -1,21 +1,24 @@
 /// \file
-/// Whether routers of the new generation are worse than those of the old over the same seconds, as a test
-/// that may be read at any time (always-valid inference: Johari, Pekelis, Walsh, 2017; Howard et al., 2021).
-/// No I/O.
+/// The canary analysis: decides whether routers of the new generation perform worse than routers of the old
+/// generation over the same intervals. The test may be evaluated at any time (always-valid inference: Johari,
+/// Pekelis, Walsh, 2017; Howard et al., 2021). No I/O.
 ///
-/// Of each count of bad ends (Measure) the total of an interval is taken as given, and the canary's part of
-/// it compared with its part of what was to be expected. Under no change that part is binomial whatever the
-/// total does, so a trouble that hits both sides alike moves nothing. Expected is a router's traffic in the
-/// interval times its own rate from before the rollout (shrunk to the fleet's), so one that sees several
-/// times the mean, or has always been worse, counts as what it is. Compared are routers of one site only. The
-/// likelihood ratio against "so many times as much", mixed over how many, is a martingale under no change: by
-/// Ville's inequality it ever exceeds 1/alpha with a chance of alpha at most, at whatever times it is read.
-/// Counts that come in bunches would break that: the spread among the control is measured, and the ratio
-/// tempered by it.
+/// For each count of adverse events (Measure) the total of an interval is taken as given, and the canary's
+/// share of it is compared with the share that its traffic predicts. If the generations do not differ, that
+/// share is binomial whatever the total is, so a fault that affects both sides alike has no effect on the
+/// result. The expected count of a router is its traffic in the interval times its own rate before the
+/// rollout, shrunk towards the fleet's rate. A router that has several times the mean traffic, or that always
+/// performed worse, is therefore compared with its own past. Only routers of the same site are compared.
 ///
-/// Left out, with why: comparing with old routers restarted for the purpose (twice the restarts, and the
-/// fleet's load moves); a warm-up that the counts leave out is taken instead. A t-test read again and again
-/// (false stops grow with each reading).
+/// The likelihood ratio against "so many times as many events", averaged over several such factors, is a
+/// martingale if the generations do not differ. By Ville's inequality it exceeds 1/alpha at any time with a
+/// probability of at most alpha, however often it is read. Events that come in bursts would violate this
+/// bound, so the overdispersion among the control routers is measured and the log-likelihood ratios are
+/// divided by it.
+///
+/// Alternatives that were rejected: restarting some old routers to compare with (it doubles the restarts and
+/// shifts the fleet's load; the counts of the warm-up are left out instead), and a repeated t-test (its rate
+/// of false stops grows with each evaluation).
 #pragma once
 
 #include <array>
@@ -29,73 +32,75 @@
 
 namespace walkpaddle::rollout {
 
-/// What the analysis says so far; a later one is the graver.
+/// The result of the analysis so far, in order of severity.
 enum class CanaryVerdict : std::uint8_t {
   healthy,
-  inconclusive,  ///< the rollout does not go on, and does not stop
+  inconclusive,  ///< the rollout neither enters its next stage nor stops
   worse,
 };
 
-/// The two sides that are compared: routers of the old generation, and those of the new.
+/// The two sides that are compared: routers of the old generation (control) and of the new one (canary).
 enum class Cohort : std::uint8_t { control, canary };
 
 /// One value for each cohort.
 template <class T>
 struct PerCohort {
-  T control{};  ///< of the old generation
-  T canary{};   ///< of the new generation
+  T control{};  ///< the value of the old generation
+  T canary{};   ///< the value of the new generation
   /// The value of `cohort`.
   T& operator[](Cohort cohort) { return cohort == Cohort::control ? control : canary; }
   /// The value of `cohort`.
   const T& operator[](Cohort cohort) const { return cohort == Cohort::control ? control : canary; }
 };
 
-/// The counts of bad ends that are compared.
+/// The counts of adverse events that are compared.
 enum class Measure : std::uint8_t { rejected, failed, late, slow, retries, fills };
-/// How many measures there are.
+/// The number of measures.
 constexpr std::size_t kMeasures = 6;
-/// The measure's name in the reason of a stop.
+/// The measure's name, as the reason for a stop gives it.
 std::string_view to_string(Measure measure);
 
-/// The analysis of one rollout, from its baseline to its end.
+/// The analysis of one rollout, from the baseline to the last stage.
 class CanaryAnalysis {
  public:
-  /// When the canary counts as worse.
+  /// Thresholds from which the canary counts as worse.
   struct Limits {
-    /// Chance of a false stop in a rollout that changes nothing, over all measures: one in two hundred.
+    /// Probability of a false stop by any measure in a rollout that changes nothing.
     double false_stop_chance = 0.005;
-    double tolerated_ratio = 1.2;   ///< up to so many times as much is no harm
-    double harm_threshold = 0.005;  ///< share of the canary's requests that has to be worse off
-    /// Times the control's memory, and kMemoryMarginMb more, for three intervals: an allocator's own swings
-    /// are less.
+    double tolerated_ratio = 1.2;   ///< ratio of canary events to expected events that is tolerated
+    double harm_threshold = 0.005;  ///< excess events per canary request below which nothing is concluded
+    /// Ratio of the canary's mean memory to the control's that counts as high. It must also exceed the
+    /// control's by kMemoryMarginMb, in kHighMemoryIntervals intervals in a row: an allocator's normal
+    /// fluctuation is smaller.
     double memory_ratio = 1.5;
-    double cpu_ratio = 1.5;  ///< times the control's processor time a request
-    /// Likelihood ratio from which the verdict is inconclusive: one in ten looks like this by chance.
+    double cpu_ratio = 1.5;  ///< ratio of the processor time per request that counts as worse
+    /// Likelihood ratio above which the verdict is inconclusive. If nothing changed, a measure exceeds it
+    /// with a probability of at most 1/10.
     double inconclusive_from = 10;
   };
-  /// What one router counted over an interval.
+  /// The counts of one router over an interval.
   struct Sample {
     std::uint64_t router = 0;         ///< stable hash of its name
-    std::size_t site = 0;             ///< routers of one number are compared
-    Cohort cohort = Cohort::control;  ///< by the generation that it runs
-    RolloutMetrics delta;             ///< over the interval
+    std::size_t site = 0;             ///< site number; only routers of the same site are compared
+    Cohort cohort = Cohort::control;  ///< given by the generation that the router runs
+    RolloutMetrics delta;             ///< increase of the counts in the interval
   };
 
-  /// Nothing is concluded before the first interval.
+  /// The verdict is `healthy` until the first interval.
   explicit CanaryAnalysis(const Limits& limits) : limits_(limits) {}
 
-  /// What a router counted in the old generation before the rollout: taken once for each router, before its
-  /// first interval.
+  /// Adds a router's counts in the old generation from before the rollout. To be called before the router's
+  /// first interval; only the first call for a router has an effect.
   void add_baseline(std::uint64_t router, const RolloutMetrics& metrics);
-  /// Takes the samples of an interval and concludes.
+  /// Adds the samples of an interval and updates the verdict.
   void add_interval(const std::vector<Sample>& samples);
-  /// What follows from all intervals so far; `worse` is never taken back.
+  /// The verdict from all intervals so far; once it is `worse` it stays so.
   CanaryVerdict verdict() const { return verdict_; }
-  /// Of worse and inconclusive: one sentence.
+  /// The reason for `worse` or `inconclusive`, in one sentence; empty for `healthy`.
   const std::string& reason() const { return reason_; }
-  /// Requests of the cohort since begin_stage().
+  /// The number of requests of the cohort since begin_stage().
   std::uint64_t requests(Cohort cohort) const { return stage_requests_[cohort]; }
-  /// Requests are counted from 0 again; what was concluded stays.
+  /// Resets the request counts of the stage. The verdict and the evidence stay.
   void begin_stage() { stage_requests_ = {}; }
 
  private:
@@ -103,9 +108,9 @@
 
   struct Evidence {
     std::array<double, kAlternatives> log_likelihood_ratio{};
-    double observed = 0;    // of the canary
-    double expected = 0;    // of the canary
-    double dispersion = 0;  // Pearson's statistic of the control
+    double observed = 0;    // events of the canary
+    double expected = 0;    // events of the canary that the control's events and the baselines predict
+    double dispersion = 0;  // Pearson's chi-squared statistic of the control
     double dispersion_terms = 0;
   };
   using SiteSamples = std::vector<const Sample*>;
@@ -113,7 +118,7 @@
   double rate(std::uint64_t router, Measure measure) const;
   void update_slow_bucket();
   void compare(Measure measure, const SiteSamples& site);
-  void add_dispersion(Evidence& evidence, Measure measure, const SiteSamples& site, double bad,
+  void add_dispersion(Evidence& evidence, Measure measure, const SiteSamples& site, double events,
                       double expected) const;
   void add_resource_usage(const std::vector<Sample>& samples);
   void conclude();
@@ -124,7 +129,7 @@
   Limits limits_;
   std::map<std::uint64_t, RolloutMetrics> baselines_;  // by router
   RolloutMetrics fleet_baseline_;
-  std::array<double, kMeasures> fleet_rate_{};
+  std::array<double, kMeasures> fleet_rate_{};                       // events per request, by measure
   std::size_t first_slow_bucket_ = RolloutMetrics::kLatencyBuckets;  // the first bucket that counts as slow
   std::array<Evidence, kMeasures> evidence_{};
   PerCohort<std::uint64_t> stage_requests_;
@@ -132,7 +137,7 @@
   std::uint64_t canary_violations_ = 0;
   PerCohort<Seconds> cpu_time_;
   PerCohort<double> cpu_requests_;
-  int high_memory_intervals_ = 0;  // in a row, with too much memory
+  int high_memory_intervals_ = 0;  // consecutive intervals in which the canary's memory was high
   CanaryVerdict verdict_ = CanaryVerdict::healthy;
   std::string reason_;
 };
--- a/src/rollout/coordinator.cpp
+++ b/src/rollout/coordinator.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Between two polls that compare clocks and write items; the others do what cannot wait.
+/// Interval between full polls, which also update the clock offset and persist the items. The other polls do
+/// only what cannot wait.
 constexpr Seconds kFullPollInterval = 0.5;
 
 std::vector<std::uint64_t> fleet_hashes(const RolloutCoordinator::Setup& setup) {
--- a/src/rollout/coordinator.h
+++ b/src/rollout/coordinator.h
@@ -1,8 +1,7 @@
 /// \file
-/// One router's part in rollouts as the program carries it out: the calendar and the rollouts on the gossip
-/// and on the scheduler's clock, their items in the store, their lines in the log, the compatibility
-/// checker's verdict for a release, and moves handed to the host. Everything is called on the scheduler's one
-/// thread.
+/// Integrates one router's calendar and rollouts into the program: it registers them with gossip, polls them
+/// on the scheduler's clock, persists their items, writes their log lines, asks the compatibility checker
+/// about releases, and hands moves to the host. All calls are made on the scheduler's single thread.
 #pragma once
 
 #include <cstdint>
@@ -22,48 +21,50 @@
 
 namespace walkpaddle::rollout {
 
-/// Binds calendar, compatibility and rollouts together for the host.
+/// Connects the calendar, the compatibility check and the rollouts for the host.
 class RolloutCoordinator {
  public:
-  /// What the host gives.
+  /// Configuration and callbacks that the host provides.
   struct Setup {
     /// Another router of the fleet.
     struct Peer {
       std::string name;  ///< as the operator's file names it
-      std::string site;  ///< where it stands; may be empty
+      std::string site;  ///< site of the router; may be empty
     };
-    std::string name;         ///< of this router
-    std::string site;         ///< where it stands
-    std::string generation;   ///< what this process runs
-    std::vector<Peer> peers;  ///< in the order of the members' numbers
-    std::uint32_t seed = 0;   ///< of the pauses between elections
-    /// The releases that are kept here; throws InputError where one cannot be read.
+    std::string name;         ///< name of this router
+    std::string site;         ///< site of this router
+    std::string generation;   ///< generation that this process runs
+    std::vector<Peer> peers;  ///< in the order of the member numbers
+    std::uint32_t seed = 0;   ///< seed of the random pauses between elections
+    /// Returns the releases kept on this machine; throws InputError if one cannot be read.
     std::function<std::vector<compat::Release>()> kept_releases;
-    /// The release of a generation; throws InputError where it cannot be read.
+    /// Returns the release of a generation; throws InputError if it cannot be read.
     std::function<compat::Release(const std::string& generation)> release_of;
-    /// Runs the generation from now on, and says so by moved() or move_failed().
+    /// Starts to run a generation and reports the result by Rollout::moved() or Rollout::move_failed().
     std::function<void(const GenerationMove&)> carry_out;
-    /// What this router counted in the running generation.
+    /// Returns this router's metrics of the running generation.
     std::function<RolloutMetrics()> metrics;
   };
 
-  /// The references outlive this; so does `store`, which may be null: then nothing lasts.
+  /// The references must outlive the coordinator, and so must `store`. If `store` is null, nothing is
+  /// persisted.
   RolloutCoordinator(Log& log, const Setup& setup, const membership::Membership& members,
                      gossip::Gossip& gossip, store::Store* store, Seconds now);
 
-  /// What is due; at the end of each of the scheduler's turns.
+  /// Does what is due. To be called at the end of each turn of the scheduler.
   void poll(Seconds now);
-  /// When poll() is to be called at the latest.
+  /// The latest time at which poll() must be called next.
   Seconds next_due() const;
-  /// Whether an entry of the store belongs here.
+  /// Whether an entry of the store belongs to the calendar or the rollouts.
   static bool owns(std::string_view key) { return PersistedState::owns(key); }
-  /// An entry of the store that does, in the order of the keys; throws InputError where it cannot be used.
+  /// Restores such an entry. Entries must be passed in the order of their keys. Throws InputError if the
+  /// entry is invalid.
   void restore(std::string_view key, std::string_view value, Seconds now);
 
-  freeze::Calendar& calendar() { return calendar_; }              ///< of freeze windows
-  const freeze::Calendar& calendar() const { return calendar_; }  ///< of freeze windows
-  Rollout& rollout() { return rollout_; }                         ///< this router's part
-  const Rollout& rollout() const { return rollout_; }             ///< this router's part
+  freeze::Calendar& calendar() { return calendar_; }              ///< the calendar of freeze windows
+  const freeze::Calendar& calendar() const { return calendar_; }  ///< the calendar of freeze windows
+  Rollout& rollout() { return rollout_; }                         ///< this router's part in the rollouts
+  const Rollout& rollout() const { return rollout_; }             ///< this router's part in the rollouts
 
  private:
   Rollout::Setup rollout_setup(bool durable);
@@ -81,7 +82,7 @@
   Rollout rollout_;
   PersistedState persisted_;
   Seconds next_full_poll_ = 0;
-  std::string reported_reason_;  // why the calendar was last not current
+  std::string reported_reason_;  // the last logged reason why the calendar is not current; empty: it is
 };
 
 }  // namespace walkpaddle::rollout
--- a/src/rollout/driver.cpp
+++ b/src/rollout/driver.cpp
@@ -25,7 +25,8 @@
 }
 
 void RolloutDriver::step(Seconds now) {
-  // One that stood still drives no more, and lets the others' driver speak first.
+  // After a stall of more than half a lease this router resigns and waits a lease for the driver that the
+  // others may have elected meanwhile.
   if (now - stepped_at_ > context_.limits.lease / 2) {
     resign();
     voter_.restart_lease(now);
@@ -51,35 +52,37 @@
 
 void RolloutDriver::try_election(RolloutRecord& record, Seconds now) {
   if (!may_stand_for_election(record, now)) return;
-  std::uniform_real_distribution<> leases(0.5, 1.5);
-  next_election_ = now + context_.limits.lease * leases(random_);
+  std::uniform_real_distribution<> jitter(0.5, 1.5);
+  next_election_ = now + context_.limits.lease * jitter(random_);
   voter_.stand_for_election(record.place);
   drive_.emplace(Drive{.rollout = record.plan.name,
-                       .since = now,
+                       .election_started = now,
                        .request_at = now,
                        .progress = FleetProgress(context_, record.own.turns)});
   drive(record, now);
 }
 
-/// The last in the order to change asks first: while it lives it drives to the end, as an old router.
+/// The last live router in the order of the rollout stands first: it keeps the old generation longest and so
+/// can drive the rollout to its end.
 bool RolloutDriver::may_stand_for_election(const RolloutRecord& record, Seconds now) const {
   constexpr std::size_t kMaxWaitSteps = 8;
   std::size_t alive_after = 0;
   for (auto place = record.place + 1; place < record.order.size(); ++place)
     if (context_.fleet.alive(static_cast<int>(record.order[place]))) ++alive_after;
   const auto steps = static_cast<double>(std::min(alive_after, kMaxWaitSteps));
-  const Seconds patience = context_.limits.lease * (1 + 0.5 * steps);
-  const bool nobody_drove_yet = record.decision.stage == 0 && voter_.term() == 0 && alive_after == 0;
-  if (now - voter_.last_driver_contact() < patience && !nobody_drove_yet) return false;
+  const Seconds timeout = context_.limits.lease * (1 + 0.5 * steps);
+  const bool no_driver_yet = record.decision.stage == 0 && voter_.term() == 0 && alive_after == 0;
+  if (now - voter_.last_driver_contact() < timeout && !no_driver_yet) return false;
   return now >= next_election_ && !context_.calendar.why_not_current(now);
 }
 
-/// Whether this router drives on, or still waits for votes; else it has resigned.
+/// Returns whether this router is still the driver or a candidate; if not, it has resigned. A candidate with
+/// a majority of the votes becomes the driver.
 bool RolloutDriver::confirm_role(RolloutRecord& record, Seconds now) {
   const auto majority = context_.fleet.majority();
   if (drive_->stages) {
     if (drive_->progress.fresh_reports(now) >= majority) return true;
-    context_.log.add(record.plan.name, "no majority answers, this router drives it no more");
+    context_.log.add(record.plan.name, "no majority answers; this router is no longer the driver");
     voter_.restart_lease(now);
     resign();
     return false;
@@ -88,13 +91,14 @@
     become_driver(record, now);
     return true;
   }
-  if (now - drive_->since <= context_.limits.lease) return true;
+  if (now - drive_->election_started <= context_.limits.lease) return true;
   resign();
   return false;
 }
 
-/// What a majority agreed to under an earlier term may be decided: one of this majority agreed to it. It is
-/// asked for again, as a stop may stand since; what came before it was decided.
+/// A stage that a majority agreed to under an earlier term may have been decided; some voter of this majority
+/// then agreed to it. Agreement to it is requested again, as the rollout may have been stopped since. The
+/// stages before it were decided.
 void RolloutDriver::become_driver(RolloutRecord& record, Seconds now) {
   const auto agreed = std::max(record.decision.stage, drive_->progress.furthest_agreed());
   if (agreed > record.decision.stage + 1) state_.set_decision(record, {voter_.term(), agreed - 1, false});
@@ -104,11 +108,11 @@
   else if (record.decision.stage == 0)
     state = State::taking_baseline;
   drive_->stages.emplace(context_, drive_->progress, record.plan, state, now);
-  context_.log.add(record.plan.name, "this router drives it, term " + std::to_string(voter_.term()));
+  context_.log.add(record.plan.name, "this router is the driver, term " + std::to_string(voter_.term()));
   drive_->request_at = now;
 }
 
-// ---- from stage to stage -----------------------------------------------------------------------
+// ---- driving -----------------------------------------------------------------------------------
 
 void RolloutDriver::drive(RolloutRecord& record, Seconds now) {
   const auto own = host_.own_report(record, true);
@@ -132,7 +136,7 @@
       drive_->request_at = now;
       return;
     case StageAction::Step::stop:
-      state_.stop(record.plan.name, action.reason, now);  // this router resigns by it
+      state_.stop(record.plan.name, action.reason, now);  // makes this router resign
       return;
     case StageAction::Step::finish:
       state_.set_decision(record, {voter_.term(), record.stages(), true});
@@ -141,7 +145,7 @@
   }
 }
 
-/// A stage is decided once a majority has agreed to it under this driver's term.
+/// Decides the next stage once a majority has agreed to it under this driver's term.
 void RolloutDriver::conclude_agreement(RolloutRecord& record, Seconds now) {
   const auto agreed = drive_->progress.agreed_past(record.decision.stage, voter_.term());
   if (agreed < context_.fleet.majority() || record.stop) return;
@@ -152,10 +156,10 @@
 
 void RolloutDriver::request(RolloutRecord& record, Seconds now) {
   const bool is_election = !drive_->stages;
-  const bool is_asking = drive_->is(State::requesting_agreement);
-  const bool is_urgent = is_election || is_asking;
+  const bool requests_agreement = drive_->is(State::requesting_agreement);
+  const bool is_urgent = is_election || requests_agreement;
   drive_->request_at = now + (is_urgent ? context_.limits.retry_interval : context_.limits.request_interval);
-  const std::uint32_t wanted = is_asking ? record.decision.stage + 1 : 0;
+  const std::uint32_t wanted = requests_agreement ? record.decision.stage + 1 : 0;
   if (wanted > 0 && voter_.agree(record, voter_.term(), wanted, now))
     drive_->progress.set_own_report(host_.own_report(record, true), now);
   const auto bytes = encode(DriverRequest{.rollout = message_id(record.plan.name),
--- a/src/rollout/driver.h
+++ b/src/rollout/driver.h
@@ -1,10 +1,11 @@
 /// \file
-/// The driver of a rollout: one router, by a lease and a majority's votes, takes it from stage to stage. No
-/// I/O.
+/// The driver of a rollout: the one router that takes it from stage to stage, by a lease and a majority's
+/// votes. No I/O.
 ///
-/// *Going on* needs a majority: the driver asks, a router agrees under the term that it promised (voter.h). A
-/// driver is alive while it asks; past a lease of silence the router that is to change last of those alive
-/// asks for the next term. Terms are unique to who asks. The model is models/rollout.pml.
+/// The next stage begins only with a majority's agreement: the driver requests it, and a router agrees under
+/// the term that it promised (voter.h). A driver's lease is renewed by its requests. When they stop for a
+/// lease or longer, the live router that is last in the order of the rollout asks for votes first, under the
+/// next term. No two routers use the same term. The protocol is modelled in models/rollout.pml.
 #pragma once
 
 #include <cstdint>
@@ -22,46 +23,46 @@
 
 namespace walkpaddle::rollout {
 
-/// This router's part as the driver, or as one that wants to be.
+/// This router's part as the driver of a rollout, or as a candidate.
 class RolloutDriver {
  public:
-  /// What the driver needs of its router; outlives the driver.
+  /// The interface to the router, which must outlive the driver.
   class Host {
    public:
     virtual ~Host() = default;
-    /// This router's own report.
+    /// Returns this router's own report on the rollout.
     virtual RouterReport own_report(const RolloutRecord& record, bool vote_granted) const = 0;
-    /// Sends a request to a peer, by its number.
+    /// Sends an encoded request to the peer with the given number.
     virtual void send(int peer, const std::string& bytes) = 0;
   };
 
-  /// All references outlive the driver. `seed`: of the pauses between elections.
+  /// All references must outlive the driver. `seed` seeds the random pauses between elections.
   RolloutDriver(RolloutContext& context, RolloutState& state, Voter& voter, Host& host, std::uint32_t seed,
                 Seconds now);
 
-  /// What is due; to be called at the context's wake time or earlier.
+  /// Does what is due. To be called at the context's wake time or earlier.
   void step(Seconds now);
-  /// A report that came on the rollout that this router drives.
+  /// Handles a report on the rollout that this router drives or is a candidate for.
   void receive(int from, const RouterReport& report, Seconds now);
-  /// Another drives, or the rollout is over.
+  /// Ends this router's part as driver or candidate, as another router drives or the rollout is over.
   void resign() { drive_.reset(); }
-  /// Resigns if it is `rollout` that this router drives.
+  /// Resigns if `rollout` is the one that this router drives.
   void resign_from(const std::string& rollout);
 
-  /// Whether a majority voted for this router.
+  /// Whether this router is the driver: a majority voted for it.
   bool is_driving() const { return drive_ && drive_->stages; }
-  /// The rollout that this router drives, or wants to, by its message_id(); 0: none.
+  /// The message_id() of the rollout that this router drives or is a candidate for; 0: none.
   std::uint64_t driven_id() const { return drive_ ? message_id(drive_->rollout) : 0; }
-  /// The stages of `rollout`; nullptr: this router does not drive it.
+  /// The stage runner of `rollout`, or nullptr if this router does not drive it.
   const StageRunner* stages_of(const std::string& rollout) const;
 
  private:
   struct Drive {
     std::string rollout;
-    Seconds since = 0;  // the election
+    Seconds election_started = 0;
     Seconds request_at = 0;
     FleetProgress progress;
-    std::optional<StageRunner> stages{};  // nullopt: not elected yet
+    std::optional<StageRunner> stages{};  // nullopt: a candidate that is not elected yet
     bool is(StageRunner::State state) const { return stages && stages->state() == state; }
   };
 
--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -103,15 +103,15 @@
     const char* why;
   };
   const auto fault = GENERATE(values<Fault>({
-      {"it refuses half", [](Quality& q) { q.refused = 0.5; }, "refused:"},
+      {"it refuses half", [](Quality& q) { q.refused = 0.5; }, "rejected:"},
       {"it fails a third", [](Quality& q) { q.failed = 0.3; }, "failed:"},
       {"it answers too late", [](Quality& q) { q.late = 0.4; }, "late:"},
       {"it takes five times as long", [](Quality& q) { q.time = 0.25; }, "slow:"},
-      {"it hops twice", [](Quality& q) { q.hops = 0.9; }, "hops past the first:"},
+      {"it hops twice", [](Quality& q) { q.hops = 0.9; }, "retries:"},
       {"it fills always", [](Quality& q) { q.fills = 1; }, "fills:"},
       {"it leaks", [](Quality& q) { q.memory = 90; }, "memory:"},
-      {"it takes three times the processor time", [](Quality& q) { q.cpu = 0.03; }, "processor time a txn"},
-      {"it breaks a rule", [](Quality& q) { q.breaks_rule = true; }, "a rule was broken"},
+      {"it takes three times the processor time", [](Quality& q) { q.cpu = 0.03; }, "processor time per request"},
+      {"it breaks a rule", [](Quality& q) { q.breaks_rule = true; }, "violated an invariant"},
       {"it is never ready", [](Quality& q) { q.ready = false; }, "did not become ready"},
       {"it falls after five seconds", [](Quality& q) { q.dies_after = 5; }, "did not become ready, or died"},
   }));
