--- a/src/rollout/fleet_progress.cpp
+++ b/src/rollout/fleet_progress.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// In microseconds. A report that is older than the last by more is of another start, on a clock that went
-/// back.
+/// Largest delay of a reordered report, in microseconds. A report that seems older than this was sent after a
+/// restart, by a clock that was set back.
 constexpr std::uint64_t kMaxDelayUs = 5'000'000;
 
 std::size_t count(bool holds) { return holds ? 1 : 0; }
@@ -20,8 +20,8 @@
 
 bool FleetProgress::receive(int from, const RouterReport& report, std::uint64_t term, Seconds now) {
   auto& [last, at] = reports_[from];
-  // Datagrams overtake each other and come twice. Prevents that a report from before a move, which comes
-  // after one of the move, tells of a router that went to move and is as before.
+  // Datagrams may be reordered or duplicated. Without this check a late report from before a move, received
+  // after a report from the move, would look like a move that failed.
   if (report.sent > 0 && report.sent <= last.sent && last.sent - report.sent < kMaxDelayUs) return false;
   const bool granted = last.vote_granted || (report.vote_granted && report.term == term);
   last = report;
@@ -33,7 +33,8 @@
 
 void FleetProgress::note_phase(int from, const RouterReport& report, Seconds now) {
   auto& last = last_phases_.try_emplace(from, report.phase).first->second;
-  // One that went to move and is as before did not come up, though it remembers nothing of it.
+  // A router that was moving and reports the old generation again did not start the new one, even if it has
+  // no record of the attempt.
   const bool fell_back = last == RouterPhase::moving && report.phase == RouterPhase::old_generation;
   if (report.phase == RouterPhase::failed || fell_back) failed_.insert(from);
   last = report.phase;
@@ -116,33 +117,34 @@
 }
 
 std::size_t FleetProgress::failed_starts(const RolloutPlan& plan, Seconds now) const {
-  const auto died_since = died(plan, now);
-  return failed_.size() + (is_fleet_wide_failure(died_since) ? 0 : died_since);
+  const auto crashed = count_crashed(plan, now);
+  return failed_.size() + (is_fleet_wide_failure(crashed) ? 0 : crashed);
 }
 
-/// Those that are down since soon after their move, or since their turn came.
-std::size_t FleetProgress::died(const RolloutPlan& plan, Seconds now) const {
+/// The number of routers that are down and either moved a short time ago, or got their turn and have not
+/// reported the new generation in time.
+std::size_t FleetProgress::count_crashed(const RolloutPlan& plan, Seconds now) const {
   const auto& fleet = context_.fleet;
   const auto& limits = context_.limits;
-  std::size_t died = 0;
+  std::size_t crashed = 0;
   for (const auto& [number, move] : moves_)
-    died += count(!fleet.alive(number) && now - move.at < limits.crash_window + 2 * limits.lease);
-  const Seconds patience = plan.ready_within + limits.lease;
+    crashed += count(!fleet.alive(number) && now - move.at < limits.crash_window + 2 * limits.lease);
+  const Seconds timeout = plan.ready_within + limits.lease;
   for (const auto& [number, given] : turn_given_at_)
-    died += count(!fleet.alive(number) && !moves_.contains(number) && now > given + patience);
-  return died;
+    crashed += count(!fleet.alive(number) && !moves_.contains(number) && now > given + timeout);
+  return crashed;
 }
 
-bool FleetProgress::is_fleet_wide_failure(std::size_t died) const {
-  std::size_t untouched = 0;
-  std::size_t dead_untouched = 0;
+bool FleetProgress::is_fleet_wide_failure(std::size_t crashed) const {
+  std::size_t without_turn = 0;
+  std::size_t down_without_turn = 0;
   for (int number = 0; number <= context_.fleet.self(); ++number) {
     if (moves_.contains(number) || turn_given_at_.contains(number)) continue;
-    ++untouched;
-    dead_untouched += count(!context_.fleet.alive(number));
+    ++without_turn;
+    down_without_turn += count(!context_.fleet.alive(number));
   }
-  const auto tried = std::max(moves_.size(), turn_given_at_.size());
-  return dead_untouched > 0 && 2 * dead_untouched * tried >= died * untouched;
+  const auto with_turn = std::max(moves_.size(), turn_given_at_.size());
+  return down_without_turn > 0 && 2 * down_without_turn * with_turn >= crashed * without_turn;
 }
 
 }  // namespace walkpaddle::rollout
--- a/src/rollout/items.cpp
+++ b/src/rollout/items.cpp
@@ -31,7 +31,7 @@
                    .harm_threshold = document.getHarm(),
                    .tolerated_ratio = document.getRatio()};
   for (const double share : document.getStages()) plan.stages.push_back(share);
-  if (const auto why = refusal(plan)) throw InputError("a change: " + *why);
+  if (const auto why = refusal(plan)) throw InputError("invalid change: " + *why);
   return plan;
 }
 
--- a/src/rollout/items.h
+++ b/src/rollout/items.h
@@ -1,6 +1,6 @@
 /// \file
-/// The items of replicated rollout state, and their Cap'n Proto form (src/change/change.capnp), in which they
-/// go over the wire and into the store. No I/O.
+/// The items of the replicated rollout state and their Cap'n Proto encoding (src/change/change.capnp), which
+/// is used on the wire and in the store. No I/O.
 #pragma once
 
 #include <compare>
@@ -16,46 +16,47 @@
 
 namespace walkpaddle::rollout {
 
-/// How far a rollout may go, as a majority has agreed.
+/// The latest stage of a rollout that a majority has agreed to.
 struct StageDecision {
-  std::uint64_t term = 0;   ///< of the driver that asked
-  std::uint32_t stage = 0;  ///< from 1; 0: none yet
-  bool done = false;        ///< the whole fleet has the new generation
+  std::uint64_t term = 0;   ///< term of the driver that decided
+  std::uint32_t stage = 0;  ///< counts from 1; 0: no stage has begun
+  bool done = false;        ///< whether the whole fleet runs the new generation
 };
 
-/// A rollout was stopped. The first in order of two stops stands.
+/// The stop of a rollout. Of two stops of one rollout the lesser in comparison is kept.
 struct RolloutStop {
-  std::uint64_t by = 0;  ///< stable hash of the router's name
-  Seconds at = 0;        ///< Unix time
-  std::string why;       ///< at most kMaxReasonBytes
-  /// Field by field, in the order of the declarations.
+  std::uint64_t by = 0;  ///< stable hash of the name of the router that stopped it
+  Seconds at = 0;        ///< Unix time of the stop
+  std::string why;       ///< reason, of at most kMaxReasonBytes
+  /// Compares the fields in the order of their declaration.
   auto operator<=>(const RolloutStop&) const = default;
 };
 
-/// A decision with the rollout that it is of.
+/// A decision and the rollout it belongs to.
 struct DecisionItem {
-  std::string rollout;     ///< its name
-  StageDecision decision;  ///< how far it may go
+  std::string rollout;     ///< name of the rollout
+  StageDecision decision;  ///< the decision on its stage
 };
 
-/// A stop with the rollout that it is of.
+/// A stop and the rollout it belongs to.
 struct StopItem {
-  std::string rollout;  ///< its name
-  RolloutStop stop;     ///< who stopped it, and why
+  std::string rollout;  ///< name of the rollout
+  RolloutStop stop;     ///< the router that stopped it, and its reason
 };
 
-/// What an item says.
+/// The content of an item.
 using RolloutItem = std::variant<RolloutPlan, DecisionItem, StopItem>;
 
-/// The bytes of an item; equal values have equal bytes.
+/// Encodes a plan. Equal values have equal bytes.
 std::string encode(const RolloutPlan& plan);
-/// As above.
+/// Encodes a decision. Equal values have equal bytes.
 std::string encode(const DecisionItem& item);
-/// As above.
+/// Encodes a stop. Equal values have equal bytes.
 std::string encode(const StopItem& item);
 
-/// Reads an item; throws InputError where it cannot be used. nullopt: a decision or stop of a rollout that
-/// `is_known` does not know, or an item of a newer router.
+/// Decodes an item. Returns nullopt for a decision or stop of a rollout that is unknown according to
+/// `is_known`, and for an item of a kind that only newer programs know. Throws InputError if the item is
+/// invalid.
 std::optional<RolloutItem> decode_item(std::string_view bytes,
                                        const std::function<bool(const std::string& rollout)>& is_known);
 
--- a/src/rollout/local_router.cpp
+++ b/src/rollout/local_router.cpp
@@ -25,8 +25,9 @@
   return std::nullopt;
 }
 
-/// A release is tried once while it is under way; one that this machine came to run and the fleet has is
-/// taken again whenever its supervisor starts the program before.
+/// A release is tried once while its rollout is under way. When the rollout is done and this router runs the
+/// release, the attempt is cleared: if the supervisor later starts the earlier program, that program may move
+/// to the release again.
 void LocalRouter::clear_completed_release() {
   if (attempted_release_.empty()) return;
   const auto* record = state_.find(attempted_release_);
@@ -34,19 +35,19 @@
     attempted_release_.clear();
 }
 
-/// When this router goes back after a stop: newest first, in groups, the last of the order at once. nullopt:
-/// it has nothing to go back from.
+/// When this router goes back after a stop. Routers go back in groups, the last moved first and immediately.
+/// nullopt: there is no stop, or this router does not run the new generation.
 std::optional<Seconds> LocalRouter::rollback_at(const RolloutRecord& record) const {
   if (!record.stop || running_ != record.plan.after) return std::nullopt;
   const std::size_t decided =
       record.decision.stage > 0 ? record.stage_sizes[record.decision.stage - 1] : std::size_t{1};
   const auto moved = std::max(record.own.turns, decided);
-  const auto later = moved > record.place ? moved - 1 - record.place : 0;
-  const auto group = later / max_moving(record.plan, context_.fleet.size());
+  const auto moved_later = moved > record.place ? moved - 1 - record.place : 0;
+  const auto group = moved_later / max_moving(record.plan, context_.fleet.size());
   return record.stop_received_at + static_cast<Seconds>(group) * rollback_interval(record.plan);
 }
 
-/// Whether this router is to move forth, if no freeze window holds it.
+/// Whether this router is to move to the new generation, unless a freeze window holds it.
 bool LocalRouter::may_move(const RolloutRecord& record) const {
   if (record.stop || running_ != record.plan.before || failed(record)) return false;
   if (record.decision.done) return true;
@@ -54,7 +55,8 @@
 }
 
 std::string LocalRouter::hold_reason(const RolloutRecord& record, Seconds now) const {
-  // What the whole fleet has, a router that returns takes even in a freeze: it is no change any more.
+  // A router that returns takes the generation of the whole fleet even in a freeze window, as it is no longer
+  // a change of the fleet.
   if (record.decision.done) return {};
   const freeze::PlannedChange move{.change = record.plan.name,
                                    .work = record.plan.work,
@@ -67,14 +69,14 @@
 const GenerationMove& LocalRouter::begin_move(const RolloutRecord& record, bool is_rollback) {
   const auto& plan = record.plan;
   moving_ = GenerationMove{is_rollback ? plan.before : plan.after, plan, is_rollback};
-  context_.log.add(plan.name, "this router moves to " + moving_->to + (is_rollback ? ", back" : ""));
+  context_.log.add(plan.name, "this router moves to " + moving_->to + (is_rollback ? " (rollback)" : ""));
   return *moving_;
 }
 
 void LocalRouter::moved() {
   if (!moving_) return;
   running_ = moving_->to;
-  metrics_ = {};  // those of before are not of this generation
+  metrics_ = {};  // they are of the earlier generation
   context_.log.add(moving_->plan.name, "this router runs " + running_);
   moving_.reset();
   context_.wake.at_once();
@@ -97,7 +99,7 @@
   return record.own.wait_reason.empty() ? RouterPhase::old_generation : RouterPhase::held;
 }
 
-/// This router's move did; of a release its machine remembers that it was tried.
+/// Whether this router's move failed. For a release, the stored attempt tells so after a restart.
 bool LocalRouter::failed(const RolloutRecord& record) const {
   if (record.own.move_failed) return true;
   return !attempted_release_.empty() && attempted_release_ == record.plan.name &&
--- a/src/rollout/local_router.h
+++ b/src/rollout/local_router.h
@@ -1,7 +1,8 @@
 /// \file
-/// What this router runs and is to run: its moves forth, in its turn, and back after a stop. A rollback needs
-/// no driver: each router goes back at its own time, newest first, by its place in the order, so that no
-/// crash holds it up and not all go at once. No I/O.
+/// The generation that this router runs and is to run: its move to the new generation when it has its turn,
+/// and back after a stop. A rollback needs no driver: each router goes back at a time that follows from its
+/// place in the order, the last moved first. So no crash delays the rollback, and the routers do not all go
+/// back at the same time. No I/O.
 #pragma once
 
 #include <optional>
@@ -16,39 +17,39 @@
 
 namespace walkpaddle::rollout {
 
-/// What the host is to do: run the generation `to` from now on.
+/// A move that the host is to carry out: to run the generation `to` from now on.
 struct GenerationMove {
-  std::string to;            ///< the generation
-  RolloutPlan plan;          ///< of the rollout that it belongs to
-  bool is_rollback = false;  ///< back to what was before
+  std::string to;            ///< name of the generation
+  RolloutPlan plan;          ///< plan of the rollout that the move belongs to
+  bool is_rollback = false;  ///< whether `to` is the generation before the rollout
 };
 
-/// This router's part in all rollouts, as one that moves.
+/// The moves of this router, for all rollouts.
 class LocalRouter {
  public:
-  /// `generation`: what this process runs. The references outlive this.
+  /// `generation` is the one that this process runs. The references must outlive this object.
   LocalRouter(RolloutContext& context, RolloutState& state, std::string generation);
 
-  /// The next move, if one is due: the host carries it out and reports by moved() or move_failed().
+  /// Returns the next move if one is due. The host carries it out and then calls moved() or move_failed().
   std::optional<GenerationMove> next_move(Seconds now);
-  /// What next_move() gave is ready.
+  /// Reports that the generation of the last move is ready.
   void moved();
-  /// What next_move() gave did not become ready.
+  /// Reports that the generation of the last move did not become ready.
   void move_failed(const std::string& why);
 
-  /// The generation that this router runs.
+  /// The name of the generation that this router runs.
   const std::string& running() const { return running_; }
-  /// Where this router stands with a rollout.
+  /// This router's phase in a rollout.
   RouterPhase phase(const RolloutRecord& record) const;
-  /// What the host counted last; of the running generation.
+  /// Sets the current metrics of the running generation.
   void set_metrics(const RolloutMetrics& metrics) { metrics_ = metrics; }
-  /// As set_metrics() left it; empty after a move.
+  /// The metrics from the last set_metrics(); empty after a move until they are set again.
   const RolloutMetrics& metrics() const { return metrics_; }
 
-  /// The rollout for whose release this router's process ends, or last ended: it goes to the store, so that a
-  /// release that does not start is tried once. Empty: none.
+  /// The name of the rollout for whose release this process ends, or an earlier one ended; empty: none. It is
+  /// persisted, so that a release that does not start is tried only once.
   const std::string& attempted_release() const;
-  /// As it was stored.
+  /// Restores the value of attempted_release() from the store.
   void restore_attempted_release(std::string_view rollout) { attempted_release_ = rollout; }
 
  private:
--- a/src/rollout/messages.cpp
+++ b/src/rollout/messages.cpp
@@ -109,7 +109,7 @@
 
 std::optional<RolloutMessage> decode_message(std::string_view bytes, std::uint64_t driven) {
   constexpr auto kMaxBytes = replica::ReplicatedState::kMaxItemBytes;
-  if (bytes.size() > kMaxBytes) throw_bad_value("letter of length", std::to_string(bytes.size()));
+  if (bytes.size() > kMaxBytes) throw_bad_value("message of length", std::to_string(bytes.size()));
   return replica::read_root<schema::Letter>(
       bytes, kMaxBytes, [&](const schema::Letter::Reader& letter) -> std::optional<RolloutMessage> {
         switch (letter.which()) {
--- a/src/rollout/messages.h
+++ b/src/rollout/messages.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a driver and the other routers send each other, and its Cap'n Proto form (src/change/change.capnp).
-/// No I/O.
+/// The messages between a driver and the other routers, and their Cap'n Proto encoding
+/// (src/change/change.capnp). No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,57 +13,58 @@
 
 namespace walkpaddle::rollout {
 
-/// Names a rollout in messages: a hash of its name, never 0.
+/// The id of a rollout in messages: a hash of its name, never 0.
 std::uint64_t message_id(std::string_view rollout);
 
-/// What a driver asks for.
+/// The purpose of a driver's request.
 enum class RequestKind : std::uint8_t {
-  vote,    ///< to drive under the request's term
-  report,  ///< for a report, and agreement to the stage that it wants
+  vote,    ///< asks for the vote that the sender drives under the request's term
+  report,  ///< asks for a report, and for agreement to the wanted stage if there is one
 };
 
-/// From a driver, or from one that wants to be.
+/// A request of a driver or of a candidate.
 struct DriverRequest {
-  std::uint64_t rollout = 0;               ///< its message_id()
-  std::uint64_t term = 0;                  ///< of the sender
-  RequestKind kind = RequestKind::report;  ///< what it asks for
-  std::uint32_t decided_stage = 0;         ///< 0: none
-  std::uint32_t wanted_stage = 0;          ///< to be agreed to; 0: none
-  std::uint32_t turns = 0;                 ///< so many of the order may have moved
+  std::uint64_t rollout = 0;               ///< message_id() of the rollout
+  std::uint64_t term = 0;                  ///< the sender's term
+  RequestKind kind = RequestKind::report;  ///< purpose of the request
+  std::uint32_t decided_stage = 0;         ///< the latest stage that was decided; 0: none
+  std::uint32_t wanted_stage = 0;          ///< the stage to agree to; 0: none
+  std::uint32_t turns = 0;                 ///< number of routers, from the start of the order, with a turn
 };
 
-/// Where a router stands with a rollout. Numbers on the wire.
+/// A router's phase in a rollout. The values are used on the wire.
 enum class RouterPhase : std::uint8_t {
   old_generation,
-  moving,  ///< or going back
+  moving,  ///< to the new generation or back
   new_generation,
-  failed,  ///< it moved and did not become ready
-  held,    ///< it does not move in its turn: a freeze window
+  failed,  ///< the router's move did not become ready
+  held,    ///< a freeze window keeps the router from moving in its turn
 };
 
-/// A router's answer to a driver.
+/// A router's answer to a driver or a candidate.
 struct RouterReport {
-  std::uint64_t rollout = 0;                        ///< its message_id()
-  std::uint64_t term = 0;                           ///< promised
-  bool vote_granted = false;                        ///< the request for a vote was
-  std::uint32_t agreed_stage = 0;                   ///< the last that it agreed to
-  std::uint64_t agreed_term = 0;                    ///< under which it agreed
-  RouterPhase phase = RouterPhase::old_generation;  ///< where it stands
-  RolloutMetrics metrics{};                         ///< of the generation that it runs
-  /// Microseconds of its router's clock, each greater than the last; 0: not told.
+  std::uint64_t rollout = 0;                        ///< message_id() of the rollout
+  std::uint64_t term = 0;                           ///< the latest term that the router promised
+  bool vote_granted = false;                        ///< whether the requested vote is granted
+  std::uint32_t agreed_stage = 0;                   ///< the latest stage that the router agreed to
+  std::uint64_t agreed_term = 0;                    ///< the term under which it agreed
+  RouterPhase phase = RouterPhase::old_generation;  ///< the router's phase
+  RolloutMetrics metrics{};                         ///< metrics of the generation that it runs
+  /// Time of sending in microseconds of the router's clock, increasing from report to report; 0: not given.
   std::uint64_t sent = 0;
 };
 
-/// Either message.
+/// A message of either kind.
 using RolloutMessage = std::variant<DriverRequest, RouterReport>;
 
-/// The bytes of a request.
+/// Encodes a request.
 std::string encode(const DriverRequest& request);
-/// The bytes of a report.
+/// Encodes a report.
 std::string encode(const RouterReport& report);
 
-/// Reads a message; throws InputError where it cannot be used. `driven`: the message_id() of the rollout that
-/// this router drives, 0 for none. nullopt: a report on another rollout, or a message of a newer router.
+/// Decodes a message. `driven` is the message_id() of the rollout that this router drives or is a candidate
+/// for, 0 for none. Returns nullopt for a report on another rollout, and for a message of a kind that only
+/// newer programs know. Throws InputError if the message is invalid.
 std::optional<RolloutMessage> decode_message(std::string_view bytes, std::uint64_t driven);
 
 }  // namespace walkpaddle::rollout
--- a/src/rollout/persisted_state.cpp
+++ b/src/rollout/persisted_state.cpp
@@ -13,8 +13,8 @@
   return key += std::to_string(kind.number());
 }
 
-/// Items in the order in which a start takes them: what is said of a rollout that is not known is passed
-/// over.
+/// Keys sort by the order in which a start must join the items: a decision or stop of a rollout that is not
+/// known yet would be ignored.
 std::string key_of_item(const replica::ReplicatedState& kind, std::uint64_t id) {
   return store::encode_key(key_of_kind('k', kind), {kind.join_order(id), id});
 }
@@ -23,18 +23,19 @@
 
 void PersistedState::restore(std::string_view key, std::string_view value, Seconds now) {
   for (auto* kind : kinds_) {
-    const bool is_own = key == key_of_kind('o', *kind);
+    const bool is_private = key == key_of_kind('o', *kind);
     const bool is_item = key.starts_with(key_of_kind('k', *kind));
-    if (is_own) kind->restore_private_state(value);
+    if (is_private) kind->restore_private_state(value);
     if (is_item) kind->join(value, now);
-    if (is_own || is_item) stored_[std::string(key)] = value;
+    if (is_private || is_item) stored_[std::string(key)] = value;
   }
 }
 
-PersistedState::Entries PersistedState::present(Extent extent) const {
+PersistedState::Entries PersistedState::current_entries(Extent extent) const {
   Entries entries;
   for (const auto* kind : kinds_) {
-    if (auto own = kind->private_state(); !own.empty()) entries[key_of_kind('o', *kind)] = std::move(own);
+    if (auto bytes = kind->private_state(); !bytes.empty())
+      entries[key_of_kind('o', *kind)] = std::move(bytes);
     if (extent == Extent::private_state) continue;
     for (int range = 0; range < replica::ReplicatedState::kDigestRanges; ++range)
       for (const auto id : kind->ids_of_range(range)) entries[key_of_item(*kind, id)] = kind->bytes(id);
@@ -43,7 +44,7 @@
 }
 
 void PersistedState::persist(store::Store& store, Extent extent) {
-  const auto entries = present(extent);
+  const auto entries = current_entries(extent);
   for (const auto& [key, value] : entries) {
     const auto stored = stored_.find(key);
     if (stored != stored_.end() && stored->second == value) continue;
--- a/src/rollout/persisted_state.h
+++ b/src/rollout/persisted_state.h
@@ -1,6 +1,6 @@
 /// \file
-/// Replicated state in the store: the items of each kind, and what a router must not forget though it is
-/// nobody else's. Keys are "k" and "o" with the kind's number.
+/// Persistence of replicated state: the items of each kind and the router's private state are kept in the
+/// store. Keys begin with "k" for items and "o" for private state, followed by the number of the kind.
 #pragma once
 
 #include <cstdint>
@@ -15,28 +15,29 @@
 
 namespace walkpaddle::rollout {
 
-/// Keeps the entries of some kinds in the store as they stand.
+/// Keeps the store's entries of some kinds of replicated state up to date.
 class PersistedState {
  public:
-  /// What a call writes.
+  /// The entries that persist() writes.
   enum class Extent : std::uint8_t {
-    private_state,  ///< what this router must not forget: it goes before an answer that rests on it leaves
-    all,            ///< the items too; what is no more is erased
+    private_state,  ///< only the private state; to be written before an answer that depends on it is sent
+    all,            ///< also the items; entries of items that no longer exist are erased
   };
 
-  /// The kinds outlive this.
+  /// The kinds must outlive this object.
   explicit PersistedState(std::vector<replica::ReplicatedState*> kinds) : kinds_(std::move(kinds)) {}
 
-  /// Whether an entry of the store is of a kind.
+  /// Whether a key of the store is one of replicated state.
   static bool owns(std::string_view key) { return key.starts_with('k') || key.starts_with('o'); }
-  /// An entry of the store, in the order of its keys; throws InputError where it cannot be used.
+  /// Restores an entry of the store. Entries must be passed in the order of their keys. Throws InputError if
+  /// the entry is invalid.
   void restore(std::string_view key, std::string_view value, Seconds now);
-  /// Writes what has changed; what the store does not take is tried again by the next call.
+  /// Writes the entries that have changed. The next call retries those that the store did not accept.
   void persist(store::Store& store, Extent extent);
 
  private:
   using Entries = std::map<std::string, std::string>;
-  Entries present(Extent extent) const;
+  Entries current_entries(Extent extent) const;
 
   std::vector<replica::ReplicatedState*> kinds_;
   Entries stored_;
--- a/src/rollout/plan.cpp
+++ b/src/rollout/plan.cpp
@@ -19,9 +19,10 @@
 constexpr Seconds kHour = 3600;
 constexpr Seconds kDay = 86400;
 
-/// Settings come back within one turn of the scheduler.
+/// Settings are rolled back within one turn of the scheduler.
 constexpr Seconds kSettingsRollbackInterval = 0.2;
-/// A program is gone for as long as it takes to be ready; more than this is not waited for.
+/// Upper bound of the interval for releases. A router is unavailable while its program starts, so the
+/// interval is the time that the program may take to become ready, but no longer than this.
 constexpr Seconds kMaxReleaseRollbackInterval = 2.0;
 
 using Refusal = std::optional<std::string>;
@@ -34,15 +35,16 @@
   if (!is_named(plan.name)) return "a name of 1 to 64 bytes is needed";
   if (!is_named(plan.before)) return "before is missing: the generation that the fleet has";
   if (!is_named(plan.after)) return "after is missing: the generation that the fleet is to have";
-  if (plan.before == plan.after) return "before and after are one generation";
-  if (!is_named(plan.author)) return "by is missing: who proposes it";
+  if (plan.before == plan.after) return "before and after are the same generation";
+  if (!is_named(plan.author)) return "by is missing: who proposes the change";
   return std::nullopt;
 }
 
 Refusal refusal_of_content(const RolloutPlan& plan) {
   if (plan.work != freeze::kSettings && plan.work != freeze::kRelease)
-    return "what it changes is neither settings nor a release";
-  if (plan.body.empty() || plan.body.size() > kMaxBodyBytes) return "it says in 1 to 512 bytes what changes";
+    return "work is neither settings nor release";
+  if (plan.body.empty() || plan.body.size() > kMaxBodyBytes)
+    return "settings or program has to be 1 to 512 bytes long";
   return std::nullopt;
 }
 
@@ -51,7 +53,7 @@
   double last = -1;
   for (const double share : plan.stages) {
     if (!within(share, 0, 1) || share <= last)
-      return "stages are shares of the fleet, from 0 to 1, each larger than the last";
+      return "stages have to be shares of the fleet from 0 to 1, each larger than the one before";
     last = share;
   }
   if (plan.stages.back() != 1) return "the last stage has to be the whole fleet";
@@ -63,17 +65,17 @@
     return "txns is out of range, 1 to 1000000000";
   if (!within(plan.min_stage_time, 0, kDay)) return "least is out of range, 0 to 86400 s";
   if (!within(plan.max_stage_time, 1, 7 * kDay) || plan.max_stage_time <= plan.min_stage_time)
-    return "longest is out of range, over least and up to 7 days";
+    return "longest is out of range, more than least and up to 7 days";
   if (!within(plan.warm_up, 0, kHour)) return "warm_up is out of range, 0 to 3600 s";
   if (plan.max_stage_time <= plan.min_stage_time + plan.warm_up)
-    return "longest leaves no time after warm_up";
+    return "longest has to be more than least and warm_up together";
   if (!within(plan.ready_within, 0.1, kHour)) return "ready_in is out of range, 0.1 to 3600 s";
   if (!within(plan.max_moving_share, 0.001, 0.5)) return "at_once is out of range, 0.001 to 0.5 of a site";
   return std::nullopt;
 }
 
 Refusal refusal_of_tolerance(const RolloutPlan& plan) {
-  if (!within(plan.harm_threshold, 0, 0.5)) return "harm is out of range, 0 to 0.5 of all txns";
+  if (!within(plan.harm_threshold, 0, 0.5)) return "harm is out of range, 0 to 0.5 of the requests";
   if (!within(plan.tolerated_ratio, 1, 10)) return "ratio is out of range, 1 to 10";
   return std::nullopt;
 }
@@ -94,7 +96,7 @@
     const auto hash = XXH3_64bits_withSeed(plan.name.data(), plan.name.size(), fleet[index].router);
     sites[fleet[index].site].emplace_back(hash, index);
   }
-  // (place + a half) / size puts the sites in step.
+  // The position (place + 0.5) / size interleaves the sites in proportion to their sizes.
   std::vector<std::tuple<double, std::uint64_t, std::size_t>> order;
   for (auto& [site, routers] : sites) {
     std::ranges::sort(routers);
--- a/src/rollout/release_check.cpp
+++ b/src/rollout/release_check.cpp
@@ -20,9 +20,10 @@
      {"calendar", AnnouncedChannel::calendar},
      {"changes", AnnouncedChannel::changes}}};
 
-/// Whether a router that announces `reads` may run the release: the versions that it reads are the same.
+/// Whether a router that announces the channel versions `reads` may run the release: its versions of all
+/// compared channels are the announced ones.
 bool matches(const compat::Release& release, std::uint64_t reads) {
-  if (!release.channels.contains("gossip")) return false;  // from before there was one
+  if (!release.channels.contains("gossip")) return false;  // a release from before the gossip channel
   return std::ranges::all_of(kComparedChannels, [&](const auto& compared) {
     const auto channel = release.channels.find(compared.first);
     return channel == release.channels.end() ||
@@ -34,7 +35,8 @@
 
 std::string ReleaseCheck::refusal(const RolloutPlan& plan) {
   if (const auto router = router_without_rollouts())
-    return *router + " takes no part in changes: its file has no changes section, or its program is older";
+    return *router +
+           " does not take part in changes: its file has no changes section, or its program is too old";
   if (plan.work != freeze::kRelease) return {};
   const auto [known, is_new] = refusals_.try_emplace(plan.name);
   if (is_new) known->second = refusal_of_release(plan.after);
@@ -57,21 +59,22 @@
   const auto report = compat::check_compatibility(next, routers_running(kept));
   return report.may_start() ? std::string() : report.findings.front().text();
 } catch (const InputError& e) {
-  return "what generation " + generation + " publishes cannot be read: " + e.what();
+  return "cannot read what generation " + generation + " publishes: " + e.what();
 }
 
-/// Each router of the fleet with every kept release that it may run, or with none.
+/// Pairs each router of the fleet with every kept release that it may run, or with none.
 std::vector<compat::FleetRouter> ReleaseCheck::routers_running(
     const std::vector<compat::Release>& releases) const {
   std::vector<compat::FleetRouter> routers;
   for (std::size_t peer = 0; peer < setup_.peers.size(); ++peer) {
     const auto& member = members_.peers()[peer];
     if (member.state == State::unheard) continue;
-    const bool away = member.state == State::dead;
-    const auto known = routers.size();
+    const bool is_dead = member.state == State::dead;
+    const auto size_before = routers.size();
     for (const auto& release : releases)
-      if (matches(release, member.channel_versions)) routers.push_back({setup_.peers[peer], &release, away});
-    if (routers.size() == known) routers.push_back({setup_.peers[peer], nullptr, away});
+      if (matches(release, member.channel_versions))
+        routers.push_back({setup_.peers[peer], &release, is_dead});
+    if (routers.size() == size_before) routers.push_back({setup_.peers[peer], nullptr, is_dead});
   }
   return routers;
 }
--- a/src/rollout/release_check.h
+++ b/src/rollout/release_check.h
@@ -1,7 +1,7 @@
 /// \file
-/// Whether a rollout may start beside the fleet as it is: every router takes part, and what a release
-/// publishes is read by all that are alive, and by those that were within the time that copies are kept. No
-/// I/O of its own; the releases come from the host.
+/// Decides whether a rollout may start in the current fleet: every live router must support rollouts, and
+/// what a release publishes must be readable by the routers that are alive and by those that were alive
+/// within the retention time of copies. No I/O of its own; the host provides the releases.
 #pragma once
 
 #include <cstdint>
@@ -18,26 +18,26 @@
 
 namespace walkpaddle::rollout {
 
-/// Asks the compatibility checker for the routers of the fleet, by what they announce.
+/// Checks releases against the channel versions that the routers of the fleet announce.
 class ReleaseCheck {
  public:
-  /// Where the releases come from.
+  /// The peers, and the callbacks that read releases.
   struct Setup {
-    std::vector<std::string> peers;  ///< names, in the order of the members' numbers
-    /// The releases that are kept here; throws InputError where one cannot be read.
+    std::vector<std::string> peers;  ///< names, in the order of the member numbers
+    /// Returns the releases kept on this machine; throws InputError if one cannot be read.
     std::function<std::vector<compat::Release>()> kept_releases;
-    /// The release of a generation; throws InputError where it cannot be read.
+    /// Returns the release of a generation; throws InputError if it cannot be read.
     std::function<compat::Release(const std::string& generation)> release_of;
   };
 
-  /// `members` outlives this.
+  /// `members` must outlive this object.
   ReleaseCheck(Setup setup, const membership::Membership& members)
       : setup_(std::move(setup)), members_(members) {}
 
-  /// Why the rollout may not start; empty: it may. The releases are read once for each rollout until
-  /// forget(): they are on the disk.
+  /// Returns why the rollout may not start, or an empty string if it may. The result for a release is cached
+  /// until forget(), as the releases are read from disk.
   std::string refusal(const RolloutPlan& plan);
-  /// The releases are read again.
+  /// Clears the cache, so that the next check reads the releases again.
   void forget() { refusals_.clear(); }
 
  private:
@@ -47,7 +47,7 @@
 
   const Setup setup_;
   const membership::Membership& members_;
-  std::map<std::string, std::string> refusals_;  // by rollout: what was found
+  std::map<std::string, std::string> refusals_;  // cached results, by name of the rollout
 };
 
 }  // namespace walkpaddle::rollout
--- a/src/rollout/replicated_state.cpp
+++ b/src/rollout/replicated_state.cpp
@@ -17,7 +17,7 @@
 
 bool RolloutState::propose(const RolloutPlan& plan, Seconds now) {
   if (const auto why = refusal_of_proposal(plan)) {
-    context_.log.add(plan.name, "refused, " + *why);
+    context_.log.add(plan.name, "refused: " + *why);
     return false;
   }
   if (const auto* record = find(plan.name); record != nullptr && record->plan == plan) return false;
@@ -28,10 +28,10 @@
 std::optional<std::string> RolloutState::refusal_of_proposal(const RolloutPlan& plan) const {
   if (auto why = refusal(plan)) return why;
   if (encode(plan).size() > replica::ReplicatedState::kMaxItemBytes) return "its document is too long";
-  // A generation's name stands for one thing: a second try has another.
+  // A name always stands for the same generation, so a second attempt needs a new one.
   for (const auto& [name, record] : records_)
     if (name != plan.name && (record.plan.after == plan.after || record.plan.before == plan.after))
-      return "generation " + plan.after + " was named by change " + name + " already";
+      return "the name of generation " + plan.after + " is already used by change " + name;
   return std::nullopt;
 }
 
@@ -63,44 +63,45 @@
     return;
   }
   if (!evict_finished()) {
-    context_.log.add(plan.name, "refused, there are too many changes");
+    context_.log.add(plan.name, "refused: there are too many changes");
     return;
   }
   add(plan, now);
 }
 
-/// Two plans under one name: the same one at every router, and nothing comes of it.
+/// Handles two plans with the same name: every router keeps the lesser one, and the rollout is stopped.
 void RolloutState::resolve_conflict(RolloutRecord& record, const RolloutPlan& plan, Seconds now) {
   if (plan < record.plan) {
     record.plan = plan;
     host_.publish({ItemKey::Kind::plan, plan.name}, encode(plan));
   }
-  set_stop(record, {0, 0, "two documents have this name"}, now);
+  set_stop(record, {0, 0, "two different documents have this name"}, now);
 }
 
-/// The first that is over and whose generations nobody needs any more makes room. False: there is none.
+/// If the limit is reached, removes the first rollout by name that is over and whose generations are no
+/// longer needed. Returns false if there is none, so that there is no room.
 bool RolloutState::evict_finished() {
   if (records_.size() < context_.limits.rollouts) return true;
-  const auto dispensable = std::ranges::find_if(records_, [this](const auto& entry) {
+  const auto finished = std::ranges::find_if(records_, [this](const auto& entry) {
     const auto& record = entry.second;
     return record.over() && record.plan.after != host_.running() && record.plan.before != host_.running() &&
            fleet_generation() != record.plan.after;
   });
-  if (dispensable == records_.end()) return false;
+  if (finished == records_.end()) return false;
   for (const auto kind : {ItemKey::Kind::plan, ItemKey::Kind::decision, ItemKey::Kind::stop})
-    host_.withdraw({kind, dispensable->first});
-  records_.erase(dispensable);
+    host_.withdraw({kind, finished->first});
+  records_.erase(finished);
   return true;
 }
 
 void RolloutState::add(const RolloutPlan& plan, Seconds now) {
   const auto& fleet = context_.fleet;
-  RolloutRecord fresh{.plan = plan};
-  fresh.order = rollout_order(plan, fleet.routers());
-  fresh.stage_sizes = stage_sizes(plan, fleet.size());
-  const auto own_place = std::ranges::find(fresh.order, static_cast<std::size_t>(fleet.self()));
-  fresh.place = static_cast<std::size_t>(own_place - fresh.order.begin());
-  auto& record = records_[plan.name] = std::move(fresh);
+  RolloutRecord new_record{.plan = plan};
+  new_record.order = rollout_order(plan, fleet.routers());
+  new_record.stage_sizes = stage_sizes(plan, fleet.size());
+  const auto own_place = std::ranges::find(new_record.order, static_cast<std::size_t>(fleet.self()));
+  new_record.place = static_cast<std::size_t>(own_place - new_record.order.begin());
+  auto& record = records_[plan.name] = std::move(new_record);
   host_.publish({ItemKey::Kind::plan, plan.name}, encode(plan));
   if (const auto early = early_stops_.extract(plan.name)) set_stop(record, early.mapped(), now);
   context_.log.add(plan.name, "proposed by " + plan.author + ", from " + plan.before + " to " + plan.after +
@@ -119,13 +120,13 @@
     context_.log.add(name, "stage " + std::to_string(joined.stage) + " of " + std::to_string(stages) + ", " +
                                std::to_string(record.stage_sizes[joined.stage - 1]) + " of " +
                                std::to_string(context_.fleet.size()) + " routers");
-  if (joined.done && !known.done) context_.log.add(name, "done, the fleet is at " + record.plan.after);
+  if (joined.done && !known.done) context_.log.add(name, "done, the fleet runs " + record.plan.after);
   known = joined;
   host_.publish({ItemKey::Kind::decision, name}, encode(DecisionItem{name, joined}));
   return true;
 }
 
-/// Of two stops the first in order stays, so that all hold the same words; that it stands does not change.
+/// Of two stops the lesser is kept, so that all routers give the same reason. The rollout stays stopped.
 bool RolloutState::set_stop(RolloutRecord& record, const RolloutStop& stop, Seconds now) {
   if (record.stop && !(stop < *record.stop)) return false;
   const auto& name = record.plan.name;
@@ -140,7 +141,7 @@
   return true;
 }
 
-// ---- what the fleet stands at ------------------------------------------------------------------
+// ---- look-up and the fleet's generation --------------------------------------------------------
 
 RolloutRecord* RolloutState::find(const std::string& rollout) {
   const auto it = records_.find(rollout);
@@ -155,17 +156,17 @@
 
 std::string RolloutState::fleet_generation() const {
   auto generation = initial_generation_;
-  // Each rollout is walked once at most, forth or back.
-  std::set<std::string> walked;
+  // Follows completed rollouts forward and the others back, each at most once.
+  std::set<std::string> followed;
   for (bool moved = true; moved;) {
     moved = false;
     for (const auto& [name, record] : records_) {
-      if (walked.contains(name)) continue;
-      const bool forth = record.completed() && record.plan.before == generation;
+      if (followed.contains(name)) continue;
+      const bool forward = record.completed() && record.plan.before == generation;
       const bool back = !record.completed() && record.plan.after == generation;
-      if (!forth && !back) continue;
-      generation = forth ? record.plan.after : record.plan.before;
-      walked.insert(name);
+      if (!forward && !back) continue;
+      generation = forward ? record.plan.after : record.plan.before;
+      followed.insert(name);
       moved = true;
     }
   }
--- a/src/rollout/replicated_state.h
+++ b/src/rollout/replicated_state.h
@@ -1,7 +1,7 @@
 /// \file
-/// The replicated state of rollouts and its join (a state-based CRDT: Shapiro et al., 2011): plans, how far
-/// each may go, and stops. *Stop* is the top of the join: any router raises it, it spreads as a rumour and
-/// needs nobody's agreement, nothing takes it back. Of the stages decided the furthest stands. No I/O.
+/// The replicated state of rollouts and its join (a state-based CRDT: Shapiro et al., 2011): plans, decisions
+/// on stages, and stops. A stop is the top of the join: any router may issue one, it spreads as a rumour,
+/// needs no agreement and cannot be revoked. Of several decisions the latest stage is kept. No I/O.
 #pragma once
 
 #include <compare>
@@ -20,88 +20,90 @@
 
 namespace walkpaddle::rollout {
 
-/// What this router alone has to do with a rollout; it is not replicated.
+/// This router's own state in a rollout. It is not replicated.
 struct Participation {
-  std::uint32_t agreed_stage = 0;  ///< the stage that this router agreed to last
-  std::uint64_t agreed_term = 0;   ///< under which term it agreed
-  std::size_t turns = 0;           ///< so many of the order may have moved, as the driver last said
-  bool move_failed = false;        ///< this router's move did
+  std::uint32_t agreed_stage = 0;  ///< the latest stage that this router agreed to
+  std::uint64_t agreed_term = 0;   ///< the term under which it agreed
+  std::size_t turns = 0;           ///< number of routers, from the start of the order, known to have a turn
+  bool move_failed = false;        ///< whether this router's move failed
   std::string wait_reason{};       ///< why this router does not move in its turn
 };
 
 /// A rollout as this router knows it.
 struct RolloutRecord {
-  RolloutPlan plan;                        ///< as it was proposed
+  RolloutPlan plan;                        ///< the plan as proposed
   std::vector<std::size_t> order{};        ///< numbers of the fleet's routers, see rollout_order()
   std::vector<std::size_t> stage_sizes{};  ///< see stage_sizes()
-  std::size_t place = 0;                   ///< of this router in the order
-  StageDecision decision{};                ///< how far it may go
-  std::optional<RolloutStop> stop{};       ///< the top of the join
-  Seconds stop_received_at = 0;            ///< when a stop was first heard here
-  Participation own{};                     ///< of this router
+  std::size_t place = 0;                   ///< index of this router in the order
+  StageDecision decision{};                ///< the latest stage decided
+  std::optional<RolloutStop> stop{};       ///< set once the rollout is stopped
+  Seconds stop_received_at = 0;            ///< when this router first learned of a stop
+  Participation own{};                     ///< this router's own state
 
-  /// It goes on no more.
+  /// Whether the rollout is stopped or done.
   bool over() const { return stop.has_value() || decision.done; }
-  /// How many stages it has.
+  /// The number of stages.
   std::uint32_t stages() const { return static_cast<std::uint32_t>(stage_sizes.size()); }
-  /// The new generation is the whole fleet's.
+  /// Whether the whole fleet has the new generation and the rollout was not stopped.
   bool completed() const { return decision.done && !stop; }
 };
 
-/// Names an item; a later item under a key takes the place of the earlier.
+/// The key of an item. A new item replaces an earlier one with the same key.
 struct ItemKey {
-  /// What it says; the order in which a start takes items, since what is said of a plan that is not known is
-  /// passed over.
+  /// The kind of an item. The values give the order in which a start joins items, as decisions and stops of
+  /// unknown plans are ignored.
   enum class Kind : std::uint8_t { plan, decision, stop };
-  Kind kind = Kind::plan;  ///< what it says
-  std::string rollout;     ///< its name
-  /// By kind, then by name.
+  Kind kind = Kind::plan;  ///< kind of the item
+  std::string rollout;     ///< name of the rollout
+  /// Compares by kind, then by name.
   auto operator<=>(const ItemKey&) const = default;
 };
 
 /// The rollouts that this router knows, by name.
 class RolloutState {
  public:
-  /// Who carries the items and follows what happens; outlives the state.
+  /// The interface that publishes items and is notified of stops. It must outlive the state.
   class Host {
    public:
     virtual ~Host() = default;
-    /// The item under `key` is now `bytes`.
+    /// Publishes `bytes` as the item with the given key, in place of an earlier one.
     virtual void publish(const ItemKey& key, const std::string& bytes) = 0;
-    /// There is no item under `key` any more.
+    /// Removes the item with the given key.
     virtual void withdraw(const ItemKey& key) = 0;
-    /// The rollout was stopped.
+    /// Called when the rollout is stopped.
     virtual void stopped(const std::string& rollout) = 0;
-    /// What this router runs.
+    /// The generation that this router runs.
     virtual const std::string& running() const = 0;
   };
 
-  /// `initial_generation`: what this router's process runs at its start. All three outlive the state.
+  /// `initial_generation` is the one that this process runs when it starts. `context` and `host` must outlive
+  /// the state.
   RolloutState(RolloutContext& context, std::string initial_generation, Host& host);
 
-  /// Proposes a rollout. False: it is known, or refused, which the log says.
+  /// Proposes a rollout. Returns false if it is known already or refused; a refusal is logged.
   bool propose(const RolloutPlan& plan, Seconds now);
-  /// Stops a rollout; one that is not known yet will be when it comes to be. False: it is, or is not known.
+  /// Stops a rollout. Returns false if it is stopped already or not known yet; in the latter case it is
+  /// stopped as soon as it becomes known.
   bool stop(const std::string& rollout, const std::string& why, Seconds now);
-  /// Joins an item that was heard, or that was stored; throws InputError where it cannot be used.
+  /// Joins an item that was received or read from the store. Throws InputError if it is invalid.
   void join(std::string_view bytes, Seconds now);
-  /// Joins a decision; false: it says nothing new.
+  /// Joins a decision. Returns false if it changes nothing.
   bool set_decision(RolloutRecord& record, const StageDecision& decision);
 
-  /// All, by name.
+  /// All known rollouts, by name.
   std::map<std::string, RolloutRecord>& records() { return records_; }
-  /// All, by name.
+  /// All known rollouts, by name.
   const std::map<std::string, RolloutRecord>& records() const { return records_; }
-  /// nullptr: it is not known.
+  /// Finds a rollout by its name; nullptr if it is not known.
   RolloutRecord* find(const std::string& rollout);
-  /// By its message_id(); nullptr: it is not known.
+  /// Finds a rollout by its message_id(); nullptr if it is not known.
   RolloutRecord* find(std::uint64_t message_id);
-  /// The one that is under way: of those that start from the fleet's generation the one that has come
-  /// furthest. nullptr: none is.
+  /// The active rollout: of the unfinished ones that start from the fleet's generation, the one at the latest
+  /// stage. nullptr if there is none.
   const RolloutRecord* active() const;
-  /// As above.
+  /// The active rollout, as above, for changes to its record.
   RolloutRecord* active();
-  /// What the fleet stands at, as far as it is known here.
+  /// The current generation of the fleet, as far as this router knows.
   std::string fleet_generation() const;
 
  private:
@@ -116,7 +118,7 @@
   const std::string initial_generation_;
   Host& host_;
   std::map<std::string, RolloutRecord> records_;
-  std::map<std::string, RolloutStop> early_stops_;  // of rollouts that are not known yet
+  std::map<std::string, RolloutStop> early_stops_;  // stops of rollouts that are not known yet, by name
 };
 
 }  // namespace walkpaddle::rollout
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -50,7 +50,7 @@
   return pending_updates() > before;
 }
 
-// ---- what this router must not forget ----------------------------------------------------------
+// ---- private state -----------------------------------------------------------------------------
 
 std::string Rollout::private_state() const {
   const auto& attempted = local_.attempted_release();
@@ -68,9 +68,9 @@
 std::optional<replica::ReplicatedMessage> Rollout::next_message(Seconds now) {
   driver_.step(now);
   if (outbox_.empty()) return std::nullopt;
-  auto letter = std::move(outbox_.front());
+  auto message = std::move(outbox_.front());
   outbox_.pop_front();
-  return letter;
+  return message;
 }
 
 void Rollout::send(int peer, const std::string& bytes) {
@@ -88,7 +88,7 @@
 
 void Rollout::answer(int from, const DriverRequest& request, Seconds now) {
   auto* record = state_.find(request.rollout);
-  if (record == nullptr) return;  // its plan comes as an item
+  if (record == nullptr) return;  // the plan has not been received yet; it arrives as an item
   bool vote_granted = false;
   if (request.kind == RequestKind::vote)
     vote_granted = voter_.vote(*record, request, from, now);
@@ -121,7 +121,7 @@
           .metrics = local_.metrics()};
 }
 
-// ---- for people --------------------------------------------------------------------------------
+// ---- status ------------------------------------------------------------------------------------
 
 std::vector<RolloutStatus> Rollout::status(Seconds now) const {
   std::vector<RolloutStatus> all;
--- a/src/rollout/stage_runner.cpp
+++ b/src/rollout/stage_runner.cpp
@@ -12,7 +12,7 @@
 using Outcome = freeze::Permission::Outcome;
 using Step = StageAction::Step;
 
-/// Of the fleet, one router at least: those who are held back in the last stage, for comparison.
+/// The last stage first holds back the fleet's size divided by this, at least one router, for comparison.
 constexpr std::size_t kHeldBackDivisor = 10;
 
 }  // namespace
@@ -40,8 +40,7 @@
 StageAction StageRunner::evaluate(const RolloutRecord& record, Seconds now) {
   evaluate_at_ = now + context_.limits.request_interval;
   if (must_roll_back(record, now))
-    return {Step::stop,
-            "overtaken by a freeze window that was declared late: it goes back while there is time"};
+    return {Step::stop, "a freeze window was declared late; rolling back while there is time"};
   const auto samples = take_samples(now);
   if (state_ != State::taking_baseline) {
     analysis_.add_interval(samples);
@@ -54,13 +53,14 @@
   if (record.decision.stage == 0) return false;
   const auto fleet = context_.fleet.size();
   const auto& plan = record.plan;
-  const Seconds rest = max_rollout_duration(plan, fleet) - plan.max_stage_time * record.decision.stage;
-  return context_.calendar.late_window_effect(planned_change(plan, rest, now),
+  const Seconds remaining = max_rollout_duration(plan, fleet) - plan.max_stage_time * record.decision.stage;
+  return context_.calendar.late_window_effect(planned_change(plan, remaining, now),
                                               max_rollback_duration(plan, fleet),
                                               now) == freeze::LateWindowEffect::rolls_back;
 }
 
-/// What has come since the last call, of each router whose metrics are of one epoch and one generation.
+/// Returns the increase since the last call of each router that has a fresh report and is not moving. While
+/// the baseline is taken, the old generation's metrics are only stored.
 std::vector<CanaryAnalysis::Sample> StageRunner::take_samples(Seconds now) {
   std::vector<CanaryAnalysis::Sample> samples;
   for (const auto& [number, timed] : progress_.reports()) {
@@ -73,7 +73,8 @@
     const bool baseline_only = state_ == State::taking_baseline && !is_canary;
     const bool is_first = last.epoch == 0 && !is_canary;
     if (!baseline_only && is_first) {
-      analysis_.add_baseline(router, metrics);  // a driver that came later: its past so far
+      analysis_.add_baseline(router,
+                             metrics);  // for a driver that took over, the counts so far are the baseline
     } else if (!baseline_only) {
       samples.push_back({router, context_.fleet.site_index(number),
                          is_canary ? Cohort::canary : Cohort::control, metrics.since(last)});
@@ -90,37 +91,40 @@
     tolerated =
         static_cast<std::size_t>(context_.limits.failed_share * static_cast<double>(progress_.moved()));
   if (failed > tolerated)
-    return std::to_string(failed) + " of the routers that moved did not become ready, or died soon after";
+    return std::to_string(failed) + " of the moved routers did not become ready or crashed soon after";
   if (analysis_.verdict() == CanaryVerdict::worse) return analysis_.reason();
   return std::nullopt;
 }
 
-// ---- from stage to stage -----------------------------------------------------------------------
+// ---- stages ------------------------------------------------------------------------------------
 
-/// Goes on, waits or stops: past what a stage needs, with leave of the calendar, and no doubt left.
+/// Requests the next stage, waits or stops. The next stage needs the current one's minimum time, moves and
+/// requests, a conclusive analysis, and the calendar's permission.
 StageAction StageRunner::advance(const RolloutRecord& record, Seconds now) {
   if (state_ == State::requesting_agreement) return {};
-  if (record.decision.stage == 0) return begin(record, now);
+  if (record.decision.stage == 0) return begin_rollout(record, now);
   const auto& plan = record.plan;
   const auto routers = count_routers();
   const bool is_last = record.decision.stage == record.stages();
   const bool all_moved = progress_.settled(record, now) == progress_.turns();
   if (is_last && progress_.turns() == context_.fleet.size()) return finish(routers, all_moved);
   const bool ready = now >= stage_began_ + plan.min_stage_time && all_moved && routers.new_generation > 0;
-  const bool in_doubt = analysis_.verdict() == CanaryVerdict::inconclusive;
-  if (!ready || in_doubt || !has_enough_requests(plan, routers))
+  const bool is_inconclusive = analysis_.verdict() == CanaryVerdict::inconclusive;
+  if (!ready || is_inconclusive || !has_enough_requests(plan, routers))
     return wait_or_time_out(record, routers, now);
   if (!is_last) return request_next_stage(record, now);
   holding_back_last_ = false;
   return {};
 }
 
-/// Before the first router moves the baseline of all is taken; what a router reads is known by then.
-StageAction StageRunner::begin(const RolloutRecord& record, Seconds now) {
+/// Takes the baseline of all routers for the minimum time of a stage before the first router moves. By then
+/// it is also known what each router can read.
+StageAction StageRunner::begin_rollout(const RolloutRecord& record, Seconds now) {
   const auto& plan = record.plan;
   const auto refused = context_.refusal(plan);
-  const Seconds worst = max_rollout_duration(plan, context_.fleet.size());
-  const auto permission = context_.calendar.decide(Action::propose, planned_change(plan, worst, now), now);
+  const Seconds max_duration = max_rollout_duration(plan, context_.fleet.size());
+  const auto permission =
+      context_.calendar.decide(Action::propose, planned_change(plan, max_duration, now), now);
   wait_reason_ = refused.empty() ? permission.why : refused;
   if (now < stage_began_ + plan.min_stage_time) return {};
   if (!refused.empty() || permission.outcome == Outcome::never)
@@ -142,8 +146,9 @@
 
 StageAction StageRunner::request_next_stage(const RolloutRecord& record, Seconds now) {
   const auto& plan = record.plan;
-  const Seconds worst = plan.max_stage_time + max_rollback_duration(plan, context_.fleet.size());
-  const auto permission = context_.calendar.decide(Action::go_on, planned_change(plan, worst, now), now);
+  const Seconds max_duration = plan.max_stage_time + max_rollback_duration(plan, context_.fleet.size());
+  const auto permission =
+      context_.calendar.decide(Action::go_on, planned_change(plan, max_duration, now), now);
   if (!permission.allowed()) {
     wait_reason_ = permission.why;
     return {};
@@ -156,15 +161,16 @@
 StageAction StageRunner::wait_or_time_out(const RolloutRecord& record, const RouterCounts& routers,
                                           Seconds now) {
   const auto& plan = record.plan;
-  const bool in_doubt = analysis_.verdict() == CanaryVerdict::inconclusive;
-  wait_reason_ = in_doubt ? "in doubt: " + analysis_.reason() : "";
+  const bool is_inconclusive = analysis_.verdict() == CanaryVerdict::inconclusive;
+  wait_reason_ = is_inconclusive ? "inconclusive: " + analysis_.reason() : "";
   if (now < stage_began_ + plan.max_stage_time || routers.held > 0) return {};
-  if (in_doubt) return {Step::stop, "still in doubt after its longest time: " + analysis_.reason()};
-  return {Step::stop, "too little was seen in the longest time of stage " +
+  if (is_inconclusive)
+    return {Step::stop, "still inconclusive after the maximum time of the stage: " + analysis_.reason()};
+  return {Step::stop, "too little evidence within the maximum time of stage " +
                           std::to_string(record.decision.stage) + ": " +
-                          std::to_string(requests(Cohort::canary)) + " txns with the new generation, " +
+                          std::to_string(requests(Cohort::canary)) + " requests with the new generation, " +
                           std::to_string(requests(Cohort::control)) + " with the old, " +
-                          std::to_string(plan.min_requests) + " wanted"};
+                          std::to_string(plan.min_requests) + " required"};
 }
 
 bool StageRunner::has_enough_requests(const RolloutPlan& plan, const RouterCounts& routers) const {
@@ -172,7 +178,7 @@
   return routers.old_generation == 0 || requests(Cohort::control) >= plan.min_requests;
 }
 
-/// How many stand for the two sides now.
+/// Counts the live routers of each side.
 StageRunner::RouterCounts StageRunner::count_routers() const {
   RouterCounts routers;
   for (const auto& [number, timed] : progress_.reports()) {
@@ -185,15 +191,16 @@
   return routers;
 }
 
-/// Asks for the sites that are not frozen now: a frozen one holds its own routers, and the others go on
-/// without it. Where all are, all are asked for.
-freeze::PlannedChange StageRunner::planned_change(const RolloutPlan& plan, Seconds worst, Seconds now) const {
+/// Describes the change at the sites that are not frozen now: a frozen site holds its own routers, and the
+/// others go on without it. If all sites are frozen, all are included.
+freeze::PlannedChange StageRunner::planned_change(const RolloutPlan& plan, Seconds max_duration,
+                                                  Seconds now) const {
   const auto& sites = context_.fleet.sites();
-  std::vector<std::string> open;
+  std::vector<std::string> unfrozen;
   for (const auto& site : sites)
-    if (!context_.calendar.is_site_frozen(site, plan.work, now)) open.push_back(site);
-  if (open.empty()) open = sites;
-  return {.change = plan.name, .work = plan.work, .sites = std::move(open), .max_duration = worst};
+    if (!context_.calendar.is_site_frozen(site, plan.work, now)) unfrozen.push_back(site);
+  if (unfrozen.empty()) unfrozen = sites;
+  return {.change = plan.name, .work = plan.work, .sites = std::move(unfrozen), .max_duration = max_duration};
 }
 
 // ---- turns -------------------------------------------------------------------------------------
@@ -220,17 +227,19 @@
   return progress_.turns() > before;
 }
 
-/// How many of the order the stage reaches: so many that can move, and those between them.
+/// Returns how many routers of the order the stage covers: as many that can move as it needs, and those
+/// between them that cannot.
 std::size_t StageRunner::stage_end(const RolloutRecord& record) const {
   const auto can_move = [this](std::size_t number) { return progress_.can_move(static_cast<int>(number)); };
   const auto fleet = context_.fleet.size();
   const bool is_last = record.decision.stage == record.stages();
   if (is_last && !holding_back_last_) return fleet;
   auto wanted = record.stage_sizes[record.decision.stage - 1];
-  // The last of all wait until the analysis has seen what the rest do: else nobody is left to compare with.
+  // The last routers wait until the analysis has evaluated the others; without them there would be no
+  // control.
   if (is_last && record.stages() > 1) {
-    const auto able = static_cast<std::size_t>(std::ranges::count_if(record.order, can_move));
-    wanted = able - std::min(able, std::max<std::size_t>(1, fleet / kHeldBackDivisor));
+    const auto movable = static_cast<std::size_t>(std::ranges::count_if(record.order, can_move));
+    wanted = movable - std::min(movable, std::max<std::size_t>(1, fleet / kHeldBackDivisor));
   }
   std::size_t end = 0;
   for (; end < fleet && wanted > 0; ++end)
--- a/src/rollout/voter.cpp
+++ b/src/rollout/voter.cpp
@@ -6,14 +6,16 @@
 
 namespace {
 
-/// A term is a count and the place of who asks: no two ask for the same.
+/// A term is a count times this number plus the candidate's place in the order, so that no two candidates
+/// use the same term.
 constexpr std::uint64_t kPlacesPerTerm = 1024;
 
 }  // namespace
 
 void Voter::restore_term(std::uint64_t term) { term_ = std::max(term_, term); }
 
-/// A router that keeps nothing on disk may have forgotten a promise, for as long as one lasts.
+/// Whether this router knows its own promises. Without a store it may have lost one in a restart, which
+/// matters until one lease after its start.
 bool Voter::knows_its_promises(Seconds now) const {
   return context_.durable || now > context_.started + context_.limits.lease;
 }
--- a/tests/change_sockets.cpp
+++ b/tests/change_sockets.cpp
@@ -154,7 +154,7 @@
     std::fprintf(stderr, "from the stop to the last router back: %.1f s\n", s.now() - stopped);
     say("a stop that one is told is heeded by all, and all go back",
         reached && all_say("STOPPED") && all_say("runs g2") &&
-            anyone_logged("this router moves to g2, back"));
+            anyone_logged("this router moves to g2 (rollback)"));
     fleet.start(6);
     co_await pause(5);
     say("a router away over the stop goes back too", says(6, "STOPPED") && says(6, "runs g2"));
@@ -257,7 +257,7 @@
     for (const Seconds until = s.now() + 30; s.now() < until && !says(0, "STOPPED");)
       co_await e.wait(s.now() + 0.5);
     bool named = true;
-    for (int n = 0; n < kRouters - 1; ++n) named = named && says(n, "refused: r7 takes no part in changes");
+    for (int n = 0; n < kRouters - 1; ++n) named = named && says(n, "refused: r7 does not take part in changes");
     say("a change that a live router takes no part in is refused before its canary, naming it",
         named && !anyone_logged("this router moves"));
     s.stop();
--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -110,10 +110,12 @@
       {"it hops twice", [](Quality& q) { q.hops = 0.9; }, "retries:"},
       {"it fills always", [](Quality& q) { q.fills = 1; }, "fills:"},
       {"it leaks", [](Quality& q) { q.memory = 90; }, "memory:"},
-      {"it takes three times the processor time", [](Quality& q) { q.cpu = 0.03; }, "processor time per request"},
+      {"it takes three times the processor time", [](Quality& q) { q.cpu = 0.03; },
+       "processor time per request"},
       {"it breaks a rule", [](Quality& q) { q.breaks_rule = true; }, "violated an invariant"},
       {"it is never ready", [](Quality& q) { q.ready = false; }, "did not become ready"},
-      {"it falls after five seconds", [](Quality& q) { q.dies_after = 5; }, "did not become ready, or died"},
+      {"it falls after five seconds", [](Quality& q) { q.dies_after = 5; },
+       "did not become ready or crashed"},
   }));
   GIVEN(fault.name) {
     Grown fleet({.routers = 30, .seed = 5, .quality = worse(fault.spoil)});
@@ -216,7 +218,7 @@
   fleet.propose(d);
   CHECK(fleet.over());
   CHECK(fleet.stopped("c1"));
-  CHECK(fleet.standing(0, "c1").why.find("too little was seen in the longest time of stage 1") !=
+  CHECK(fleet.standing(0, "c1").why.find("too little evidence within the maximum time of stage 1") !=
         std::string::npos);
 }
 
@@ -437,7 +439,7 @@
       fleet.calendar(5).declare(frozen_now({}, fleet.now(), 600));
       THEN("it goes back") {
         CHECK(fleet.until(60, [&] { return fleet.stopped("c1") && fleet.everywhere("g1"); }));
-        CHECK(fleet.standing(0, "c1").why.find("overtaken by a freeze window") != std::string::npos);
+        CHECK(fleet.standing(0, "c1").why.find("a freeze window was declared late") != std::string::npos);
       }
     }
     WHEN("there is none") {
@@ -532,7 +534,7 @@
     THEN("the second is refused with its reason") {
       CHECK_FALSE(fleet[1].propose(Changes::document("c9", "g1", "g2"), fleet.now(1)));
       fleet.pass(1);
-      CHECK(fleet.anyone_said("refused, generation g2 was named by change c1 already"));
+      CHECK(fleet.anyone_said("refused: the name of generation g2 is already used by change c1"));
     }
   }
 }
@@ -544,18 +546,20 @@
     return refusal(d).value_or("");
   };
   CHECK(why([](auto&) {}).empty());
-  CHECK(why([](auto& d) { d.after = "g1"; }) == "before and after are one generation");
+  CHECK(why([](auto& d) { d.after = "g1"; }) == "before and after are the same generation");
   CHECK(why([](auto& d) { d.stages = {0, 0.5}; }) == "the last stage has to be the whole fleet");
   CHECK(why([](auto& d) {
           d.stages = {0, 0.5, 0.5, 1};
-        }) == "stages are shares of the fleet, from 0 to 1, each larger than the last");
+        }) == "stages have to be shares of the fleet from 0 to 1, each larger than the one before");
   CHECK(why([](auto& d) { d.max_stage_time = 10; }) ==
-        "longest is out of range, over least and up to 7 days");
-  CHECK(why([](auto& d) { d.max_stage_time = 13; }) == "longest leaves no time after warm_up");
+        "longest is out of range, more than least and up to 7 days");
+  CHECK(why([](auto& d) { d.max_stage_time = 13; }) ==
+        "longest has to be more than least and warm_up together");
   CHECK(why([](auto& d) { d.max_moving_share = 0.9; }) == "at_once is out of range, 0.001 to 0.5 of a site");
-  CHECK(why([](auto& d) { d.work = 3; }) == "what it changes is neither settings nor a release");
-  CHECK(why([](auto& d) { d.body = std::string(600, 'x'); }) == "it says in 1 to 512 bytes what changes");
-  CHECK(why([](auto& d) { d.author = ""; }) == "by is missing: who proposes it");
+  CHECK(why([](auto& d) { d.work = 3; }) == "work is neither settings nor release");
+  CHECK(why([](auto& d) { d.body = std::string(600, 'x'); }) ==
+        "settings or program has to be 1 to 512 bytes long");
+  CHECK(why([](auto& d) { d.author = ""; }) == "by is missing: who proposes the change");
 }
 
 SCENARIO("each stage holds the one before and is spread over the sites") {
