--- a/src/rollout/canary_analysis.h
+++ b/src/rollout/canary_analysis.h
@@ -7,8 +7,8 @@
 /// share of it is compared with the share that its traffic predicts. If the generations do not differ, that
 /// share is binomial whatever the total is, so a fault that affects both sides alike has no effect on the
 /// result. The expected count of a router is its traffic in the interval times its own rate before the
-/// rollout, shrunk towards the fleet's rate. A router that has several times the mean traffic, or that always
-/// performed worse, is therefore compared with its own past. Only routers of the same site are compared.
+/// rollout, shrunk towards the fleet's rate. So a router with several times the mean traffic, or one that
+/// always performed worse, does not distort the result. Only routers of the same site are compared.
 ///
 /// The likelihood ratio against "so many times as many events", averaged over several such factors, is a
 /// martingale if the generations do not differ. By Ville's inequality it exceeds 1/alpha at any time with a
@@ -67,8 +67,10 @@
   struct Limits {
     /// Probability of a false stop by any measure in a rollout that changes nothing.
     double false_stop_chance = 0.005;
-    double tolerated_ratio = 1.2;   ///< ratio of canary events to expected events that is tolerated
-    double harm_threshold = 0.005;  ///< excess events per canary request below which nothing is concluded
+    double tolerated_ratio = 1.2;  ///< ratio of canary events to expected events that is tolerated
+    /// Excess events per canary request below which nothing is concluded; ten times that for slow answers,
+    /// retries and fills.
+    double harm_threshold = 0.005;
     /// Ratio of the canary's mean memory to the control's that counts as high. It must also exceed the
     /// control's by kMemoryMarginMb, in kHighMemoryIntervals intervals in a row: an allocator's normal
     /// fluctuation is smaller.
--- a/src/rollout/coordinator.cpp
+++ b/src/rollout/coordinator.cpp
@@ -74,7 +74,7 @@
                        is_full ? PersistedState::Extent::all : PersistedState::Extent::private_state);
   if (is_full) {
     next_full_poll_ = now + kFullPollInterval;
-    release_check_.forget();
+    release_check_.clear_cache();
     report_calendar(now);
   }
   if (move) setup_.carry_out(*move);
--- a/src/rollout/fleet_progress.h
+++ b/src/rollout/fleet_progress.h
@@ -53,7 +53,7 @@
   /// The latest stage that any router agreed to, under any term; 0: none.
   std::uint32_t furthest_agreed() const;
 
-  /// The number of routers, from the start of the order, that have been given their turn.
+  /// The number of routers, from the start of the order, that have been given their turn: they may move.
   std::size_t turns() const { return turns_; }
   /// Gives the next turn in the order, which is that of router `number`.
   void give_turn(int number, Seconds now);
--- a/src/rollout/fleet_view.h
+++ b/src/rollout/fleet_view.h
@@ -29,11 +29,11 @@
   }
 
   const std::vector<PlacedRouter>& routers() const { return routers_; }  ///< all routers, by number
-  const std::vector<std::string>& sites() const { return sites_; }       ///< the distinct sites
-  std::size_t size() const { return routers_.size(); }                   ///< number of routers, with this one
-  std::size_t majority() const { return routers_.size() / 2 + 1; }       ///< size of the smallest majority
-  int self() const { return static_cast<int>(routers_.size()) - 1; }     ///< this router's number
-  const PlacedRouter& self_router() const { return routers_.back(); }    ///< hash and site of this router
+  const std::vector<std::string>& sites() const { return sites_; }  ///< distinct sites, in order of first use
+  std::size_t size() const { return routers_.size(); }              ///< number of routers, with this one
+  std::size_t majority() const { return routers_.size() / 2 + 1; }  ///< size of the smallest majority
+  int self() const { return static_cast<int>(routers_.size()) - 1; }   ///< this router's number
+  const PlacedRouter& self_router() const { return routers_.back(); }  ///< hash and site of this router
   /// The router with a number from 0 to size() - 1.
   const PlacedRouter& router(int number) const { return routers_[static_cast<std::size_t>(number)]; }
   /// Whether a router is alive. This router always is; for a peer the membership decides.
--- a/src/rollout/local_router.cpp
+++ b/src/rollout/local_router.cpp
@@ -99,7 +99,7 @@
   return record.own.wait_reason.empty() ? RouterPhase::old_generation : RouterPhase::held;
 }
 
-/// Whether this router's move failed. For a release, the stored attempt tells so after a restart.
+/// Whether this router's move failed. For a release, the stored attempt shows it after a restart.
 bool LocalRouter::failed(const RolloutRecord& record) const {
   if (record.own.move_failed) return true;
   return !attempted_release_.empty() && attempted_release_ == record.plan.name &&
--- a/src/rollout/release_check.cpp
+++ b/src/rollout/release_check.cpp
@@ -20,8 +20,8 @@
      {"calendar", AnnouncedChannel::calendar},
      {"changes", AnnouncedChannel::changes}}};
 
-/// Whether a router that announces the channel versions `reads` may run the release: its versions of all
-/// compared channels are the announced ones.
+/// Whether a router that announces the channel versions `reads` may be running the release: the release's
+/// versions of the compared channels equal the announced ones.
 bool matches(const compat::Release& release, std::uint64_t reads) {
   if (!release.channels.contains("gossip")) return false;  // a release from before the gossip channel
   return std::ranges::all_of(kComparedChannels, [&](const auto& compared) {
--- a/src/rollout/release_check.h
+++ b/src/rollout/release_check.h
@@ -35,10 +35,10 @@
       : setup_(std::move(setup)), members_(members) {}
 
   /// Returns why the rollout may not start, or an empty string if it may. The result for a release is cached
-  /// until forget(), as the releases are read from disk.
+  /// until clear_cache(), as the releases are read from disk.
   std::string refusal(const RolloutPlan& plan);
   /// Clears the cache, so that the next check reads the releases again.
-  void forget() { refusals_.clear(); }
+  void clear_cache() { refusals_.clear(); }
 
  private:
   std::optional<std::string> router_without_rollouts() const;
--- a/src/rollout/replicated_state.cpp
+++ b/src/rollout/replicated_state.cpp
@@ -133,7 +133,7 @@
   const bool first = !record.stop.has_value();
   if (first) {
     record.stop_received_at = now;
-    context_.log.add(name, "STOPPED, " + stop.why);
+    context_.log.add(name, "STOPPED: " + stop.why);
   }
   record.stop = stop;
   if (first) host_.stopped(name);
