--- a/src/rollout/coordinator.cpp
+++ b/src/rollout/coordinator.cpp
@@ -37,8 +37,8 @@
       calendar_(stable_hash(setup.name), fleet_hashes(setup), {}),
       rollout_(rollout_setup(store != nullptr), calendar_, {}, now),
       persisted_({&calendar_, &rollout_}) {
-  gossip_.carry(calendar_);
-  gossip_.carry(rollout_);
+  gossip_.add_state(calendar_);
+  gossip_.add_state(rollout_);
 }
 
 Rollout::Setup RolloutCoordinator::rollout_setup(bool durable) {
--- a/src/rollout/release_check.cpp
+++ b/src/rollout/release_check.cpp
@@ -68,7 +68,7 @@
   std::vector<compat::FleetRouter> routers;
   for (std::size_t peer = 0; peer < setup_.peers.size(); ++peer) {
     const auto& member = members_.peers()[peer];
-    if (member.state == State::unheard) continue;
+    if (member.state == State::never_seen) continue;
     const bool is_dead = member.state == State::dead;
     const auto size_before = routers.size();
     for (const auto& release : releases)
