--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -124,7 +124,7 @@
     config.memory_mb = limits.value("memory_mb", config.memory_mb);
   }
   flatten(file.at("settings"), "", config.settings);
-  if (config.settings.whole("categories.count") <= 0)
+  if (config.settings.integer("categories.count") <= 0)
     throw ConfigError({.file = kDocument, .key = "settings.categories"}, "settings without categories");
   check_settings(config.settings);
   config.initial_events = file.at("known").dump();
@@ -150,7 +150,7 @@
 
 std::vector<RequestClassName> request_class_names(const Settings& settings) {
   std::vector<RequestClassName> names;
-  for (int n = 0; n < settings.whole("categories.count"); ++n) {
+  for (int n = 0; n < settings.integer("categories.count"); ++n) {
     const auto path = "categories." + std::to_string(n) + ".";
     const auto effect = settings.text(path + "effect");
     const auto uncacheable = settings.item("specifics.pass_on", static_cast<std::size_t>(n));
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -57,10 +57,10 @@
   request_class.deduplication = value_of_name(
       settings.text(path + "group"),
       {{"zone", DeduplicationScope::location}, {"cell", DeduplicationScope::cell}}, DeduplicationScope::all);
-  request_class.deduplication_window = settings.ms(path + "window");
-  request_class.latency_objective = settings.ms(path + "aim");
+  request_class.deduplication_window = settings.duration(path + "window");
+  request_class.latency_objective = settings.duration(path + "aim");
   request_class.latency_objective_stretch = settings.number(path + "aim_stretch");
-  request_class.deadline = settings.ms(path + "deadline");
+  request_class.deadline = settings.duration(path + "deadline");
   request_class.priority = settings.number(path + "gain", 1);
   request_class.max_age = settings.item_number("specifics.class_fresh", n) / 1e3;
   request_class.in_parts = settings.item("specifics.in_parts", n) == "true";
@@ -161,7 +161,8 @@
   for (const auto& words : kClassWords) check_words(settings, path, words);
   for (const auto& range : kClassRanges) check_range(settings, path, range);
   const auto window = settings.text(path + "window");
-  if (settings.text(path + "effect") == "guarded" && !window.empty() && settings.ms(path + "window") <= 0)
+  if (settings.text(path + "effect") == "guarded" && !window.empty() &&
+      settings.duration(path + "window") <= 0)
     refuse(path + "window", window, "more than 0 for a guarded class");
 }
 
@@ -175,7 +176,7 @@
 }
 
 void check_placement(const Settings& settings) {
-  const auto location = static_cast<std::size_t>(settings.whole("locality"));
+  const auto location = static_cast<std::size_t>(settings.integer("locality"));
   const auto text = settings.item("specifics.seats_by_zone", location);
   if (text.empty()) return;
   const double here = parse_or(text, -1.0);
@@ -185,8 +186,8 @@
 
 void check_roles(const Settings& settings) {
   const std::string key = "specifics.second_tier_kind";
-  const int parents = settings.whole(key, -1);
-  if (parents >= 0 && parents == settings.whole("specifics.origin_kind", -1))
+  const int parents = settings.integer(key, -1);
+  if (parents >= 0 && parents == settings.integer("specifics.origin_kind", -1))
     refuse(key, settings.text(key), "another kind than origin_kind");
 }
 
@@ -200,7 +201,7 @@
 void check_settings(const Settings& settings) {
   for (const auto& range : kRanges) check_range(settings, "", range);
   for (const auto& words : kWords) check_words(settings, "", words);
-  const int classes = settings.whole("categories.count");
+  const int classes = settings.integer("categories.count");
   for (int n = 0; n < classes; ++n) check_request_class(settings, static_cast<std::size_t>(n));
   check_class_lists(settings, classes);
   check_placement(settings);
@@ -216,19 +217,19 @@
 }
 
 void apply_settings(const Settings& settings, RoutingPolicy& policy) {
-  const int location = settings.whole("locality");
+  const int location = settings.integer("locality");
   const int here =
       static_cast<int>(settings.item_number("specifics.seats_by_zone", static_cast<std::size_t>(location)));
-  policy.set_placement({location, std::max(1, here), std::max(1, settings.whole("fleet_size", 1))});
-  policy.set_roles({settings.whole("specifics.second_tier_kind", -1),
-                    settings.whole("specifics.origin_kind", -1), settings.flag("specifics.direct")});
+  policy.set_placement({location, std::max(1, here), std::max(1, settings.integer("fleet_size", 1))});
+  policy.set_roles({settings.integer("specifics.second_tier_kind", -1),
+                    settings.integer("specifics.origin_kind", -1), settings.flag("specifics.direct")});
   for (const auto& request_class : request_classes(settings)) policy.add_request_class(request_class);
-  const SlowStartSettings caches{settings.number("rules.cold_from", 1),
-                                 settings.number("rules.fall_multiple", 1), settings.ms("rules.warm_after"),
-                                 settings.ms("rules.overload_for")};
+  const SlowStartSettings caches{
+      settings.number("rules.cold_from", 1), settings.number("rules.fall_multiple", 1),
+      settings.duration("rules.warm_after"), settings.duration("rules.overload_for")};
   const SlowStartSettings parents{
       settings.number("specifics.upper_cold_from", 1), settings.number("specifics.upper_fall_multiple", 1),
-      settings.ms("specifics.parent_warms_in"), settings.ms("rules.overload_for")};
+      settings.duration("specifics.parent_warms_in"), settings.duration("rules.overload_for")};
   policy.set_slow_start(caches, parents);
   const auto weights = settings.text("weights");
   policy.set_weights_are_transfers(weights == "nominal" || weights == "rough");
@@ -244,7 +245,7 @@
 }
 
 void apply_live_settings(const Settings& settings, RoutingPolicy& policy) {
-  policy.set_retries({settings.whole("allowed.max_attempts", 1), settings.flag("allowed.cancel")});
+  policy.set_retries({settings.integer("allowed.max_attempts", 1), settings.flag("allowed.cancel")});
   const auto sibling_fills =
       value_of_name(settings.text("specifics.peers_fill"),
                     {{"location", SiblingFills::location}, {"any", SiblingFills::any}}, SiblingFills::none);
@@ -254,8 +255,8 @@
   policy.set_fills({sibling_fills, settings.flag("specifics.merges_fills"), reporting,
                     settings.number("specifics.client_kb_per_s")});
   const bool retry_after = settings.flag("allowed.retry_after");
-  policy.set_client_settings(
-      {settings.flag("client_habits.marks_retry"), retry_after ? settings.ms("allowed.max_retry_after") : 0});
+  policy.set_client_settings({settings.flag("client_habits.marks_retry"),
+                              retry_after ? settings.duration("allowed.max_retry_after") : 0});
 }
 
 }  // namespace walkpaddle::config
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -27,9 +27,11 @@
 
   std::string_view text(const std::string& path, std::string_view absent = "") const;  ///< as it stands
   double number(const std::string& path, double absent = 0) const;                     ///< any number
-  Seconds ms(const std::string& path) const { return number(path) / 1e3; }  ///< seconds of milliseconds
+  Seconds duration(const std::string& path) const { return number(path) / 1e3; }  ///< seconds of milliseconds
   /// A number cut to an integer.
-  int whole(const std::string& path, int absent = 0) const { return static_cast<int>(number(path, absent)); }
+  int integer(const std::string& path, int absent = 0) const {
+    return static_cast<int>(number(path, absent));
+  }
   bool flag(const std::string& path, bool absent = false) const;         ///< "true" and "1" are set
   std::string_view item(const std::string& path, std::size_t at) const;  ///< of a list; empty past its end
   double item_number(const std::string& path, std::size_t at) const;     ///< of a list; 0 past its end
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -75,13 +75,13 @@
       guard_(std::move(report)),
       effect_rules_(effect_rules(settings)),
       policy_(make_routing_policy(seed)),
-      poll_interval_(settings.ms("tick")),
+      poll_interval_(settings.duration("tick")),
       answers_report_load_(settings.text("report.source") == "answers"),
       timer_changed_(scheduler),
       poll_wanted_(scheduler) {
   config::apply_settings(settings, input());
-  for (int n = 0; n < settings.whole("categories.count"); ++n)
-    latency_objectives_.push_back(settings.ms("categories." + std::to_string(n) + ".aim"));
+  for (int n = 0; n < settings.integer("categories.count"); ++n)
+    latency_objectives_.push_back(settings.duration("categories." + std::to_string(n) + ".aim"));
   scheduler_.at_turns_end([this] { on_turn_end(); });
   scheduler_.start(run_timer());
   scheduler_.start(run_polls());
--- a/src/server/fleet_setup.cpp
+++ b/src/server/fleet_setup.cpp
@@ -26,7 +26,7 @@
                                          const config::Settings& settings, const std::string& run,
                                          purge::LogStorage storage) {
   purge::PurgeRegistry::Setup setup;
-  setup.discovery_settle_time = settings.ms("specifics.purge_settles");
+  setup.discovery_settle_time = settings.duration("specifics.purge_settles");
   const auto& fleet = operators.fleet;
   if (!fleet.enabled || !fleet.exchange_purges) return setup;
   setup.replicated = true;
--- a/src/server/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -28,8 +28,8 @@
 
 Seconds longest_deadline(const config::Settings& settings) {
   Seconds longest = 0;
-  for (int n = 0; n < settings.whole("categories.count"); ++n)
-    longest = std::max(longest, settings.ms("categories." + std::to_string(n) + ".deadline"));
+  for (int n = 0; n < settings.integer("categories.count"); ++n)
+    longest = std::max(longest, settings.duration("categories." + std::to_string(n) + ".deadline"));
   return std::min(longest, kLongestDeadlineCounted);
 }
 
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -54,9 +54,9 @@
       upstream_(scheduler_, outbox_, log,
                 {.max_connections = descriptors_.upstream_connections,
                  .max_attempts_per_connection =
-                     config_.settings.whole("allowed.streams_per_conn", kDefaultStreamsPerConnection),
-                 .dial_timeout = config_.settings.ms("allowed.dial_timeout"),
-                 .endpoint_idle_close = config_.settings.ms("allowed.idle_close"),
+                     config_.settings.integer("allowed.streams_per_conn", kDefaultStreamsPerConnection),
+                 .dial_timeout = config_.settings.duration("allowed.dial_timeout"),
+                 .endpoint_idle_close = config_.settings.duration("allowed.idle_close"),
                  .can_cancel = config_.settings.flag("allowed.cancel")}),
       discovery_(scheduler_, outbox_, log, dispatcher_, upstream_),
       client_listener_(
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -170,8 +170,8 @@
     config::apply_settings(s, *in.brain);
     // A second more than the settling: servers' clocks and the way to them.
     in.purges = std::make_unique<purge::PurgeIndex>(purge::PurgeIndex::Limits{
-        .max_age = s.ms("specifics.purge_settles") + 1, .entries_per_kind = 4096, .objects = 4});
-    in.rules = s.whole("categories.count");
+        .max_age = s.duration("specifics.purge_settles") + 1, .entries_per_kind = 4096, .objects = 4});
+    in.rules = s.integer("categories.count");
     for (int n = 0; n < 4 && in.util_at < 0; ++n)
       if (s.item("report.names", n) == "util" && s.text("report.source") == "answers") in.util_at = n;
   });
