--- a/src/server/admin_view.h
+++ b/src/server/admin_view.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the admin socket shows of the server beside its purges and its fleet.
+/// The state of the server that the admin socket shows in addition to purges and fleet.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,10 @@
 
 namespace walkpaddle::server {
 
-/// Reads the upstream pool and the counters, which must outlive it.
+/// A read-only view of the upstream pool and the counters, which must outlive it.
 class AdminView final : public admin::RouterView {
  public:
-  /// Only reads; nothing of it is called before the admin socket opens.
+  /// Keeps the references; reads nothing before the admin socket asks.
   AdminView(const net::UpstreamPool& upstream, const Metrics& metrics)
       : upstream_(upstream), metrics_(metrics) {}
 
--- a/src/server/descriptor_budget.h
+++ b/src/server/descriptor_budget.h
@@ -1,6 +1,6 @@
 /// \file
-/// How the descriptors that the platform allows are divided between the server's own needs, its clients and
-/// the connections to endpoints.
+/// Divides the file descriptors that the platform allows between the server itself, client connections and
+/// upstream connections.
 #pragma once
 
 #include <cstddef>
@@ -9,11 +9,11 @@
 
 namespace walkpaddle::server {
 
-/// Upper bounds of open connections. Usual clients hold a third of the descriptors at most, so half of what
-/// is left leaves room for those that stay; the upstream connections have the rest.
+/// Upper bounds of open connections. What the server itself does not need is divided evenly: clients usually
+/// hold at most a third of the descriptors, so half leaves room for clients that stay connected.
 struct DescriptorBudget {
-  /// `platform_limit`: descriptors that the platform allows this process.
-  DescriptorBudget(int platform_limit, const config::OperatorConfig& operators);
+  /// `platform_limit`: number of descriptors that the platform allows this process.
+  DescriptorBudget(int platform_limit, const config::OperatorConfig& operator_config);
 
   std::size_t client_connections;    ///< at least 2
   std::size_t upstream_connections;  ///< at least 2
--- a/src/server/fleet_setup.h
+++ b/src/server/fleet_setup.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the parts that talk to other routers are set up with, out of the operator's file.
+/// Derives the setup of purges, store and replication from the operator's file.
 #pragma once
 
 #include <memory>
@@ -14,20 +14,23 @@
 
 namespace walkpaddle::server {
 
-/// The store on disk; null where the operator's file names none. StoreError if it cannot be used.
-std::unique_ptr<store::Store> open_store(const config::OperatorConfig& operators);
+/// Opens the store on disk. Returns null if the operator's file configures no fleet or no store. Throws
+/// StoreError if the store cannot be used.
+std::unique_ptr<store::Store> open_store(const config::OperatorConfig& operator_config);
 
-/// Name of the purge numbers' run: of the store's life, or of this start where there is no store, whose
-/// numbers begin anew. Empty where purges do not go between routers. `store` may be null.
-std::string purge_run(const config::OperatorConfig& operators, const config::PlatformConfig& config,
-                      store::Store* store, Seconds now);
+/// The identity under which this router numbers its purges: the one kept in the store, or, without a store, a
+/// new one for this start, since the numbers then begin again. Empty if purges are not replicated. `store`
+/// may be null.
+std::string purge_log_identity(const config::OperatorConfig& operator_config,
+                               const config::PlatformConfig& config, store::Store* store, Seconds now);
 
-/// `run`: as purge_run() gave it; `storage`: on disk where there is a store.
-purge::PurgeRegistry::Setup purges_setup(const config::OperatorConfig& operators,
-                                         const config::Settings& settings, const std::string& run,
+/// Setup of the purge registry. `identity`: from purge_log_identity(). `storage`: disk if there is a store.
+purge::PurgeRegistry::Setup purges_setup(const config::OperatorConfig& operator_config,
+                                         const config::Settings& settings, const std::string& identity,
                                          purge::LogStorage storage);
 
-/// The other routers with their addresses, in the order of the file. InputError if one is no address.
-std::vector<replication::Peer> fleet_peers(const config::OperatorConfig& operators);
+/// The other routers with their addresses, in the order of the file. Throws InputError if an address cannot
+/// be parsed.
+std::vector<replication::Peer> fleet_peers(const config::OperatorConfig& operator_config);
 
 }  // namespace walkpaddle::server
--- a/src/server/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -12,16 +12,16 @@
 
 namespace {
 
-// The platform kills a process that was asked to end after the longest deadline, of which it counts so much
-// at most, and then some time more.
-constexpr Seconds kLongestDeadlineCounted = 3;
+// After it has asked a process to end, the platform waits for the longest deadline of the request classes,
+// counted up to kMaxCountedDeadline, and for kPlatformKillDelay, and then kills the process.
+constexpr Seconds kMaxCountedDeadline = 3;
 constexpr Seconds kPlatformKillDelay = 0.7;
-// What is open then is answered so long before.
-constexpr Seconds kAnswerBeforeKill = 0.1;
-// Clients that have not yet learned of the end still come, for most of a second.
-constexpr Seconds kShortestDrain = 0.8;
+// Requests still open this long before the kill are aborted.
+constexpr Seconds kKillMargin = 0.1;
+// Clients that have not noticed the shutdown yet keep sending requests for most of a second.
+constexpr Seconds kMinDrainTime = 0.8;
 constexpr Seconds kDrainPollInterval = 0.02;
-// As long as a request may be on its way while its connection is closed here, and a little.
+// The time that a request may be in transit while its connection is closed here, and a margin.
 constexpr Seconds kLateRequestPeriod = 0.06;
 constexpr Seconds kLateRequestPollInterval = kDrainPollInterval / 2;
 constexpr Seconds kHandOverPollInterval = 0.01;
@@ -30,7 +30,7 @@
   Seconds longest = 0;
   for (int n = 0; n < settings.integer("categories.count"); ++n)
     longest = std::max(longest, settings.duration("categories." + std::to_string(n) + ".deadline"));
-  return std::min(longest, kLongestDeadlineCounted);
+  return std::min(longest, kMaxCountedDeadline);
 }
 
 }  // namespace
@@ -48,10 +48,10 @@
     if (signal == SIGTERM || signal == SIGINT) break;
     if (rollouts.successor_requested()) co_return parts_.scheduler.start(hand_over(rollouts));
     if (signal != 0) continue;
-    const bool signal_arrived = co_await parts_.signals.arrived.wait(parts_.reload.next_try());
-    if (!signal_arrived) parts_.reload.try_again();
+    const bool signal_arrived = co_await parts_.signals.arrived.wait(parts_.reload.next_retry());
+    if (!signal_arrived) parts_.reload.retry();
   }
-  rollouts.cancel_successor();  // who asks for the end gets it
+  rollouts.cancel_successor();  // a request to end the process overrides a hot restart
   parts_.scheduler.start(shut_down());
 }
 
@@ -63,20 +63,20 @@
   if (config.discovery) parts_.discovery.follow(*config.discovery);
 }
 
-// Those that are open have their time, as far as the platform gives it; further signals change nothing.
+// Open requests may complete within the time that the platform allows. Further signals are ignored.
 Task Lifecycle::shut_down() {
   enter(Phase::draining);
   auto& scheduler = parts_.scheduler;
   Event poll(scheduler);
   const Seconds asked_at = scheduler.now();
   const Seconds drained_by = asked_at + drain_limit();
-  while (scheduler.now() < drained_by && (scheduler.now() < asked_at + kShortestDrain || answers_pending()))
+  while (scheduler.now() < drained_by && (scheduler.now() < asked_at + kMinDrainTime || answers_pending()))
     co_await poll.wait(scheduler.now() + kDrainPollInterval);
 
   enter(Phase::stopped);
   stop_answering();
-  // What still comes is read and sent nowhere: a close over unread bytes would reset the connection, and what
-  // its client was last sent goes with it.
+  // Requests that still arrive are read but not forwarded: closing a socket with unread bytes would reset the
+  // connection, and the client would lose the last answers sent to it.
   const Seconds end = scheduler.now() + kLateRequestPeriod;
   do {
     co_await poll.wait(scheduler.now() + kLateRequestPollInterval);
@@ -90,7 +90,7 @@
 }
 
 Seconds Lifecycle::drain_limit() const {
-  return longest_deadline(parts_.config.settings) + kPlatformKillDelay - kAnswerBeforeKill;
+  return longest_deadline(parts_.config.settings) + kPlatformKillDelay - kKillMargin;
 }
 
 void Lifecycle::stop_answering() {
@@ -100,8 +100,8 @@
   parts_.client_listener.abort_open();
 }
 
-// New connections wait at the listener for the successor; those that are open end when nothing is open on
-// them, all within the time that a graceful shutdown has.
+// New connections queue at the listener for the successor. Open connections are closed when no request is
+// open on them, and all of them after the longest deadline.
 Task Lifecycle::hand_over(RolloutControl& rollouts) {
   enter(Phase::handing_over);
   auto& scheduler = parts_.scheduler;
@@ -129,8 +129,8 @@
     if (parts_.dispatcher.guard().may_report_ready(list_known, true) != guard::Invariant::none) return;
   }
   parts_.client_listener.set_alive_word(health);
-  parts_.log("phase", "{}, {} clients, {} txns open", to_string(phase), parts_.client_listener.count(),
-             parts_.dispatcher.open_requests());
+  parts_.log("phase", "{}, {} client connections, {} open requests", to_string(phase),
+             parts_.client_listener.count(), parts_.dispatcher.open_requests());
 }
 
 }  // namespace walkpaddle::server
--- a/src/server/lifecycle.h
+++ b/src/server/lifecycle.h
@@ -1,9 +1,9 @@
 /// \file
-/// The phases of a server, from its start to the end of its process.
+/// The phases of the server, from start to exit.
 ///
-///     starting --> serving --> draining ------> stopped     SIGTERM or SIGINT: graceful shutdown
+///     starting --> serving --> draining ------> stopped     on SIGTERM or SIGINT: graceful shutdown
 ///                     |
-///                     +------> handing_over                 a rollout of a release: hot restart
+///                     +------> handing_over                 on a rollout of a release: hot restart
 ///
 /// Everything runs on the scheduler's one thread.
 #pragma once
@@ -24,16 +24,16 @@
 
 namespace walkpaddle::server {
 
-/// Where a server stands between its start and its end.
+/// The phase that the server is in.
 enum class Phase {
-  starting,      ///< nothing that was known at the start is applied yet
-  serving,       ///< takes clients and requests
-  draining,      ///< asked to end: still takes what comes, and ends once nothing is open
-  handing_over,  ///< its successor has the listener; what is open here ends
-  stopped        ///< answers nothing any more
+  starting,      ///< the initial state is not loaded yet
+  serving,       ///< accepts clients and requests
+  draining,      ///< shutting down: still accepts requests, ends once no answer is pending
+  handing_over,  ///< the successor gets the listener; open requests complete here
+  stopped        ///< answers no further requests
 };
 
-/// As it stands in the log, whose readers know handing_over as "yielding".
+/// The name of a phase in the log, where handing_over is called "yielding".
 constexpr std::string_view to_string(Phase phase) {
   switch (phase) {
     case Phase::starting:
@@ -50,7 +50,7 @@
   return {};
 }
 
-/// What a client's ALIVE is answered with.
+/// The answer to a client's ALIVE.
 constexpr std::string_view health_status(Phase phase) {
   switch (phase) {
     case Phase::starting:
@@ -67,45 +67,45 @@
   return {};
 }
 
-/// What the lifecycle asks of the part that carries rollouts out.
+/// The calls of the lifecycle to the component that executes rollouts.
 class RolloutControl {
  public:
-  /// The operators' documents may have changed: SIGHUP.
+  /// Reads the operators' documents again, after SIGHUP.
   virtual void reload_documents() = 0;
-  /// Whether another program is to follow in this process.
+  /// Whether another program is to replace this one in the process.
   virtual bool successor_requested() const = 0;
-  /// The process is to end instead.
+  /// Drops the requested successor, because the process is to end instead.
   virtual void cancel_successor() = 0;
-  /// The open listener, on which the successor serves.
+  /// Takes the open listening socket for the successor.
   virtual void take_listener(Fd listener) = 0;
 
  protected:
   ~RolloutControl() = default;
 };
 
-/// The phases as one state machine: start(), then by signals and by what RolloutControl asks. It ends by
-/// stopping the scheduler. All that it is given must outlive the scheduler's tasks.
+/// State machine of the phases, driven by signals and by RolloutControl. Its last step stops the scheduler.
+/// All parts must outlive the scheduler's tasks.
 class Lifecycle {
  public:
-  /// The parts that a phase's beginning and end work on.
+  /// The components that it controls.
   struct Parts {
-    Scheduler& scheduler;                  ///< whose tasks they are
-    Log& log;                              ///< a line for each phase
-    const config::PlatformConfig& config;  ///< what was known at the start; deadlines
-    Signals& signals;                      ///< that end and reload
-    net::RequestDispatcher& dispatcher;    ///< requests that are open
-    net::DiscoveryClient& discovery;       ///< followed from the start on
-    net::ClientListener& client_listener;  ///< told the phase; closed at the end
-    ConfigReload& reload;                  ///< at SIGHUP
+    Scheduler& scheduler;                  ///< runs its tasks; stopped at the end
+    Log& log;                              ///< gets a line for each phase
+    const config::PlatformConfig& config;  ///< initial events and deadlines
+    Signals& signals;                      ///< SIGTERM, SIGINT and SIGHUP
+    net::RequestDispatcher& dispatcher;    ///< knows the open requests
+    net::DiscoveryClient& discovery;       ///< follows discovery from the start on
+    net::ClientListener& client_listener;  ///< reports the phase to clients; closed at the end
+    ConfigReload& reload;                  ///< requested by SIGHUP
     WarmStart& warm_start;                 ///< restored at the start, written at the end
     const Metrics& metrics;                ///< logged at the end
   };
-  /// Nothing happens before start().
+  /// Does nothing before start().
   explicit Lifecycle(const Parts& parts) : parts_(parts) {}
 
-  /// Starts the server's own task: starting and serving happen at once, the rest as it is asked for.
+  /// Starts the task that runs the phases. It loads the initial state and begins to serve in its first turn.
   void start(RolloutControl& rollouts) { parts_.scheduler.start(run(rollouts)); }
-  /// The phase that it is in.
+  /// The current phase.
   Phase phase() const { return phase_; }
 
  private:
--- a/src/server/metrics.cpp
+++ b/src/server/metrics.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Seconds kLoadSampleInterval = 1;  // a sample reads a file of /proc
+constexpr Seconds kLoadSampleInterval = 1;  // sampling reads a file in /proc
 constexpr double kBytesPerMegabyte = 1 << 20;
 
 using NamedCounters = std::vector<std::pair<std::string, std::uint64_t>>;
--- a/src/server/metrics.h
+++ b/src/server/metrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the server counts: by name for the admin socket and the log's end, and for the judge of rollouts.
+/// Counters of the server, for the admin socket, the log and the canary verdict of rollouts.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +14,19 @@
 
 namespace walkpaddle::server {
 
-/// Reads the counters of guard and policy. Scheduler and dispatcher must outlive it.
+/// Collects the counters of guard and routing policy. Scheduler and dispatcher must outlive it.
 class Metrics {
  public:
-  /// Counts nothing itself.
+  /// Keeps the references; the counters are those of the dispatcher.
   Metrics(Scheduler& scheduler, net::RequestDispatcher& dispatcher)
       : scheduler_(scheduler), dispatcher_(dispatcher) {}
 
-  /// All counters since the start by name, those at 0 too; the order is the same each time.
+  /// All counters since the start by name, including those at 0, always in the same order.
   std::vector<std::pair<std::string, std::uint64_t>> by_name() const;
-  /// One line of those that are not 0.
+  /// Logs one line with all counters that are not 0.
   void log_counters(Log& log) const;
-  /// What the judge of rollouts compares, the process's memory and CPU time included. Only where rollouts are
-  /// switched on.
+  /// The metrics that rollouts compare, with memory and CPU time of the process. Must be called only if
+  /// rollouts are enabled.
   rollout::RolloutMetrics rollout_counters();
 
  private:
--- a/src/server/reload.cpp
+++ b/src/server/reload.cpp
@@ -7,29 +7,29 @@
 namespace {
 
 constexpr Seconds kRetryInterval = 0.25;
-constexpr Seconds kRetryPeriod = 3;  // the platform counts a reload as told 4 s after the signal
+constexpr Seconds kRetryPeriod = 3;  // the platform considers a reload complete 4 s after the signal
 
 }  // namespace
 
 void ConfigReload::request() { retry_until_ = reload() ? 0 : scheduler_.now() + kRetryPeriod; }
 
-Seconds ConfigReload::next_try() const {
+Seconds ConfigReload::next_retry() const {
   const Seconds now = scheduler_.now();
   return now < retry_until_ ? now + kRetryInterval : kNoTime;
 }
 
-void ConfigReload::try_again() {
+void ConfigReload::retry() {
   if (reload()) retry_until_ = 0;
 }
 
 bool ConfigReload::reload() {
   try {
     const auto config = read_config_();
-    log_("reload", "event bus {}", config.discovery ? text_of(*config.discovery) : "none");
+    log_("reload", "discovery address {}", config.discovery ? text_of(*config.discovery) : "none");
     if (config.discovery) discovery_.follow(*config.discovery);
     return true;
   } catch (const std::exception& e) {
-    log_("reload", "kept as it was: {}", e.what());
+    log_("reload", "configuration unchanged: {}", e.what());
     return false;
   }
 }
--- a/src/server/reload.h
+++ b/src/server/reload.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reads the platform's configuration again while requests are open.
+/// Reloads the platform's configuration while requests are open.
 #pragma once
 
 #include <functional>
@@ -12,34 +12,33 @@
 
 namespace walkpaddle::server {
 
-/// The reload that SIGHUP asks for. What may change while requests are open is where discovery is; all else
-/// needs a restart. Scheduler, discovery client and log must outlive it.
+/// The reload that SIGHUP requests. Only the address of discovery may change while the router serves; all
+/// other settings need a restart. Scheduler, discovery client and log must outlive it.
 class ConfigReload {
  public:
-  /// Gives the configuration as it now stands, or throws InputError.
+  /// Returns the present configuration. Throws InputError if it cannot be used.
   using ReadConfig = std::function<config::PlatformConfig()>;
 
   /// `read_config` is called at each reload.
   ConfigReload(ReadConfig read_config, Scheduler& scheduler, net::DiscoveryClient& discovery, Log& log)
       : read_config_(std::move(read_config)), scheduler_(scheduler), discovery_(discovery), log_(log) {}
 
-  /// Reads the file now. One that cannot be used is read again for a while, see next_try(). Prevents the loss
-  /// of a reload whose signal comes while the file is being written: the address that it names would never be
-  /// followed.
+  /// Reads the file now. If it cannot be used, it is read again for some seconds, see next_retry(). Otherwise
+  /// a signal that arrives while the file is being written would be lost, and the new address never followed.
   void request();
-  /// When try_again() is due, on the scheduler's clock; kNoTime if nothing is.
-  Seconds next_try() const;
-  /// Once more, as next_try() has come.
-  void try_again();
+  /// When retry() is due, on the scheduler's clock; kNoTime if no retry is needed.
+  Seconds next_retry() const;
+  /// Reads the file again; to be called when next_retry() has come.
+  void retry();
 
  private:
-  bool reload();  // false: the file cannot be used now
+  bool reload();  // false: the file cannot be used
 
   const ReadConfig read_config_;
   Scheduler& scheduler_;
   net::DiscoveryClient& discovery_;
   Log& log_;
-  Seconds retry_until_ = 0;  // 0: the last one was read
+  Seconds retry_until_ = 0;  // 0: the last reload succeeded
 };
 
 }  // namespace walkpaddle::server
--- a/src/server/rollout_agent.cpp
+++ b/src/server/rollout_agent.cpp
@@ -21,10 +21,12 @@
 
 namespace fs = std::filesystem;
 
-constexpr Seconds kStartWarmUp = 5;   // of a start; a document says how long after a step of its own
-constexpr Seconds kCatchUpLimit = 2;  // a started program is ready by then, whether it has caught up or not
+// Counters are ignored for this long after a start; plans set their own time after a move.
+constexpr Seconds kStartupWarmUp = 5;
+// A started router counts as ready after this time even if it has not caught up.
+constexpr Seconds kCatchUpLimit = 2;
 
-std::string read_whole(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in) throw InputError("cannot read " + path);
   return {std::istreambuf_iterator<char>(in), {}};
@@ -34,9 +36,9 @@
   std::vector<std::string> schemas;
   std::error_code error;
   for (const auto& entry : fs::directory_iterator(folder, error))
-    if (entry.path().extension() == ".bin") schemas.push_back(read_whole(entry.path()));
+    if (entry.path().extension() == ".bin") schemas.push_back(read_file(entry.path()));
   if (error) throw InputError("cannot read the folder " + folder.string());
-  return compat::read_release(schemas, read_whole(folder / "rules.json"));
+  return compat::read_release(schemas, read_file(folder / "rules.json"));
 }
 
 std::vector<compat::Release> read_releases(const std::string& folder) {
@@ -52,21 +54,21 @@
   return read_release(fs::path(folder) / generation);
 }
 
-// An epoch of counters: microseconds, so that each is later than the one before.
-std::uint64_t epoch_of(Seconds now) { return static_cast<std::uint64_t>(now * 1e6); }
+// Number of a counting epoch: the time in microseconds, so that each epoch's number exceeds the one before.
+std::uint64_t counter_epoch(Seconds now) { return static_cast<std::uint64_t>(now * 1e6); }
 
 }  // namespace
 
-std::optional<rollout::RolloutCoordinator::Setup> RolloutAgent::changes_setup() {
-  const auto& rollouts = parts_.operators.rollouts;
+std::optional<rollout::RolloutCoordinator::Setup> RolloutAgent::coordinator_setup() {
+  const auto& rollouts = parts_.operator_config.rollouts;
   if (!rollouts.enabled) return std::nullopt;
   const char* handed_generation = std::getenv(kGenerationVariable);
   const std::string generation = handed_generation != nullptr ? handed_generation : rollouts.generation;
-  // What a predecessor handed on stands in the configuration already.
+  // parts_.config already includes the settings that a predecessor handed over.
   if (const char* lines = std::getenv(kSettingsVariable)) settings_lines_ = lines;
   generations_[generation] = settings_lines_;
   rollout::RolloutCoordinator::Setup setup{
-      .name = parts_.operators.fleet.name,
+      .name = parts_.operator_config.fleet.name,
       .site = rollouts.site,
       .generation = generation,
       .peers = {},
@@ -78,31 +80,32 @@
           },
       .carry_out = [this](const rollout::GenerationMove& move) { carry_out(move); },
       .metrics = [this] { return parts_.metrics.rollout_counters(); }};
-  for (const auto& peer : parts_.operators.fleet.peers) setup.peers.push_back({peer.name, peer.site});
+  for (const auto& peer : parts_.operator_config.fleet.peers) setup.peers.push_back({peer.name, peer.site});
   const Seconds now = parts_.scheduler.now();
-  parts_.dispatcher.begin_metrics(epoch_of(now), now + kStartWarmUp);
+  parts_.dispatcher.begin_metrics(counter_epoch(now), now + kStartupWarmUp);
   return setup;
 }
 
-void RolloutAgent::turn_ends() {
-  if (ready_ || !rollouts_on() || parts_.lifecycle.phase() != Phase::serving) return;
+void RolloutAgent::on_turn_end() {
+  if (ready_ || !rollouts_enabled() || parts_.lifecycle.phase() != Phase::serving) return;
   const bool caught_up = !replication_->gossip().catching_up();
-  if (caught_up || parts_.scheduler.now() > replication_->started() + kCatchUpLimit) started_program_ready();
+  if (caught_up || parts_.scheduler.now() > replication_->started() + kCatchUpLimit) finish_start();
 }
 
-// The alarm is the one that the predecessor set: past it the kernel ends a start that hangs.
-void RolloutAgent::started_program_ready() {
+// Cancels the alarm that the predecessor set, by which the kernel ends a successor that does not become
+// ready.
+void RolloutAgent::finish_start() {
   ready_ = true;
   ::alarm(0);
   parts_.log("change", "this router runs {}", replication_->changes()->rollout().running());
   reload_documents();
 }
 
-// All of the folder, or nothing of it and one line that says why.
+// Applies all documents of the folder, or none if one is invalid, and logs the reason.
 void RolloutAgent::reload_documents() {
-  if (!rollouts_on()) return;
+  if (!rollouts_enabled()) return;
   const Seconds now = parts_.scheduler.now();
-  const auto& folder = parts_.operators.rollouts.folder;
+  const auto& folder = parts_.operator_config.rollouts.folder;
   try {
     const auto documents = admin::read_change_documents(folder, now);
     auto& calendar = replication_->changes()->calendar();
@@ -112,15 +115,15 @@
     for (const auto& exception : documents.exceptions) calendar.add_exception(exception);
     for (const auto& document : documents.changes) rollout.propose(document, now);
     for (const auto& [change, reason] : documents.stops) rollout.stop(change, reason, now);
-    parts_.log("change", "{}: {} windows, {} changes", folder, documents.windows.size(),
+    parts_.log("change", "read {}: {} freeze windows, {} changes", folder, documents.windows.size(),
                documents.changes.size());
   } catch (const InputError& e) {
-    parts_.log("change", "kept as it was: {}", e.what());
+    parts_.log("change", "documents not applied: {}", e.what());
   }
 }
 
 void RolloutAgent::carry_out(const rollout::GenerationMove& move) {
-  if (parts_.lifecycle.phase() != Phase::serving) return;  // it ends, and no other program begins for it
+  if (parts_.lifecycle.phase() != Phase::serving) return;  // the process is ending; no move is executed
   if (move.plan.work == freeze::kRelease)
     request_successor(move);
   else
@@ -136,14 +139,15 @@
     program = predecessor;
   if (program.empty() || ::access(program.c_str(), X_OK) != 0) {
     auto& rollout = replication_->changes()->rollout();
-    return rollout.move_failed("'" + program + "' is no program here");
+    return rollout.move_failed("'" + program + "' is not an executable file on this router");
   }
   successor_ = Successor{move, program, settings_lines_, Fd()};
   parts_.signals.wake();
 }
 
-// The policy takes settings between two turns: no request notices. What the platform configured stays under
-// them, so that going back is handing over what was before.
+// The policy takes new settings between two turns, without interrupting requests. The generation's settings
+// are added to the platform's each time, so that a rollback only has to apply the earlier generation's
+// settings.
 void RolloutAgent::apply_generation(const rollout::GenerationMove& move) {
   auto& rollout = replication_->changes()->rollout();
   const Seconds now = parts_.scheduler.now();
@@ -157,7 +161,7 @@
     return rollout.move_failed(e.what());
   }
   settings_lines_ = lines;
-  parts_.dispatcher.begin_metrics(epoch_of(now), now + move.plan.warm_up);
+  parts_.dispatcher.begin_metrics(counter_epoch(now), now + move.plan.warm_up);
   rollout.moved();
 }
 
@@ -171,7 +175,7 @@
 }
 
 void RolloutAgent::take_listener(Fd listener) {
-  parts_.log("change", "makes way for {}", successor_->move.to);
+  parts_.log("change", "hands over to {}", successor_->move.to);
   successor_->listener = std::move(listener);
 }
 
--- a/src/server/rollout_agent.h
+++ b/src/server/rollout_agent.h
@@ -1,6 +1,6 @@
 /// \file
-/// Carries out on this router what the fleet's rollouts decide: another generation of settings, between two
-/// turns, or another program, by a hot restart.
+/// Executes the moves of the fleet's rollouts on this router: applies another generation of settings between
+/// two turns of the scheduler, or starts another program by a hot restart.
 #pragma once
 
 #include <map>
@@ -23,47 +23,47 @@
 
 namespace walkpaddle::server {
 
-/// By the environment, from a program to its successor in the same process.
+/// Environment variables that a program sets for its successor in the same process.
 /// @{
-constexpr const char* kGenerationVariable = "WALKPADDLE_GENERATION";  ///< which generation it is
-constexpr const char* kPredecessorVariable = "WALKPADDLE_EARLIER";    ///< path of the program before it
-constexpr const char* kSettingsVariable = "WALKPADDLE_SETTINGS";      ///< settings beyond the platform's
-constexpr const char* kListenerVariable = "WALKPADDLE_LISTENER";      ///< descriptor of the open listener
+constexpr const char* kGenerationVariable = "WALKPADDLE_GENERATION";  ///< the generation that it runs
+constexpr const char* kPredecessorVariable = "WALKPADDLE_EARLIER";    ///< path of the predecessor's program
+constexpr const char* kSettingsVariable = "WALKPADDLE_SETTINGS";      ///< settings added by rollouts
+constexpr const char* kListenerVariable = "WALKPADDLE_LISTENER";      ///< descriptor of the listening socket
 /// @}
 
-/// The program that is to run in this process next.
+/// The program that is to replace this one in the process.
 struct Successor {
-  rollout::GenerationMove move;  ///< the step of the rollout that it is
-  std::string program;           ///< its path
-  std::string settings_lines;    ///< settings beyond the platform's, "path=value" each
-  Fd listener;                   ///< on which it serves; open once the scheduler has stopped
+  rollout::GenerationMove move;  ///< the move of the rollout that it belongs to
+  std::string program;           ///< path of its executable
+  std::string settings_lines;    ///< settings added by rollouts, a line "path=value" each
+  Fd listener;                   ///< the listening socket; valid once the scheduler has stopped
 };
 
-/// One router's hand of the rollouts. All that it is given must outlive it.
+/// Executes the moves of rollouts on this router. All parts must outlive it.
 class RolloutAgent final : public RolloutControl {
  public:
-  /// What it works on.
+  /// The components that it uses.
   struct Parts {
-    Scheduler& scheduler;                     ///< its clock
-    Log& log;                                 ///< a line for each change of documents and programs
-    const config::PlatformConfig& config;     ///< settings under those of a rollout
-    const config::OperatorConfig& operators;  ///< the section of rollouts
-    Signals& signals;                         ///< woken for a successor
-    net::RequestDispatcher& dispatcher;       ///< that settings are applied to
-    Metrics& metrics;                         ///< for the judge
-    const Lifecycle& lifecycle;               ///< steps are taken only while serving
+    Scheduler& scheduler;                  ///< its clock
+    Log& log;                              ///< gets a line for each reload of documents and each hot restart
+    const config::PlatformConfig& config;  ///< the platform's settings, which rollouts add to
+    const config::OperatorConfig& operator_config;  ///< its section `changes`
+    Signals& signals;                               ///< woken when a successor is requested
+    net::RequestDispatcher& dispatcher;             ///< settings are applied to it
+    Metrics& metrics;                               ///< counters for the canary verdict
+    const Lifecycle& lifecycle;                     ///< moves are executed only while serving
   };
-  /// Nothing is on before changes_setup() and connect().
+  /// Does nothing before coordinator_setup() and connect().
   explicit RolloutAgent(const Parts& parts) : parts_(parts) {}
 
-  /// What the fleet's rollouts call here; nullopt: the operator's file switches them off. The agent must
-  /// outlive whom it is given to. Called once, before connect().
-  std::optional<rollout::RolloutCoordinator::Setup> changes_setup();
-  /// The replication service that holds the rollouts; it must live until the scheduler's last turn.
+  /// Setup of the rollout coordinator, whose callbacks refer to this agent, which must outlive it. Returns
+  /// nullopt if the operator's file does not enable rollouts. To be called once, before connect().
+  std::optional<rollout::RolloutCoordinator::Setup> coordinator_setup();
+  /// Sets the replication service that holds the rollouts. It must live until the scheduler's last turn.
   void connect(replication::ReplicationService& replication) { replication_ = &replication; }
-  /// At a turn's end: whether a started program is ready.
-  void turn_ends();
-  /// Who follows, once the scheduler has stopped; nullopt: nobody.
+  /// To be called at each turn's end; completes the start once the router has caught up.
+  void on_turn_end();
+  /// The requested successor, once the scheduler has stopped; nullopt for none.
   std::optional<Successor> take_successor() { return std::exchange(successor_, std::nullopt); }
 
   void reload_documents() override;
@@ -72,18 +72,18 @@
   void take_listener(Fd listener) override;
 
  private:
-  bool rollouts_on() const { return replication_ != nullptr && replication_->changes() != nullptr; }
+  bool rollouts_enabled() const { return replication_ != nullptr && replication_->changes() != nullptr; }
   void carry_out(const rollout::GenerationMove& move);
   void request_successor(const rollout::GenerationMove& move);
   void apply_generation(const rollout::GenerationMove& move);
   const std::string& settings_of(const rollout::GenerationMove& move);
-  void started_program_ready();
+  void finish_start();
 
   const Parts parts_;
-  replication::ReplicationService* replication_ = nullptr;  // null: nothing is shared
+  replication::ReplicationService* replication_ = nullptr;  // null: nothing is replicated
   std::optional<Successor> successor_;
-  std::map<std::string, std::string> generations_;  // settings beyond the platform's, as lines, by generation
-  std::string settings_lines_;                      // of the present one
+  std::map<std::string, std::string> generations_;  // settings added by rollouts, by generation
+  std::string settings_lines_;                      // of the running generation
   bool ready_ = false;
 };
 
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -14,8 +14,8 @@
 constexpr Seconds kPurgeTrimInterval = 0.25;
 constexpr int kDefaultStreamsPerConnection = 32;
 
-// A quarter of the memory for what clients do not read yet; as much again waits in requests and answers that
-// have not come whole, and the allocator keeps some.
+// Output that has not been sent yet may take a quarter of the memory. Requests and answers that are still
+// being received may take as much again, and the allocator retains some memory.
 std::size_t outbox_bytes(double memory_mb) {
   constexpr double kOutboxShare = 0.25;
   constexpr double kBytesPerMegabyte = 1 << 20;
@@ -24,32 +24,32 @@
 
 guard::Guard::Report report_violations(Log& log) {
   return [&log](guard::Invariant broken, std::uint64_t request) {
-    log("guard", "{:016x}: not done, it would break {}", request,
+    log("guard", "{:016x}: blocked, it would violate {}", request,
         guard::kInvariantNames[static_cast<std::size_t>(broken)]);
   };
 }
 
-// A hot restart leaves the predecessor's listener open.
+// After a hot restart the listening socket is inherited from the predecessor.
 Fd client_listener_socket(const config::PlatformConfig& config) {
   return config.inherited_listener >= 0 ? Fd(config.inherited_listener) : listen_on(config.listen);
 }
 
 }  // namespace
 
-Server::Server(config::PlatformConfig config, const config::OperatorConfig& operators,
+Server::Server(config::PlatformConfig config, const config::OperatorConfig& operator_config,
                ConfigReload::ReadConfig read_config, Log& log)
     : log_(log),
       config_(std::move(config)),
-      operators_(operators),
-      descriptors_(config_.descriptor_limit, operators_),
+      operator_config_(operator_config),
+      descriptors_(config_.descriptor_limit, operator_config_),
       signals_(scheduler_),
-      store_(open_store(operators_)),
-      purge_run_(purge_run(operators_, config_, store_.get(), scheduler_.now())),
-      purges_(purges_setup(operators_, config_.settings, purge_run_,
+      store_(open_store(operator_config_)),
+      purge_log_identity_(purge_log_identity(operator_config_, config_, store_.get(), scheduler_.now())),
+      purges_(purges_setup(operator_config_, config_.settings, purge_log_identity_,
                            store_ ? purge::LogStorage::disk : purge::LogStorage::memory),
               scheduler_.now()),
       dispatcher_(scheduler_, fold_seed(config_.seed), config_.settings, purges_, report_violations(log)),
-      fleet_at_turns_end_(scheduler_, [this] { fleet_turn_ends(); }),
+      turn_end_call_(scheduler_, [this] { on_turn_end(); }),
       outbox_(scheduler_, outbox_bytes(config_.memory_mb)),
       upstream_(scheduler_, outbox_, log,
                 {.max_connections = descriptors_.upstream_connections,
@@ -69,19 +69,22 @@
       reload_(std::move(read_config), scheduler_, discovery_, log),
       metrics_(scheduler_, dispatcher_),
       admin_view_(upstream_, metrics_),
-      warm_start_(operators_.warm_start_file, config_.settings, scheduler_, dispatcher_, upstream_, log),
+      warm_start_(operator_config_.warm_start_file, config_.settings, scheduler_, dispatcher_, upstream_,
+                  log),
       lifecycle_({scheduler_, log, config_, signals_, dispatcher_, discovery_, client_listener_, reload_,
                   warm_start_, metrics_}),
-      rollout_agent_({scheduler_, log, config_, operators_, signals_, dispatcher_, metrics_, lifecycle_}) {
+      rollout_agent_(
+          {scheduler_, log, config_, operator_config_, signals_, dispatcher_, metrics_, lifecycle_}) {
   upstream_.set_guard(dispatcher_.guard());
   client_listener_.set_guard(dispatcher_.guard());
   log_isolated_failures();
   log_("start", "{} on {}, {} descriptors, {} MB", config_.name, text_of(config_.listen),
        config_.descriptor_limit, config_.memory_mb);
   connect_fleet();
-  if (operators_.notify_purges)
-    purge_notifier_ = std::make_unique<net::PurgeNotifier>(scheduler_, log_, purges_, upstream_, purge_run_);
-  if (!operators_.admin_socket.empty()) open_admin_socket();
+  if (operator_config_.notify_purges)
+    purge_notifier_ =
+        std::make_unique<net::PurgeNotifier>(scheduler_, log_, purges_, upstream_, purge_log_identity_);
+  if (!operator_config_.admin_socket.empty()) open_admin_socket();
   lifecycle_.start(rollout_agent_);
 }
 
@@ -96,19 +99,19 @@
     try {
       std::rethrow_exception(std::move(failure));
     } catch (const std::exception& e) {
-      log_("failure", "one request or connection ended by: {}", e.what());
+      log_("failure", "a request or connection ended with an error: {}", e.what());
     }
   });
 }
 
 void Server::connect_fleet() {
-  const auto& fleet = operators_.fleet;
+  const auto& fleet = operator_config_.fleet;
   if (store_ && fleet.exchange_purges)
     purge_persister_ = std::make_unique<replication::PurgePersister>(scheduler_, log_, purges_, *store_);
   purges_.after_input(scheduler_.now());
   if (fleet.enabled && fleet.exchange_purges) {
     const replication::PeerLinks::Setup setup{fleet.name, parse_address(fleet.listen),
-                                              fleet_peers(operators_)};
+                                              fleet_peers(operator_config_)};
     links_ = std::make_unique<replication::PeerLinks>(scheduler_, outbox_, log_, purges_, setup);
   }
   if (!fleet.replicate) return;
@@ -118,36 +121,36 @@
 }
 
 replication::ReplicationService::Setup Server::replication_setup() {
-  return {.name = operators_.fleet.name,
-          .listen = parse_address(operators_.fleet.listen),
-          .peers = fleet_peers(operators_),
+  return {.name = operator_config_.fleet.name,
+          .listen = parse_address(operator_config_.fleet.listen),
+          .peers = fleet_peers(operator_config_),
           .seed = fold_seed(config_.seed),
           .store = store_.get(),
           .on_observations = [this] { discovery_.apply_observations(); },
           .take_snapshot = [this] { return warm_start_.replicated_snapshot(); },
           .restore_snapshot =
               [this](const gossip::ReplicatedSnapshot& kept) { warm_start_.restore_replicated(kept); },
-          .changes = rollout_agent_.changes_setup()};
+          .changes = rollout_agent_.coordinator_setup()};
 }
 
 void Server::open_admin_socket() {
-  admin::AdminReplies::Names names{operators_.fleet.name, {}};
-  for (const auto& peer : operators_.fleet.peers) names.peers.push_back(peer.name);
+  admin::AdminReplies::Names names{operator_config_.fleet.name, {}};
+  for (const auto& peer : operator_config_.fleet.peers) names.peers.push_back(peer.name);
   admin::AdminReplies replies(scheduler_, log_, purges_, std::move(names), admin_view_, replication_.get());
-  admin_server_ =
-      std::make_unique<admin::AdminServer>(scheduler_, outbox_, operators_.admin_socket, std::move(replies));
+  admin_server_ = std::make_unique<admin::AdminServer>(scheduler_, outbox_, operator_config_.admin_socket,
+                                                       std::move(replies));
 }
 
-void Server::fleet_turn_ends() {
+void Server::on_turn_end() {
   const Seconds now = scheduler_.now();
-  if (now >= next_trim_) {
+  if (now >= next_purge_trim_) {
     purges_.trim(now);
-    next_trim_ = now + kPurgeTrimInterval;
+    next_purge_trim_ = now + kPurgeTrimInterval;
   }
   if (purge_persister_) purge_persister_->on_turn_end();
   if (links_) links_->on_turn_end();
   if (replication_) replication_->pull();
-  rollout_agent_.turn_ends();
+  rollout_agent_.on_turn_end();
 }
 
 }  // namespace walkpaddle::server
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -1,6 +1,6 @@
 /// \file
-/// The server: owns the parts and connects them, from start to exit. Everything runs on the thread that calls
-/// run(), except what the store's own thread writes.
+/// The server: owns the components of a router and connects them. Everything runs on the thread that calls
+/// run(), except for the writes of the store, which has a thread of its own.
 #pragma once
 
 #include <cstddef>
@@ -37,40 +37,39 @@
 
 namespace walkpaddle::server {
 
-/// What an optional listener works with; all of it outlives the listener.
+/// What an optional listener may use; all of it outlives the listener.
 struct ListenerContext {
-  Scheduler& scheduler;                ///< for its tasks
-  Outbox& outbox;                      ///< for its streams
-  Log& log;                            ///< for its lines
-  net::RequestDispatcher& dispatcher;  ///< who decides
-  net::UpstreamPool& upstream;         ///< what is known of the endpoints
-  const config::Settings& settings;    ///< the platform's
+  Scheduler& scheduler;                ///< runs its tasks
+  Outbox& outbox;                      ///< bounds the output of its streams
+  Log& log;                            ///< the router's log
+  net::RequestDispatcher& dispatcher;  ///< makes routing decisions
+  net::UpstreamPool& upstream;         ///< knows the endpoints
+  const config::Settings& settings;    ///< the platform's settings
 };
 
-/// One router. The log must outlive it.
+/// A router. The log must outlive it.
 class Server {
  public:
-  /// `operators`: what the operator's file switches on. `read_config` is called at each reload.
-  /// Throws SystemError if an address, the admin socket or a descriptor cannot be had, StoreError if the
-  /// store cannot be used.
-  Server(config::PlatformConfig config, const config::OperatorConfig& operators,
+  /// `operator_config`: what the operator's file enables. `read_config` is called at each reload. Throws
+  /// SystemError if a socket or another descriptor cannot be opened, StoreError if the store cannot be used.
+  Server(config::PlatformConfig config, const config::OperatorConfig& operator_config,
          ConfigReload::ReadConfig read_config, Log& log);
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
   ~Server();
 
-  /// Serves; returns once stopped.
+  /// Serves requests until the lifecycle stops the scheduler.
   void run() { scheduler_.run(); }
-  /// Who runs next in this process, after run() has returned; nullopt: nobody.
+  /// The program to run next in this process, after run() has returned; nullopt for none.
   std::optional<Successor> take_successor() { return rollout_agent_.take_successor(); }
 
-  /// For an optional listener.
+  /// The components for an optional listener.
   ListenerContext listener_context();
-  /// Holds a listener beside the clients' one until the server's end; to be added before run().
+  /// Keeps an additional listener alive until the server is destroyed. To be called before run().
   void add_listener(std::shared_ptr<void> listener) { optional_listeners_.push_back(std::move(listener)); }
 
  private:
-  // Registers a call for the end of each turn where it stands among the members.
+  // Registers a call for the end of each turn, at its place in the order of the members.
   struct TurnEndCall {
     TurnEndCall(Scheduler& scheduler, std::function<void()> call) { scheduler.at_turns_end(std::move(call)); }
   };
@@ -79,25 +78,25 @@
   void connect_fleet();
   replication::ReplicationService::Setup replication_setup();
   void open_admin_socket();
-  void fleet_turn_ends();
+  void on_turn_end();
 
-  // The order of the members is the order in which they are made and, reversed, destroyed; it also is the
-  // order of what happens at the end of a turn. The store precedes the purges, which are read from it. The
-  // dispatcher registers first: what a turn decides is handed to the fleet's parts, and what these write goes
-  // out with the outbox at the same turn's end. Whatever holds a stream comes after the outbox. The
-  // lifecycle's task is started last of all, when each part that it may touch exists.
+  // The members are constructed in this order and destroyed in reverse; those that register a call for the
+  // end of a turn are called in this order too. The store precedes the purges, which are read from it. The
+  // dispatcher precedes the call for purges and replication, which pass on what the turn decided, and the
+  // outbox, which then sends what they wrote in the same turn. Members that own streams follow the outbox.
+  // The lifecycle's task is started last, when all members that it uses exist.
   Log& log_;
   const config::PlatformConfig config_;
-  const config::OperatorConfig operators_;
+  const config::OperatorConfig operator_config_;
   const DescriptorBudget descriptors_;
   Scheduler scheduler_;
   Signals signals_;
-  std::unique_ptr<store::Store> store_;  // null: nothing lasts
-  const std::string purge_run_;
+  std::unique_ptr<store::Store> store_;  // null: nothing is kept on disk
+  const std::string purge_log_identity_;
   purge::PurgeRegistry purges_;
-  Seconds next_trim_ = 0;  // of the purges
+  Seconds next_purge_trim_ = 0;  // when purges_ is trimmed next
   net::RequestDispatcher dispatcher_;
-  TurnEndCall fleet_at_turns_end_;
+  TurnEndCall turn_end_call_;
   Outbox outbox_;
   net::UpstreamPool upstream_;
   net::DiscoveryClient discovery_;
@@ -109,11 +108,11 @@
   Lifecycle lifecycle_;
   RolloutAgent rollout_agent_;
   std::unique_ptr<replication::PurgePersister>
-      purge_persister_;                            // null: no store, or no purges between routers
-  std::unique_ptr<replication::PeerLinks> links_;  // null: no purges between routers
-  std::unique_ptr<replication::ReplicationService> replication_;  // null: nothing is shared
-  std::unique_ptr<net::PurgeNotifier> purge_notifier_;            // null: cache servers are not notified
-  std::unique_ptr<admin::AdminServer> admin_server_;              // null: no admin socket
+      purge_persister_;                            // null: no store, or purges are not replicated
+  std::unique_ptr<replication::PeerLinks> links_;  // null: purges are not replicated
+  std::unique_ptr<replication::ReplicationService> replication_;  // null: nothing is replicated
+  std::unique_ptr<net::PurgeNotifier> purge_notifier_;  // null: cache servers are not notified of purges
+  std::unique_ptr<admin::AdminServer> admin_server_;    // null: no admin socket
   std::vector<std::shared_ptr<void>> optional_listeners_;
 };
 
--- a/src/server/signals.h
+++ b/src/server/signals.h
@@ -1,5 +1,5 @@
 /// \file
-/// The signals that the server handles, read from a descriptor on the scheduler's thread.
+/// The signals that the server handles, read from a signalfd on the scheduler's thread.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,26 @@
 
 namespace walkpaddle::server {
 
-/// SIGTERM, SIGINT and SIGHUP by signalfd(2). The scheduler must outlive it.
+/// Receives SIGTERM, SIGINT and SIGHUP by signalfd(2). The scheduler must outlive it.
 class Signals final : Scheduler::Watcher {
  public:
-  /// Blocks the handled signals, so that they wait until a `Signals` reads them, and ignores SIGPIPE: who
-  /// reads the log may go. To be called before anything else in the program: a SIGHUP that comes during the
-  /// start would end it.
+  /// Blocks the handled signals, so that they stay pending until a `Signals` reads them, and ignores SIGPIPE,
+  /// since the reader of the log may close its end. To be called first in the program: a SIGHUP that arrives
+  /// during the start would end the process.
   static void block();
 
-  /// Throws SystemError if the kernel gives no descriptor.
+  /// Throws SystemError if the descriptor cannot be created.
   explicit Signals(Scheduler& scheduler);
   Signals(const Signals&) = delete;
   Signals& operator=(const Signals&) = delete;
   ~Signals();
 
-  /// The next signal that came, 0 for none.
+  /// Returns the next pending signal, 0 for none.
   int take();
-  /// Wakes who waits on `arrived` as a signal would.
+  /// Wakes the task that waits on `arrived`, as a signal would.
   void wake() { arrived.set(); }
 
-  Event arrived;  ///< set when a signal may be there to take
+  Event arrived;  ///< set when a signal may be pending
 
  private:
   void on_ready(std::uint32_t) override { arrived.set(); }
--- a/src/server/warm_start.cpp
+++ b/src/server/warm_start.cpp
@@ -16,7 +16,7 @@
 
 constexpr const char* kTransferRateKey = "specifics.client_kb_per_s";
 
-// One byte more than the bound, so that a file over it shows.
+// Reads up to one byte more than the bound, so that the parser notices a file that exceeds it.
 std::string read_bounded(std::ifstream& in) {
   std::string text(warm_start::kMaxSnapshotBytes + 1, '\0');
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
@@ -31,21 +31,21 @@
   const Seconds now = scheduler_.now();
   try {
     std::ifstream in(file_, std::ios::binary);
-    if (!in) return log_("learnt", "no {} yet, all is learnt afresh", file_);
+    if (!in) return log_("learnt", "no snapshot file {}, starting without one", file_);
     const auto kept = warm_start::parse_snapshot(read_bounded(in), settings_.text("family"),
                                                  settings_.number(kTransferRateKey), now);
     WarmStartSnapshot snapshot;
     const int service_times = restore_service_times(kept, snapshot);
-    const int unreachable = restore_unreachable(kept, snapshot);
+    const int unreachable = restore_unreachable_endpoints(kept, snapshot);
     dispatcher_.input().restore_snapshot(snapshot);
-    log_("learnt", "from {}, {:.0f} s old: {} sending times, {} members last not reached", file_,
+    log_("learnt", "restored from {}, {:.0f} s old: {} service times, {} unreachable endpoints", file_,
          now - kept.written_at, service_times, unreachable);
   } catch (const std::exception& e) {
-    log_("learnt", "{} refused: {}; all is learnt afresh", file_, e.what());
+    log_("learnt", "{} refused: {}; starting without a snapshot", file_, e.what());
   }
 }
 
-// By the names of the present classes; gives the number that the file knew.
+// Matches the file's service times to the current classes by name. Returns the number of matches.
 int WarmStart::restore_service_times(const warm_start::SnapshotFile& kept,
                                      WarmStartSnapshot& snapshot) const {
   int known = 0;
@@ -60,8 +60,9 @@
   return known;
 }
 
-// Only endpoints that the list names; one that started since is as the list reports it.
-int WarmStart::restore_unreachable(const warm_start::SnapshotFile& kept, WarmStartSnapshot& snapshot) const {
+// Restores only endpoints in the current list. For one that started since, the list's report stands.
+int WarmStart::restore_unreachable_endpoints(const warm_start::SnapshotFile& kept,
+                                             WarmStartSnapshot& snapshot) const {
   int restored = 0;
   for (const auto& unreached : kept.unreachable) {
     for (int endpoint = 0; endpoint < upstream_.endpoint_count(); ++endpoint) {
@@ -73,7 +74,7 @@
   return restored;
 }
 
-warm_start::SnapshotFile WarmStart::kept_snapshot() {
+warm_start::SnapshotFile WarmStart::make_snapshot_file() {
   const auto snapshot = dispatcher_.input().snapshot();
   warm_start::SnapshotFile kept{.family = std::string(settings_.text("family")),
                                 .client_kb_per_s = settings_.number(kTransferRateKey),
@@ -91,16 +92,16 @@
 
 void WarmStart::write_file() {
   if (file_.empty()) return;
-  const auto kept = kept_snapshot();
-  // Renamed when complete: a start that reads meanwhile finds the earlier one.
+  const auto kept = make_snapshot_file();
+  // Renamed when complete, so that a start that reads meanwhile finds the previous file.
   const auto temporary = file_ + ".new";
   std::ofstream out(temporary, std::ios::binary | std::ios::trunc);
   out << warm_start::serialize(kept) << std::flush;
   out.close();
   if (!out || std::rename(temporary.c_str(), file_.c_str()) != 0)
-    return log_("learnt", "{} not written: {}", file_, std::system_category().message(errno));
-  log_("learnt", "left in {}: {} sending times, {} members last not reached", file_,
-       kept.service_times.size(), kept.unreachable.size());
+    return log_("learnt", "cannot write {}: {}", file_, std::system_category().message(errno));
+  log_("learnt", "wrote {}: {} service times, {} unreachable endpoints", file_, kept.service_times.size(),
+       kept.unreachable.size());
 }
 
 gossip::ReplicatedSnapshot WarmStart::replicated_snapshot() const {
--- a/src/server/warm_start.h
+++ b/src/server/warm_start.h
@@ -1,6 +1,6 @@
 /// \file
-/// What one start leaves to the next: the policy's snapshot in a file on this machine, and with the other
-/// routers of the fleet.
+/// Saves and restores the routing policy's snapshot across restarts: in a file on this machine, and at the
+/// other routers of the fleet.
 #pragma once
 
 #include "config/operator_config.h"
@@ -14,10 +14,10 @@
 
 namespace walkpaddle::server {
 
-/// Reads and writes the policy's snapshot. All that it is given must outlive it.
+/// Reads and writes the policy's snapshot. All arguments of the constructor must outlive it.
 class WarmStart {
  public:
-  /// `file`: path of the snapshot file; empty: nothing is read or written there.
+  /// `file`: path of the snapshot file; empty: no file is read or written.
   WarmStart(const std::string& file, const config::Settings& settings, Scheduler& scheduler,
             net::RequestDispatcher& dispatcher, const net::UpstreamPool& upstream, Log& log)
       : file_(file),
@@ -27,21 +27,21 @@
         upstream_(upstream),
         log_(log) {}
 
-  /// Restores the file's snapshot into the policy. To be called once the endpoint list that was known at the
-  /// start is applied. A file that cannot be used costs one log line, and the start goes on without it.
+  /// Restores the file's snapshot into the policy. To be called after the initial endpoint list is applied.
+  /// If the file cannot be used, the reason is logged and the start continues without it.
   void restore_from_file();
-  /// Replaces the file, whole or not at all.
+  /// Replaces the file atomically.
   void write_file();
 
-  /// The policy's snapshot in the form that other routers keep.
+  /// The policy's snapshot in the form in which other routers keep it.
   gossip::ReplicatedSnapshot replicated_snapshot() const;
-  /// Restores what other routers kept of this one's earlier start.
+  /// Restores the snapshot that other routers kept from this router's previous run.
   void restore_replicated(const gossip::ReplicatedSnapshot& replicated);
 
  private:
   int restore_service_times(const warm_start::SnapshotFile& kept, WarmStartSnapshot& snapshot) const;
-  int restore_unreachable(const warm_start::SnapshotFile& kept, WarmStartSnapshot& snapshot) const;
-  warm_start::SnapshotFile kept_snapshot();
+  int restore_unreachable_endpoints(const warm_start::SnapshotFile& kept, WarmStartSnapshot& snapshot) const;
+  warm_start::SnapshotFile make_snapshot_file();
 
   const std::string& file_;
   const config::Settings& settings_;
--- a/tests/change_sockets.cpp
+++ b/tests/change_sockets.cpp
@@ -199,7 +199,7 @@
         all_say("runs present, the fleet stands at present"));
     bool once = true, same = true;
     for (int n = 0; n < kRouters; ++n)
-      once = once && fleet.starts(n) == 1, same = same && logged(n, "makes way for present");
+      once = once && fleet.starts(n) == 1, same = same && logged(n, "hands over to present");
     say("nobody else started anything", once && same);
     fleet.kill(4);
     fleet.start(4);
@@ -226,7 +226,7 @@
     for (const Seconds until = s.now() + 100; s.now() < until && !(all_say("STOPPED") && all_say("runs g1"));)
       co_await pause(0.5);
     int tried = 0;
-    for (int n = 0; n < kRouters; ++n) tried += logged(n, "makes way for present");
+    for (int n = 0; n < kRouters; ++n) tried += logged(n, "hands over to present");
     std::fprintf(stderr, "%s: tried by %d; %s\n", kind.c_str(), tried, word(0).c_str());
     say("a release that is " + kind + " is stopped at its canary, and all run g1",
         all_say("STOPPED") && all_say("runs g1") && tried == 1);
@@ -244,7 +244,7 @@
         "router",
         all_say("STOPPED") &&
             all_say("refused: channel gossip, fleet.Fact.started: its unit was s and is ms") &&
-            !anyone_logged("makes way"));
+            !anyone_logged("hands over"));
     s.stop();
   }
 
