--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -17,41 +17,41 @@
 namespace {
 
 constexpr Seconds kDay = 86400;
-constexpr int kLongestCopyLifetime = 30 * static_cast<int>(kDay);  // seconds
-constexpr int kFewestEntries = 16;
-constexpr int kMostEntries = 4'000'000;
-constexpr int kLargestStore = 65536;    // megabytes
-constexpr int kLongestTimeToLive = 10;  // seconds
-constexpr int kMostRequestsPerAnswer = 100000;
-constexpr double kShortestLease = 0.2;  // seconds
-constexpr double kLongestLease = 600;   // seconds
+constexpr int kMaxCopyLifetime = 30 * static_cast<int>(kDay);  // seconds
+constexpr int kMinEntries = 16;
+constexpr int kMaxEntries = 4'000'000;
+constexpr int kMaxStoreMegabytes = 65536;
+constexpr int kMaxTimeToLive = 10;  // seconds
+constexpr int kMaxRequestsPerAnswer = 100000;
+constexpr double kMinLease = 0.2;  // seconds
+constexpr double kMaxLease = 600;  // seconds
 constexpr double kHeartbeatsPerLease = 5;
-constexpr std::size_t kMostPeers = 511;
-constexpr std::size_t kMostLinks = 256;  // purges take a link to each peer, observations one socket for all
-constexpr std::size_t kLongestSocketPath = 100;  // bytes; the system's own bound is 107
-constexpr std::size_t kLongestDomain = 200;      // bytes; labels of ours stand before it
-constexpr std::size_t kLongestLabel = 63;        // bytes: RFC 1035, 2.3.4
+constexpr std::size_t kMaxPeers = 511;
+constexpr std::size_t kMaxPurgeLinks = 256;  // purges need a link to each peer, observations one socket
+constexpr std::size_t kMaxSocketPath = 100;  // bytes; the system's limit is 107
+constexpr std::size_t kMaxDomain = 200;      // bytes; leaves room for the labels that the router prepends
+constexpr std::size_t kMaxLabel = 63;        // bytes: RFC 1035, 2.3.4
 
-// ---- checks of single values, called by the library ----
+// ---- checks of single values, called by libConfuse ----
 
-template <int least, int most>
+template <int min, int max>
 int check_range(cfg_t* section, cfg_opt_t* option) {
-  double value = least;
+  double value = min;
   if (const auto size = cfg_opt_size(option); size > 0) {
     const bool is_float = option->type == CFGT_FLOAT;
     value = is_float ? cfg_opt_getnfloat(option, size - 1)
                      : static_cast<double>(cfg_opt_getnint(option, size - 1));
   }
-  if (value >= least && value <= most) return 0;
-  const auto allowed = fmt::format("{} to {}", least, most);
+  if (value >= min && value <= max) return 0;
+  const auto allowed = fmt::format("{} to {}", min, max);
   return reject_value(section, option, fmt::format("{} is {:g}, expected {}", option->name, value, allowed),
                       fmt::format("{:g}", value), allowed);
 }
 
 int check_lease(cfg_t* section, cfg_opt_t* option) {
   const double value = cfg_opt_getnfloat(option, 0);
-  if (value >= kShortestLease && value <= kLongestLease) return 0;
-  const auto allowed = fmt::format("{:g} to {:g} seconds", kShortestLease, kLongestLease);
+  if (value >= kMinLease && value <= kMaxLease) return 0;
+  const auto allowed = fmt::format("{:g} to {:g} seconds", kMinLease, kMaxLease);
   return reject_value(section, option, fmt::format("{} is {:g}, expected {}", option->name, value, allowed),
                       fmt::format("{:g}", value), allowed);
 }
@@ -79,24 +79,23 @@
 
 int check_single(cfg_t* section, cfg_opt_t* option) {
   if (cfg_opt_size(option) <= 1) return 0;
-  return reject_value(section, option, fmt::format("a second section '{}', expected one", option->name), {},
-                      "one");
+  return reject_value(section, option,
+                      fmt::format("a second section '{}', expected at most one", option->name), {}, "one");
 }
 
 bool is_domain(std::string_view name) {
-  if (name.empty() || name.size() > kLongestDomain) return false;
+  if (name.empty() || name.size() > kMaxDomain) return false;
   while (!name.empty()) {
     const auto label = take_field(name, '.');
     const auto is_allowed = [](char c) {
       return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-';
     };
-    if (label.empty() || label.size() > kLongestLabel || !std::ranges::all_of(label, is_allowed))
-      return false;
+    if (label.empty() || label.size() > kMaxLabel || !std::ranges::all_of(label, is_allowed)) return false;
   }
   return true;
 }
 
-// ---- the form of each section, for the library; it copies them ----
+// ---- option tables of the sections; libConfuse copies them ----
 
 cfg_opt_t* fleet_options() {
   static cfg_opt_t peer[] = {CFG_STR("address", nullptr, CFGF_NODEFAULT), CFG_STR("site", "", CFGF_NONE),
@@ -165,31 +164,32 @@
       {"fleet|listen", check_address},
       {"fleet|peer|address", check_address},
       {"fleet|lease", check_lease},
-      {"fleet|copy_life", check_range<1, kLongestCopyLifetime>},
-      {"fleet|entries", check_range<kFewestEntries, kMostEntries>},
-      {"fleet|objects", check_range<kFewestEntries, kMostEntries>},
-      {"store|megabytes", check_range<1, kLargestStore>},
+      {"fleet|copy_life", check_range<1, kMaxCopyLifetime>},
+      {"fleet|entries", check_range<kMinEntries, kMaxEntries>},
+      {"fleet|objects", check_range<kMinEntries, kMaxEntries>},
+      {"store|megabytes", check_range<1, kMaxStoreMegabytes>},
       {"log|form", check_log_form},
       {"dns|listen", check_address},
-      {"dns|use", check_range<1, kLongestTimeToLive>},
-      {"dns|txns", check_range<1, kMostRequestsPerAnswer>}};
+      {"dns|use", check_range<1, kMaxTimeToLive>},
+      {"dns|txns", check_range<1, kMaxRequestsPerAnswer>}};
   for (const auto& [option, check] : checks) document.validate(option, check);
 }
 
-// ---- a function for each section ----
+// ---- readers of the sections ----
 
 void read_peers(const Section& section, OperatorConfig::Fleet& fleet) {
   const auto peers = section.sections("peer");
-  if (peers.size() > kMostPeers) section.refuse("more than 511 peers");
-  if (fleet.exchange_purges && peers.size() > kMostLinks)
-    section.refuse("more than 256 peers with purges, which take a link to each: write purges = false");
+  if (peers.size() > kMaxPeers) section.refuse("more than 511 peers");
+  if (fleet.exchange_purges && peers.size() > kMaxPurgeLinks)
+    section.refuse("more than 256 peers, each of which needs a link for purges: set purges = false");
   std::set<std::string> names{fleet.name};
   std::set<std::string> addresses{fleet.listen};
   for (const auto& peer : peers) {
     const auto name = peer.title();
-    const auto address = peer.required_text("address", "peer without address");
-    if (!names.insert(name).second) peer.refuse("a second router named " + name);
-    if (!addresses.insert(address).second) peer.refuse("a second router at " + address, "address");
+    const auto address = peer.required_text("address", "peer: address is missing");
+    if (!names.insert(name).second) peer.refuse("another router is also named " + name);
+    if (!addresses.insert(address).second)
+      peer.refuse("another router also has the address " + address, "address");
     fleet.peers.push_back({name, address, peer.text("site")});
   }
 }
@@ -197,17 +197,17 @@
 OperatorConfig::Fleet read_fleet(const Section& section) {
   OperatorConfig::Fleet fleet;
   fleet.enabled = true;
-  fleet.name = section.required_text("name", "fleet without name");
-  fleet.listen = section.required_text("listen", "fleet without listen");
+  fleet.name = section.required_text("name", "fleet: name is missing");
+  fleet.listen = section.required_text("listen", "fleet: listen is missing");
   fleet.lease = section.number("lease");
   fleet.exchange_purges = section.flag("purges");
   fleet.replicate = section.flag("share");
   if (!fleet.exchange_purges && !fleet.replicate)
-    section.refuse("fleet without purges and without share: it does nothing");
+    section.refuse("fleet has no effect with purges = false and share = false");
   const double heartbeat = section.number("beat");
   fleet.heartbeat = heartbeat > 0 ? heartbeat : fleet.lease / kHeartbeatsPerLease;
   if (fleet.heartbeat > fleet.lease / 2)
-    section.refuse("beat is more than half of lease: each lost one would cost trust", "beat");
+    section.refuse("beat is more than half of lease: one lost heartbeat would let the lease expire", "beat");
   fleet.copy_lifetime = static_cast<Seconds>(section.integer("copy_life"));
   fleet.purge_log_entries = static_cast<int>(section.integer("entries"));
   fleet.indexed_objects = static_cast<int>(section.integer("objects"));
@@ -217,22 +217,22 @@
 
 void read_store(const Section& section, OperatorConfig& config) {
   config.store_megabytes = static_cast<int>(section.integer("megabytes"));
-  config.store_folder = section.required_text("folder", "store without folder");
-  if (!config.fleet.enabled) section.refuse("store without fleet: there is nothing to keep");
+  config.store_folder = section.required_text("folder", "store: folder is missing");
+  if (!config.fleet.enabled) section.refuse("store without fleet: nothing would be stored");
 }
 
 void read_admin(const Section& section, OperatorConfig& config) {
-  config.admin_socket = section.required_text("socket", "control without socket");
-  if (config.admin_socket.size() > kLongestSocketPath)
-    section.refuse("socket: a path of more than 100 bytes", "socket");
+  config.admin_socket = section.required_text("socket", "control: socket is missing");
+  if (config.admin_socket.size() > kMaxSocketPath)
+    section.refuse("socket is a path of more than 100 bytes", "socket");
 }
 
 void read_cache_servers(const Section& section, OperatorConfig& config) {
   config.notify_purges = section.flag("tell_purges");
   if (!config.notify_purges) return;
-  if (!config.fleet.enabled) section.refuse("tell_purges without fleet", "tell_purges");
+  if (!config.fleet.enabled) section.refuse("tell_purges needs section fleet", "tell_purges");
   if (!config.fleet.exchange_purges)
-    section.refuse("tell_purges in a fleet with purges = false", "tell_purges");
+    section.refuse("tell_purges needs purges = true in section fleet", "tell_purges");
 }
 
 OperatorConfig::Dns read_dns(const Section& section) {
@@ -240,19 +240,19 @@
   dns.enabled = true;
   dns.time_to_live = static_cast<Seconds>(section.integer("use"));
   dns.requests_per_answer = section.number("txns");
-  dns.listen = section.required_text("listen", "dns without listen");
-  dns.zone = section.required_text("zone", "dns without zone");
-  dns.server = section.required_text("server", "dns without server");
+  dns.listen = section.required_text("listen", "dns: listen is missing");
+  dns.zone = section.required_text("zone", "dns: zone is missing");
+  dns.server = section.required_text("server", "dns: server is missing");
   for (const char* key : {"zone", "server"}) {
     const auto name = section.text(key);
     if (is_domain(name)) continue;
-    section.refuse("'" + name + "', expected a domain name in lower case without the last dot", key);
+    section.refuse("'" + name + "', expected a domain name in lower case without a trailing dot", key);
   }
   return dns;
 }
 
 void read_warm_start(const Section& section, OperatorConfig& config) {
-  config.warm_start_file = section.required_text("file", "learnt without file");
+  config.warm_start_file = section.required_text("file", "learnt: file is missing");
 }
 
 void read_rollouts(const Section& section, OperatorConfig& config) {
@@ -260,11 +260,10 @@
   rollouts.enabled = true;
   rollouts.site = section.text("site");
   rollouts.protocol_folder = section.text("protocol");
-  rollouts.folder = section.required_text("folder", "changes without folder");
-  rollouts.generation =
-      section.required_text("generation", "changes without generation: what this router runs now");
-  if (!config.fleet.replicate)
-    section.refuse("changes in a fleet that shares nothing: write share = true in fleet");
+  rollouts.folder = section.required_text("folder", "changes: folder is missing");
+  rollouts.generation = section.required_text(
+      "generation", "changes: generation is missing (the name of what this router runs now)");
+  if (!config.fleet.replicate) section.refuse("changes needs share = true in section fleet");
 }
 
 }  // namespace
@@ -273,7 +272,7 @@
   Document document(path, document_options());
   add_checks(document);
   const auto root = document.read();
-  // The fleet first: what others need of it is checked with them.
+  // Section fleet is read first, because other sections are checked against it.
   OperatorConfig config;
   if (const auto section = root.section("fleet")) config.fleet = read_fleet(*section);
   if (const auto section = root.section("store")) read_store(*section, config);
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-constexpr const char* kDocument = "configuration";  // as errors name it
+constexpr const char* kDocument = "configuration";  // its name in errors
 
 std::string plain_text(const json& value) {
   if (!value.is_string()) return value.is_null() ? "-" : value.dump();
   return value.get<std::string>();
 }
 
-// As it stands in a list, whose parts commas divide.
+// An item of a comma-separated list; commas within it become underscores.
 std::string list_item(std::string text) {
   std::ranges::replace(text, ',', '_');
   return text;
@@ -35,18 +35,18 @@
   return joined;
 }
 
-// Nested JSON by path, in the form that Settings reads.
-void flatten(const json& value, const std::string& path, Settings& into) {
-  const auto below = [&](const std::string& key) { return path.empty() ? key : path + "." + key; };
+// Stores nested JSON values under their paths, in the form that Settings reads.
+void flatten(const json& value, const std::string& path, Settings& settings) {
+  const auto child_path = [&](const std::string& key) { return path.empty() ? key : path + "." + key; };
   if (value.is_object()) {
-    for (const auto& [key, item] : value.items()) flatten(item, below(key), into);
+    for (const auto& [key, item] : value.items()) flatten(item, child_path(key), settings);
   } else if (value.is_array() && !value.empty() && value.front().is_object()) {
-    into.put(below("count"), std::to_string(value.size()));
-    for (std::size_t n = 0; n < value.size(); ++n) flatten(value[n], below(std::to_string(n)), into);
+    settings.put(child_path("count"), std::to_string(value.size()));
+    for (std::size_t n = 0; n < value.size(); ++n) flatten(value[n], child_path(std::to_string(n)), settings);
   } else if (value.is_array()) {
-    into.put(path, list_text(value));
+    settings.put(path, list_text(value));
   } else {
-    into.put(path, plain_text(value));
+    settings.put(path, plain_text(value));
   }
 }
 
@@ -54,7 +54,7 @@
   auto rest = settings.text(list);
   for (int n = 0; !rest.empty(); ++n)
     if (take_field(rest, ',') == list_item(name)) return n;
-  throw ConfigError({.key = list}, "'" + name + "' is not in the settings' " + list, name, "");
+  throw ConfigError({.key = list}, "'" + name + "' is not listed in settings." + list, name, "");
 }
 
 template <class Read>
@@ -99,8 +99,8 @@
   }
 }
 
-// The newest stamp of discovery among the events, 0 for none.
-Seconds newest_stamp(const json& batch) {
+// The latest of discovery's timestamps in the events, in seconds; 0 for none.
+Seconds newest_timestamp(const json& batch) {
   double newest_ms = 0;
   for (const auto& event : batch) {
     if (event.contains("ban")) newest_ms = std::max(newest_ms, event["ban"].at("ts").get<double>());
@@ -125,7 +125,8 @@
   }
   flatten(file.at("settings"), "", config.settings);
   if (config.settings.integer("categories.count") <= 0)
-    throw ConfigError({.file = kDocument, .key = "settings.categories"}, "settings without categories");
+    throw ConfigError({.file = kDocument, .key = "settings.categories"},
+                      "settings.categories is missing or empty");
   check_settings(config.settings);
   config.initial_events = file.at("known").dump();
   return config;
@@ -141,7 +142,7 @@
                                     net::DiscoveryEvents& events) {
   return with_config_errors([&] {
     const auto known = json::parse(initial_events);
-    events.known_begin(newest_stamp(known.at("batch")));
+    events.known_begin(newest_timestamp(known.at("batch")));
     for (const auto& event : known.at("batch")) replay_event(event, settings, events);
     events.known_end();
     return known.at("offset").get<std::uint64_t>();
--- a/src/config/section_reader.cpp
+++ b/src/config/section_reader.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr std::size_t kLongestMessage = 300;
+constexpr std::size_t kMaxMessageBytes = 300;
 
-// The library calls back without a place for our own.
+// libConfuse's callbacks carry no user data, so the state of the current read is kept here.
 thread_local std::optional<ConfigError> first_error;
 thread_local std::string file_being_read;
 
@@ -23,11 +23,11 @@
   return {.file = file_being_read, .line = section != nullptr ? section->line : 0};
 }
 
-void keep_library_error(cfg_t* section, const char* format, va_list arguments) {
+void record_library_error(cfg_t* section, const char* format, va_list arguments) {
   if (first_error) return;
-  char text[kLongestMessage];
+  char text[kMaxMessageBytes];
   std::vsnprintf(text, sizeof text, format, arguments);
-  // What stands behind the file's text: one that ends within a section takes it for that section's.
+  // read() appends kEndOption to the text. Within an unfinished section it is reported as an unknown option.
   const bool unfinished = std::strstr(text, kEndOption) != nullptr;
   first_error.emplace(location_of(section), unfinished ? "the file ends within a section" : text);
 }
@@ -76,7 +76,7 @@
 Document::Document(std::string path, cfg_opt_t* options)
     : path_(std::move(path)), root_(cfg_init(options, CFGF_NONE), &cfg_free) {
   first_error.reset();
-  cfg_set_error_function(root_.get(), keep_library_error);
+  cfg_set_error_function(root_.get(), record_library_error);
 }
 
 void Document::validate(const char* option, cfg_validate_callback_t check) {
@@ -91,7 +91,7 @@
   const auto marked = text + "\n" + kEndOption + " = 1\n";
   if (cfg_parse_buf(root_.get(), marked.c_str()) != CFG_SUCCESS) {
     if (first_error) throw ConfigError(*first_error);
-    throw ConfigError({.file = path_}, "cannot be read");
+    throw ConfigError({.file = path_}, "cannot be parsed");
   }
   return {path_, root_.get()};
 }
--- a/src/config/section_reader.h
+++ b/src/config/section_reader.h
@@ -1,6 +1,7 @@
 /// \file
-/// Reads the sections of the operator's file and of the operators' documents, by libConfuse. Errors are
-/// ConfigError with file and line; of several the first counts. A file is read by one thread at a time.
+/// Reads the sections of the operator's file and of the change documents with libConfuse. Errors are thrown
+/// as ConfigError with file and line; if there are several, the first is thrown. A Document must be created
+/// and read by one thread, which creates no other Document in between.
 #pragma once
 
 #include <confuse.h>
@@ -12,29 +13,29 @@
 
 namespace walkpaddle::config {
 
-/// The option that every document's list ends with, as CFG_INT(kEndOption, 0, CFGF_NONE): by it a file that
-/// ends within a section is recognized.
+/// An option that must end the option table of every document, as CFG_INT(kEndOption, 0, CFGF_NONE). It is
+/// appended to the text of a file to detect one that ends within a section.
 constexpr const char* kEndOption = "end_of_file";
 
-/// One section of a document, or the document itself. Valid as long as its Document.
+/// A section of a document, or the whole document. Valid as long as its Document exists.
 class Section {
  public:
-  /// `section`: of the library; `file`: its path, for errors.
+  /// `file`: path for errors, which must outlive the section; `section`: from libConfuse.
   Section(const std::string& file, cfg_t* section) : file_(&file), section_(section) {}
 
-  std::string title() const { return cfg_title(section_); }                     ///< of a titled section
-  std::string text(const char* key) const;                                      ///< empty where it is absent
-  std::vector<std::string> texts(const char* key) const;                        ///< of a list
-  long integer(const char* key) const { return cfg_getint(section_, key); }     ///< or the option's default
-  double number(const char* key) const { return cfg_getfloat(section_, key); }  ///< or the option's default
-  std::vector<double> numbers(const char* key) const;                           ///< of a list
+  std::string title() const { return cfg_title(section_); }  ///< the title of a titled section
+  std::string text(const char* key) const;                   ///< empty if absent
+  std::vector<std::string> texts(const char* key) const;     ///< the items of a list
+  long integer(const char* key) const { return cfg_getint(section_, key); }     ///< the default if absent
+  double number(const char* key) const { return cfg_getfloat(section_, key); }  ///< the default if absent
+  std::vector<double> numbers(const char* key) const;                           ///< the items of a list
   bool flag(const char* key) const { return cfg_getbool(section_, key) == cfg_true; }  ///< or the default
-  std::vector<Section> sections(const char* name) const;   ///< all of that name, in the file's order
-  std::optional<Section> section(const char* name) const;  ///< the first of that name
+  std::vector<Section> sections(const char* name) const;   ///< all of that name, in the order of the file
+  std::optional<Section> section(const char* name) const;  ///< the first section of that name
 
-  /// The text, which has to be there: else refuses with `why`.
+  /// The text of a required key. Throws as refuse() does, with `why`, if it is absent or empty.
   std::string required_text(const char* key, const std::string& why) const;
-  /// Throws ConfigError at the section's line. `key`: whose value is refused, if it is one key's.
+  /// Throws ConfigError with the line of the section. `key`: the key whose value is refused; empty if none.
   [[noreturn]] void refuse(const std::string& why, const std::string& key = {}) const;
 
  private:
@@ -42,18 +43,18 @@
   cfg_t* section_;
 };
 
-/// One file that is to be read.
+/// A file to be read.
 class Document {
  public:
-  /// `options`: of the library, ending with kEndOption; they are copied.
+  /// `options`: option table for libConfuse that ends with kEndOption; it is copied.
   Document(std::string path, cfg_opt_t* options);
   Document(const Document&) = delete;
   Document& operator=(const Document&) = delete;
 
-  /// `check` is called with each value of the option, whose path is "section|key"; it returns 0 or
-  /// reject_value().
+  /// Sets a check that is called with each value of an option. `option`: path "section|key". The check
+  /// returns 0 or the result of reject_value().
   void validate(const char* option, cfg_validate_callback_t check);
-  /// The whole file. ConfigError with file and line.
+  /// Reads the whole file. Throws ConfigError with file and line, InputError if it cannot be opened.
   Section read();
 
  private:
@@ -61,8 +62,8 @@
   const std::unique_ptr<cfg_t, decltype(&cfg_free)> root_;
 };
 
-/// For a check of Document::validate(): keeps the error that read() then throws. `message` is its text;
-/// `value` and `allowed` go with it. Gives what the check is to return.
+/// For a check of Document::validate(): records the error that read() then throws, with its `message`, the
+/// offending `value` and the `allowed` values. Returns the result for the check to return.
 int reject_value(cfg_t* section, cfg_opt_t* option, const std::string& message, std::string value,
                  std::string allowed);
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -70,47 +70,48 @@
 
 // ---- checks ----
 
-// Times in milliseconds: a day is longer than any of them can mean. Sizes: what an index or a count can hold.
+// Upper bounds far above any sensible value: a day for times, which are in milliseconds, and for numbers what
+// an index or a counter can hold.
 constexpr double kDayMs = 86'400'000;
-constexpr double kLargestCount = 1'000'000;
-constexpr double kLongestTickMs = 1000;
-constexpr double kLargestRate = 1e9;
+constexpr double kMaxCount = 1'000'000;
+constexpr double kMaxTickMs = 1000;
+constexpr double kMaxRate = 1e9;
 
 struct Range {
   const char* key;
-  double least;
-  double most;
+  double min;
+  double max;
 };
 
-constexpr Range kRanges[] = {{"fleet_size", 1, kLargestCount},
-                             {"locality", 0, kLargestCount},
-                             {"tick", 0, kLongestTickMs},
-                             {"specifics.second_tier_kind", -1, kLargestCount},
-                             {"specifics.origin_kind", -1, kLargestCount},
-                             {"specifics.client_kb_per_s", 0, kLargestRate},
+constexpr Range kRanges[] = {{"fleet_size", 1, kMaxCount},
+                             {"locality", 0, kMaxCount},
+                             {"tick", 0, kMaxTickMs},
+                             {"specifics.second_tier_kind", -1, kMaxCount},
+                             {"specifics.origin_kind", -1, kMaxCount},
+                             {"specifics.client_kb_per_s", 0, kMaxRate},
                              {"specifics.upper_cold_from", 0, 1},
-                             {"specifics.upper_fall_multiple", 0, kLargestCount},
+                             {"specifics.upper_fall_multiple", 0, kMaxCount},
                              {"specifics.parent_warms_in", 0, kDayMs},
                              {"specifics.purge_settles", 0, kDayMs},
                              {"rules.cold_from", 0, 1},
-                             {"rules.fall_multiple", 0, kLargestCount},
+                             {"rules.fall_multiple", 0, kMaxCount},
                              {"rules.warm_after", 0, kDayMs},
                              {"rules.overload_for", 0, kDayMs},
-                             {"allowed.max_attempts", 1, kLargestCount},
+                             {"allowed.max_attempts", 1, kMaxCount},
                              {"allowed.max_retry_after", 0, kDayMs},
-                             {"allowed.streams_per_conn", 1, kLargestCount},
+                             {"allowed.streams_per_conn", 1, kMaxCount},
                              {"allowed.dial_timeout", 0, kDayMs},
                              {"allowed.idle_close", 0, kDayMs}};
 constexpr Range kClassRanges[] = {{"window", 0, kDayMs},
                                   {"aim", 0, kDayMs},
                                   {"deadline", 0, kDayMs},
-                                  {"aim_stretch", 0, kLargestCount},
-                                  {"gain", 0, kLargestCount}};
+                                  {"aim_stretch", 0, kMaxCount},
+                                  {"gain", 0, kMaxCount}};
 
-constexpr std::size_t kMostWords = 4;
+constexpr std::size_t kMaxWords = 4;
 struct Words {
   const char* key;
-  std::array<std::string_view, kMostWords> allowed;  // empty past the last
+  std::array<std::string_view, kMaxWords> allowed;  // unused elements are empty
 };
 
 constexpr Words kWords[] = {{"specifics.direct", {"true", "false", "1", "0"}},
@@ -141,9 +142,9 @@
   const auto key = path + range.key;
   const auto text = settings.text(key);
   if (text.empty()) return;
-  const double value = parse_or(text, range.most + 1);
-  if (value < range.least || value > range.most)
-    refuse(key, text, plain_text(range.least) + " to " + plain_text(range.most));
+  const double value = parse_or(text, range.max + 1);
+  if (value < range.min || value > range.max)
+    refuse(key, text, plain_text(range.min) + " to " + plain_text(range.max));
 }
 
 void check_words(const Settings& settings, const std::string& path, const Words& words) {
@@ -166,7 +167,7 @@
     refuse(path + "window", window, "more than 0 for a guarded class");
 }
 
-// Lists have a value for each class, or are absent.
+// A list of values by class is absent or has one value for each class.
 void check_class_lists(const Settings& settings, int classes) {
   for (const std::string key : {"specifics.class_fresh", "specifics.in_parts", "specifics.pass_on"}) {
     const auto list = settings.text(key);
@@ -181,19 +182,20 @@
   if (text.empty()) return;
   const double here = parse_or(text, -1.0);
   const double everywhere = settings.number("fleet_size", here);
-  if (here < 0 || here > everywhere) refuse("specifics.seats_by_zone", text, "0 to fleet_size here");
+  if (here < 0 || here > everywhere)
+    refuse("specifics.seats_by_zone", text, "0 to fleet_size at this location");
 }
 
 void check_roles(const Settings& settings) {
   const std::string key = "specifics.second_tier_kind";
   const int parents = settings.integer(key, -1);
   if (parents >= 0 && parents == settings.integer("specifics.origin_kind", -1))
-    refuse(key, settings.text(key), "another kind than origin_kind");
+    refuse(key, settings.text(key), "a kind other than origin_kind");
 }
 
 void check_load_reports(const Settings& settings) {
   if (settings.text("report.source") == "answers" && settings.text("report.names").empty())
-    refuse("report.names", "", "the names of the values, as report.source is 'answers'");
+    refuse("report.names", "", "names of the reported values, which report.source = answers requires");
 }
 
 }  // namespace
