--- a/src/cli/check_command.cpp
+++ b/src/cli/check_command.cpp
@@ -23,8 +23,8 @@
   return std::chrono::duration<double>(since_epoch).count();
 }
 
-// The freeze windows as far as the documents here tell.
-freeze::Calendar calendar_of(const admin::ChangeDocuments& documents, Seconds now) {
+// A calendar of the windows and exceptions in the documents of this machine only.
+freeze::Calendar build_calendar(const admin::ChangeDocuments& documents, Seconds now) {
   freeze::Calendar calendar(0, {0}, {});
   for (const auto& window : documents.windows) calendar.declare(window);
   for (const auto& exception : documents.exceptions) calendar.add_exception(exception);
@@ -32,7 +32,7 @@
   return calendar;
 }
 
-// Whether a change fits before the next freeze.
+// Prints when a change may begin. Throws InputError if no time for it is left between freeze windows.
 void check_change(const rollout::RolloutPlan& change, const freeze::Calendar& calendar, std::size_t routers,
                   Seconds now) {
   const Seconds longest = rollout::max_rollout_duration(change, routers);
@@ -43,8 +43,8 @@
     throw InputError("change " + change.name + ": " + answer.why);
   const std::string begin = answer.outcome == freeze::Permission::Outcome::allowed
                                 ? "it may begin now"
-                                : "not before " + freeze::format_utc(answer.at) + ", as " + answer.why;
-  fmt::print("change {}: {} routers in stages of {}, {:.0f} minutes at most, the way back included; {}\n",
+                                : "not before " + freeze::format_utc(answer.at) + ", because " + answer.why;
+  fmt::print("change {}: {} routers in stages of {}, at most {:.0f} minutes including a rollback; {}\n",
              change.name, routers, fmt::join(rollout::stage_sizes(change, routers), ", "),
              longest / kSecondsPerMinute, begin);
 }
@@ -56,11 +56,11 @@
   if (file.rollouts.enabled) {
     const Seconds now = unix_time();
     const auto documents = admin::read_change_documents(file.rollouts.folder, now);
-    const auto calendar = calendar_of(documents, now);
+    const auto calendar = build_calendar(documents, now);
     const auto routers = file.fleet.peers.size() + 1;
     for (const auto& change : documents.changes) check_change(change, calendar, routers, now);
   }
-  fmt::print("{}: good\n", path);
+  fmt::print("{}: valid\n", path);
 }
 
 }  // namespace walkpaddle::cli
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -17,60 +17,61 @@
 
 namespace {
 
-constexpr double kShortestWait = 0.1;   // seconds
-constexpr double kLongestWait = 86400;  // seconds
+constexpr double kMinTimeout = 0.1;    // seconds
+constexpr double kMaxTimeout = 86400;  // seconds
 
-// The command line does not say what the command needs.
+// Thrown when the command line lacks an argument that the command needs.
 class UsageError : public Error {
  public:
   using Error::Error;
 };
 
-// Runs a command; errors become one plain line and an exit code.
+// Runs a command. An exception is printed as one line and converted to an exit code.
 template <class Command>
 int with_errors_printed(Command&& command) {
   try {
     command();
-    return kDone;
+    return kExitSuccess;
   } catch (const UsageError& e) {
     fmt::print(stderr, "walkpaddle: {}\n", e.what());
-    return kMisused;
+    return kExitUsage;
   } catch (const std::exception& e) {
     fmt::print(stderr, "walkpaddle: {}\n", e.what());
-    return kRefused;
+    return kExitFailure;
   }
 }
 
-// The socket to talk to: named, or the one that the operator's file names.
+// Path of the admin socket: from --socket, or else from the operator's file.
 std::string admin_socket(const Arguments& arguments) {
   if (!arguments.socket.empty()) return arguments.socket;
   const auto& file = arguments.operator_file;
-  if (file.empty()) throw UsageError("name the router by --socket or --file");
+  if (file.empty()) throw UsageError("--socket or --file is required to select a router");
   auto socket = config::read_operator_config(file).admin_socket;
-  if (socket.empty()) throw InputError(file + " names no operators' socket");
+  if (socket.empty()) throw InputError(file + " sets no admin socket: control.socket is missing");
   return socket;
 }
 
-// Runs a command that talks to a running router and gives the exit code itself.
+// Runs a command that talks to a running router and returns the exit code itself.
 template <class Command>
 void run_at_router(Arguments& arguments, Command&& command) {
   std::string socket;
   arguments.exit_code = with_errors_printed([&] { socket = admin_socket(arguments); });
-  if (arguments.exit_code == kDone) arguments.exit_code = command(socket);
+  if (arguments.exit_code == kExitSuccess) arguments.exit_code = command(socket);
 }
 
 void add_router_options(CLI::App& command, Arguments& arguments) {
-  command.add_option("--socket", arguments.socket, "the operators' socket of a running router");
-  command.add_option("--file", arguments.operator_file, "the operator's file that names it")
+  command.add_option("--socket", arguments.socket, "path of a running router's admin socket");
+  command.add_option("--file", arguments.operator_file, "operator's file that sets the admin socket")
       ->envname("WALKPADDLE_FILE");
 }
 
 void add_run(CLI::App& app, Arguments& arguments) {
-  auto* run = app.add_subcommand("run", "run the router; the platform's configuration is named by LB_CONFIG");
+  auto* run =
+      app.add_subcommand("run", "run the router with the platform's configuration at the path in LB_CONFIG");
   run->add_option("--file", arguments.operator_file,
-                  "the operator's file: fleet, store, boxes, operators' socket, log")
+                  "path of the operator's file, which enables the optional functions")
       ->envname("WALKPADDLE_FILE");
-  run->add_option("--log", arguments.log_form, "form of the log lines, before what the file says")
+  run->add_option("--log", arguments.log_form, "format of the log lines; overrides the operator's file")
       ->check(CLI::IsMember({"text", "json"}));
   run->callback([&arguments] {
     arguments.exit_code =
@@ -79,8 +80,8 @@
 }
 
 void add_check(CLI::App& app, Arguments& arguments) {
-  auto* check = app.add_subcommand("check", "read an operator's file and say what is wrong with it");
-  check->add_option("FILE", arguments.checked_file, "the file")->required();
+  auto* check = app.add_subcommand("check", "validate an operator's file and its change documents");
+  check->add_option("FILE", arguments.checked_file, "path of the operator's file")->required();
   check->callback([&arguments] {
     arguments.exit_code = with_errors_printed([&] { check_operator_file(arguments.checked_file); });
   });
@@ -90,9 +91,9 @@
   auto* command = purge.add_subcommand(kind, help);
   if (kind != "all") command->add_option("WHAT", arguments.purge.what)->required();
   command->add_flag("--wait", arguments.purge.wait_for_all,
-                    "until every router holds it and every box has confirmed it");
-  command->add_option("--within", arguments.purge.timeout, "seconds to wait")
-      ->check(CLI::Range(kShortestWait, kLongestWait));
+                    "wait until every router holds the purge and every cache server has confirmed it");
+  command->add_option("--within", arguments.purge.timeout, "longest time to wait, in seconds")
+      ->check(CLI::Range(kMinTimeout, kMaxTimeout));
   command->callback([&arguments, kind] {
     arguments.purge.kind = kind;
     run_at_router(arguments,
@@ -101,8 +102,9 @@
 }
 
 void add_purge_status(CLI::App& purge, Arguments& arguments) {
-  auto* status = purge.add_subcommand("status", "of one purge, or of the router and its last ones");
-  status->add_option("NUMBER", arguments.purge_number, "as 'purge' printed it");
+  auto* status = purge.add_subcommand(
+      "status", "show the status of one purge, or of the purge log and the latest purges");
+  status->add_option("NUMBER", arguments.purge_number, "number of the purge, as printed when it was issued");
   status->callback([&arguments] {
     run_at_router(arguments, [&](const std::string& socket) {
       return admin::purge_status(socket, arguments.purge_number);
@@ -111,24 +113,25 @@
 }
 
 void add_purge(CLI::App& app, Arguments& arguments) {
-  auto* purge =
-      app.add_subcommand("purge", "withdraw copies at every router and box, and see how far that is");
+  auto* purge = app.add_subcommand(
+      "purge", "invalidate cached copies at all routers and cache servers, or show the progress");
   purge->require_subcommand(1);
   add_router_options(*purge, arguments);
   const std::pair<const char*, const char*> kinds[] = {
       {"object", "one object, by its id"},
       {"group", "all objects of a group, by its number"},
-      {"tag", "all objects whose answers name the tag"},
+      {"tag", "all objects whose answers carry the tag"},
       {"pattern", "all objects whose whole id the pattern matches (RE2)"},
-      {"all", "every object: fills rise at once, the origin is loaded"}};
+      {"all", "every object; all copies are filled again, which loads the origin"}};
   for (const auto& [kind, help] : kinds) add_purge_kind(*purge, kind, help, arguments);
   add_purge_status(*purge, arguments);
 }
 
 void add_fleet(CLI::App& app, Arguments& arguments) {
-  auto* fleet = app.add_subcommand("fleet", "who of the fleet is alive, and what it knows of the servers");
+  auto* fleet =
+      app.add_subcommand("fleet", "show the members of the fleet, rollouts, and observations of endpoints");
   add_router_options(*fleet, arguments);
-  fleet->add_flag("--json", arguments.as_json, "as the router tells it, one JSON object");
+  fleet->add_flag("--json", arguments.as_json, "print the router's reply as one JSON object");
   fleet->callback([&arguments] {
     run_at_router(arguments, [&](const std::string& socket) {
       const auto form = arguments.as_json ? admin::OutputForm::json : admin::OutputForm::text;
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -1,5 +1,5 @@
 /// \file
-/// The program's commands and their options.
+/// The commands of the program and their options.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -9,28 +9,28 @@
 
 namespace walkpaddle::cli {
 
-constexpr int kDone = 0;     ///< exit code
-constexpr int kRefused = 1;  ///< exit code: refused, or the router cannot start or be reached
-constexpr int kMisused = 2;  ///< exit code: wrong use of the command line
+constexpr int kExitSuccess = 0;  ///< exit code: the command succeeded
+constexpr int kExitFailure = 1;  ///< exit code: refused, or the router could not start or be reached
+constexpr int kExitUsage = 2;    ///< exit code: invalid command line
 
-/// Where the options' values go, and what comes of the command.
+/// Values of the options, and the exit code of the command.
 struct Arguments {
-  std::string operator_file;    ///< --file
-  std::string log_form;         ///< --log: text, json or empty
-  std::string checked_file;     ///< of `check`
-  std::string socket;           ///< --socket
-  std::string purge_number;     ///< of `purge status`
-  admin::PurgeCommand purge{};  ///< of `purge`
-  bool as_json = false;         ///< of `fleet`
-  int exit_code = kDone;        ///< set by the command that ran
+  std::string operator_file;     ///< --file
+  std::string log_form;          ///< --log: text, json or empty
+  std::string checked_file;      ///< FILE of `check`
+  std::string socket;            ///< --socket
+  std::string purge_number;      ///< NUMBER of `purge status`
+  admin::PurgeCommand purge{};   ///< kind and options of `purge`
+  bool as_json = false;          ///< --json of `fleet`
+  int exit_code = kExitSuccess;  ///< set by the command that ran
 };
 
-/// Adds all commands; each runs when the command line that names it is parsed. `arguments` must outlive
-/// `app`.
+/// Adds all commands to `app`. Parsing a command line runs the command that it names. `arguments` must
+/// outlive `app`.
 void add_commands(CLI::App& app, Arguments& arguments);
 
-/// What the program does without a command: runs the router with the operator's file that WALKPADDLE_FILE
-/// names. Gives the exit code.
+/// Runs the router with the operator's file named by WALKPADDLE_FILE, as the program does without a command.
+/// Returns the exit code.
 int run_without_command();
 
 }  // namespace walkpaddle::cli
--- a/src/cli/optional_listeners.cpp
+++ b/src/cli/optional_listeners.cpp
@@ -10,8 +10,8 @@
 
 namespace walkpaddle::cli {
 
-void add_optional_listeners(server::Server& server, const config::OperatorConfig& operators) {
-  const auto& options = operators.dns;
+void add_optional_listeners(server::Server& server, const config::OperatorConfig& operator_config) {
+  const auto& options = operator_config.dns;
   if (!options.enabled) return;
   const auto context = server.listener_context();
   std::vector<std::string> class_names;
--- a/src/cli/optional_listeners.h
+++ b/src/cli/optional_listeners.h
@@ -1,5 +1,5 @@
 /// \file
-/// Listeners beside the clients' one that the operator's file switches on.
+/// Optional listeners, which the operator's file enables, in addition to the one for clients.
 #pragma once
 
 #include "config/operator_config.h"
@@ -7,8 +7,8 @@
 
 namespace walkpaddle::cli {
 
-/// Adds them to a server before it runs. SystemError if an address cannot be had. A program of the testbed
-/// links another definition, which plants faults.
-void add_optional_listeners(server::Server& server, const config::OperatorConfig& operators);
+/// Adds the listeners to a server before it runs. Throws SystemError if an address cannot be bound. A test
+/// program links another definition, which injects faults.
+void add_optional_listeners(server::Server& server, const config::OperatorConfig& operator_config);
 
 }  // namespace walkpaddle::cli
--- a/src/cli/run_command.cpp
+++ b/src/cli/run_command.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-// The file as it now stands, with what the environment says beside it.
+// Reads the file and applies the environment variables that override or extend it.
 config::PlatformConfig read_platform_config(const std::string& path) {
   std::ifstream in(path);
   std::stringstream text;
@@ -33,17 +33,17 @@
   return config;
 }
 
-Log::Form chosen_form(const std::string& log_form, const config::OperatorConfig& operators) {
-  const bool json = log_form.empty() ? operators.log_json : log_form == "json";
+Log::Form log_form_of(const std::string& log_form, const config::OperatorConfig& operator_config) {
+  const bool json = log_form.empty() ? operator_config.log_json : log_form == "json";
   return json ? Log::Form::json : Log::Form::text;
 }
 
-// Serves until it is stopped; gives who is to follow.
+// Serves until stopped. Returns the successor if a hot restart was requested.
 std::optional<server::Successor> serve(const std::string& config_path, config::PlatformConfig config,
-                                       const config::OperatorConfig& operators, Log& log) {
+                                       const config::OperatorConfig& operator_config, Log& log) {
   server::Server server(
-      std::move(config), operators, [&] { return read_platform_config(config_path); }, log);
-  add_optional_listeners(server, operators);
+      std::move(config), operator_config, [&] { return read_platform_config(config_path); }, log);
+  add_optional_listeners(server, operator_config);
   server.run();
   return server.take_successor();
 }
@@ -55,10 +55,10 @@
   const char* config_path = std::getenv("LB_CONFIG");
   if (config_path == nullptr) throw InputError("LB_CONFIG is not set");
   auto config = read_platform_config(config_path);
-  config::OperatorConfig operators;
-  if (!operator_file.empty()) operators = config::read_operator_config(operator_file);
-  Log log(config.name, chosen_form(log_form, operators));
-  const auto successor = serve(config_path, std::move(config), operators, log);
+  config::OperatorConfig operator_config;
+  if (!operator_file.empty()) operator_config = config::read_operator_config(operator_file);
+  Log log(config.name, log_form_of(log_form, operator_config));
+  const auto successor = serve(config_path, std::move(config), operator_config, log);
   if (successor) exec_successor(*successor, operator_file);
 }
 
--- a/src/cli/run_command.h
+++ b/src/cli/run_command.h
@@ -1,14 +1,15 @@
 /// \file
-/// The command that runs the router.
+/// The command `run`, which runs the router.
 #pragma once
 
 #include <string>
 
 namespace walkpaddle::cli {
 
-/// Runs the router until it is stopped, and its successor in this process after a hot restart. The platform's
-/// configuration is named by LB_CONFIG. `operator_file`: empty: everything optional is off. `log_form`: text,
-/// json, or empty for what the operator's file says. Throws Error where it cannot start.
+/// Runs the router until it is stopped; after a hot restart the successor replaces it in this process.
+/// LB_CONFIG is the path of the platform's configuration. `operator_file`: path; if empty, all optional
+/// functions are off. `log_form`: text, json, or empty for the form in the operator's file. Throws Error if
+/// the router cannot start.
 void run_router(const std::string& operator_file, const std::string& log_form);
 
 }  // namespace walkpaddle::cli
--- a/src/cli/successor.cpp
+++ b/src/cli/successor.cpp
@@ -19,14 +19,14 @@
 
 using Variables = std::vector<std::pair<std::string, std::string>>;
 
-Variables handed_variables(const server::Successor& successor) {
+Variables successor_variables(const server::Successor& successor) {
   return {{server::kGenerationVariable, successor.move.to},
           {server::kPredecessorVariable, std::filesystem::read_symlink("/proc/self/exe").string()},
           {server::kSettingsVariable, successor.settings_lines},
           {server::kListenerVariable, std::to_string(successor.listener.get())}};
 }
 
-// This process's environment with the variables in place of earlier ones of their names.
+// The environment of this process with `variables` added; they replace existing ones of the same name.
 std::vector<std::string> environment_with(const Variables& variables) {
   std::vector<std::string> environment;
   for (char** entry = environ; *entry != nullptr; ++entry) {
@@ -42,8 +42,8 @@
   return environment;
 }
 
-// As execve(2) takes them; they point into `texts`.
-std::vector<char*> pointers(std::vector<std::string>& texts) {
+// A null-terminated array for execve(2), pointing into `texts`.
+std::vector<char*> null_terminated_pointers(std::vector<std::string>& texts) {
   std::vector<char*> all;
   all.reserve(texts.size() + 1);
   for (auto& text : texts) all.push_back(text.data());
@@ -54,12 +54,12 @@
 }  // namespace
 
 void exec_successor(const server::Successor& successor, const std::string& operator_file) {
-  auto environment = environment_with(handed_variables(successor));
+  auto environment = environment_with(successor_variables(successor));
   std::vector<std::string> arguments = {successor.program, "run", "--file", operator_file};
-  const auto environment_pointers = pointers(environment);
-  const auto argument_pointers = pointers(arguments);
-  constexpr int kKeptOverExec = 0;  // no FD_CLOEXEC
-  ::fcntl(successor.listener.get(), F_SETFD, kKeptOverExec);
+  const auto environment_pointers = null_terminated_pointers(environment);
+  const auto argument_pointers = null_terminated_pointers(arguments);
+  constexpr int kInheritOnExec = 0;  // without FD_CLOEXEC
+  ::fcntl(successor.listener.get(), F_SETFD, kInheritOnExec);
   ::alarm(static_cast<unsigned>(std::ceil(successor.move.plan.ready_within)));
   ::execve(successor.program.c_str(), argument_pointers.data(), environment_pointers.data());
   const int error_number = errno;
--- a/src/cli/successor.h
+++ b/src/cli/successor.h
@@ -1,5 +1,5 @@
 /// \file
-/// The last step of a hot restart: the successor in this process's place.
+/// The last step of a hot restart: replaces the program of this process by its successor.
 #pragma once
 
 #include <string>
@@ -8,9 +8,9 @@
 
 namespace walkpaddle::cli {
 
-/// Runs the successor on the listener that is open, as `run --file OPERATOR_FILE`. It finds by the
-/// environment what it is, and has its time to be ready; then the kernel ends it, and who started this
-/// program starts it again. Returns only by SystemError.
+/// Executes the successor as `run --file OPERATOR_FILE`. Environment variables tell it its generation and the
+/// open listener. An alarm ends it if it is not ready in time; the process supervisor is then expected to
+/// start the original program again. Throws SystemError if execve(2) fails; otherwise does not return.
 [[noreturn]] void exec_successor(const server::Successor& successor, const std::string& operator_file);
 
 }  // namespace walkpaddle::cli
