--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -20,23 +20,23 @@
 
 namespace {
 
-constexpr int kDone = 0;
-constexpr int kRefused = 1;
-constexpr int kReplyTimeoutMs = 5000;  // a router answers between two turns
+constexpr int kExitSuccess = 0;
+constexpr int kExitFailure = 1;
+constexpr int kReplyTimeoutMs = 5000;  // a router normally answers within one turn of its scheduler
 constexpr std::size_t kReadBytes = 16384;
 constexpr std::chrono::milliseconds kPurgePollInterval(10);
 
 class AdminConnection {
  public:
   explicit AdminConnection(const std::string& path) : fd_(dial(path)) {
-    if (!fd_) throw Error("no router at " + path + ": " + std::strerror(errno));
+    if (!fd_) throw Error("cannot connect to the router at " + path + ": " + std::strerror(errno));
   }
 
-  // The reply; Error if there is none, or the request is refused.
+  // Sends a request and returns the reply. Throws Error if there is none or the request is refused.
   json ask(const json& request) {
     send(request.dump() + "\n");
     auto reply = json::parse(read_line());
-    if (!reply.at("ok").get<bool>()) throw Error("refused: " + reply.at("why").get<std::string>());
+    if (!reply.at("ok").get<bool>()) throw Error("request refused: " + reply.at("why").get<std::string>());
     return reply;
   }
 
@@ -67,17 +67,17 @@
   }
 
   Fd fd_;
-  std::string received_;  // past the last line that was taken
+  std::string received_;  // bytes after the last line returned
 };
 
-// The library's errors and the router's refusals, each as one plain line.
+// Prints an error of the JSON library or a refusal by the router as one line.
 template <class Command>
 int with_errors_printed(Command&& command) {
   try {
     return command();
   } catch (const std::exception& e) {
     fmt::print(stderr, "walkpaddle: {}\n", e.what());
-    return kRefused;
+    return kExitFailure;
   }
 }
 
@@ -95,25 +95,26 @@
 
 // ---- purges ----
 
-// Since when no router gives an old copy; known at the router that issued the purge.
+// Since when no router serves a stale copy; only the router that issued the purge knows it.
 std::string in_force_text(const json& seconds_ago) {
   if (seconds_ago.is_null()) return "";
   const double seconds = seconds_ago.get<double>();
-  return seconds >= 0 ? fmt::format(", no old copy since {:.1f} s", seconds)
-                      : fmt::format(", no old copy in {:.1f} s", -seconds);
+  return seconds >= 0 ? fmt::format(", no stale copies since {:.1f} s ago", seconds)
+                      : fmt::format(", no stale copies in {:.1f} s", -seconds);
 }
 
 void print_purge(const json& purge) {
   const std::string accepted =
       flag(purge, "accepted") ? ", accepted" + in_force_text(purge["promise_holds_s_ago"]) : ", NOT ACCEPTED";
   fmt::print(
-      "{}  {} {}  {:.1f} s ago  held by {} of {} routers{}  lacking: {}  boxes that have not confirmed: {}\n",
+      "{}  {} {}  {:.1f} s ago  held by {} of {} routers{}  missing at: {}  not confirmed by cache servers: "
+      "{}\n",
       text(purge, "number"), text(purge, "kind"), text(purge, "what"), number(purge, "ago_s"),
       integer(purge, "holders"), integer(purge, "routers"), accepted, joined_names(purge["lacking"]),
       joined_names(purge["boxes_unconfirmed"]));
 }
 
-bool purge_done(const json& purge, const PurgeCommand& command) {
+bool purge_finished(const json& purge, const PurgeCommand& command) {
   if (!flag(purge, "accepted")) return false;
   return !command.wait_for_all || (purge["lacking"].empty() && purge["boxes_unconfirmed"].empty());
 }
@@ -124,15 +125,15 @@
   auto purge = router.ask({{"do", "purge"}, {"kind", command.kind}, {"what", command.what}});
   const auto number = text(purge, "number");
   const auto deadline = Clock::now() + std::chrono::duration<double>(command.timeout);
-  while (!purge_done(purge, command) && Clock::now() < deadline) {
+  while (!purge_finished(purge, command) && Clock::now() < deadline) {
     std::this_thread::sleep_for(kPurgePollInterval);
     purge = router.ask({{"do", "status"}, {"number", number}});
   }
   print_purge(purge);
-  if (purge_done(purge, command)) return kDone;
-  fmt::print(stderr, "walkpaddle: not {} within {:.0f} s; it stands and goes on, see 'purge status {}'\n",
+  if (purge_finished(purge, command)) return kExitSuccess;
+  fmt::print(stderr, "walkpaddle: not {} within {:.0f} s; the purge remains issued, see 'purge status {}'\n",
              flag(purge, "accepted") ? "confirmed by all" : "accepted", command.timeout, number);
-  return kRefused;
+  return kExitFailure;
 }
 
 std::string age_text(const json& seconds_ago) {
@@ -141,44 +142,48 @@
 }
 
 void print_purges_status(const json& status) {
-  fmt::print("book {}: complete with a majority {}; promised delay {:.2f} s\n",
+  fmt::print("purge log {}: complete with a majority {}; promised delay {:.2f} s\n",
              flag(status, "trusted") ? "trusted" : "NOT TRUSTED", age_text(status["complete_s_ago"]),
              number(status, "delay_s"));
   const double age_limit = number(status, "age_limit_s");
   if (age_limit > 0)
-    fmt::print("every copy older than {:.2f} s is refused until the book is trusted again\n", age_limit);
-  fmt::print("{} purges held, {} in force\n", count(status, "held"), count(status, "in_force"));
+    fmt::print("every copy older than {:.2f} s is stale until the purge log is trusted again\n", age_limit);
+  fmt::print("{} purges in the log, {} in force\n", count(status, "held"), count(status, "in_force"));
   for (const auto& peer : status["peers"])
-    fmt::print("peer {}: {}, complete {}\n", text(peer, "name"),
+    fmt::print("peer {}: {}, purge log complete {}\n", text(peer, "name"),
                flag(peer, "connected") ? "connected" : "NOT CONNECTED", age_text(peer["complete_s_ago"]));
   for (const auto& purge : status["latest"]) print_purge(purge);
 }
 
 // ---- the fleet ----
 
-void print_counts(const json& fleet) {
-  fmt::print("{}: {} of {} others alive, {} facts of servers held, {}\n", text(fleet, "name"),
+void print_membership(const json& fleet) {
+  fmt::print("{}: {} of {} others alive, {} observations of endpoints, {}\n", text(fleet, "name"),
              count(fleet, "alive"), count(fleet, "others"), count(fleet, "facts_held"),
              flag(fleet, "catching_up") ? "CATCHING UP" : "caught up");
-  fmt::print("since the start: {:.0f} bytes a second in, {:.0f} out; {} suspicions raised, {} refuted\n",
-             number(fleet, "bytes_in_a_s"), number(fleet, "bytes_out_a_s"), count(fleet, "suspected_here"),
-             count(fleet, "refuted"));
-  fmt::print("refused: {} facts, {} datagrams of strangers, {} unreadable; {} not taken by the kernel\n",
-             count(fleet, "facts_refused"), count(fleet, "strangers"), count(fleet, "unreadable"),
-             count(fleet, "unsent"));
+  fmt::print(
+      "since the start: {:.0f} bytes/s received, {:.0f} bytes/s sent; {} suspicions raised, {} refuted\n",
+      number(fleet, "bytes_in_a_s"), number(fleet, "bytes_out_a_s"), count(fleet, "suspected_here"),
+      count(fleet, "refuted"));
+  fmt::print(
+      "refused: {} observations, {} datagrams from unknown routers, {} malformed datagrams; {} datagrams not "
+      "sent\n",
+      count(fleet, "facts_refused"), count(fleet, "strangers"), count(fleet, "unreadable"),
+      count(fleet, "unsent"));
   const auto trouble = count(fleet, "local_trouble");
   if (trouble > 0)
-    fmt::print("this router misses answers itself: it is {} times slower to suspect\n", trouble + 1);
+    fmt::print("this router misses answers to its own probes: it takes {} times as long to suspect a peer\n",
+               trouble + 1);
 }
 
 void print_rollout(const json& rollout) {
   std::string seen;
   if (flag(rollout, "drives"))
-    seen = fmt::format("; driven here, txns seen in the stage: {} old, {} new", count(rollout, "txns_old"),
-                       count(rollout, "txns_new"));
+    seen = fmt::format("; driven here, requests in this stage: {} control, {} canary",
+                       count(rollout, "txns_old"), count(rollout, "txns_new"));
   auto reason = text(rollout, "why");
   if (!reason.empty()) reason.insert(0, "; ");
-  fmt::print("change {}: {} to {}, by {}: {}, stage {} of {}, {} of {} routers have had their turn{}{}\n",
+  fmt::print("change {}: {} to {}, by {}: {}, stage {} of {}, {} of {} routers had their turn{}{}\n",
              text(rollout, "name"), text(rollout, "from"), text(rollout, "to"), text(rollout, "by"),
              text(rollout, "state"), integer(rollout, "stage"), integer(rollout, "stages"),
              integer(rollout, "through"), integer(rollout, "routers"), seen, reason);
@@ -188,7 +193,7 @@
   if (flag(window, "withdrawn")) return "; withdrawn";
   const int holders = integer(window, "withdrawn_by");
   if (holders == 0) return "";
-  return fmt::format("; its withdrawal is held by {} routers, not a majority", holders);
+  return fmt::format("; withdrawal held by {} routers, no majority", holders);
 }
 
 void print_window(const json& window) {
@@ -200,9 +205,9 @@
 void print_rollouts(const json& fleet) {
   if (fleet["generation"].is_null()) return;
   const auto calendar = text(fleet, "calendar");
-  fmt::print("runs {}, the fleet stands at {}; {}\n", text(fleet, "generation"),
+  fmt::print("runs {}, fleet generation {}; {}\n", text(fleet, "generation"),
              text(fleet, "fleets_generation"),
-             calendar.empty() ? "its calendar is current" : "NOTHING GOES ON HERE: " + calendar);
+             calendar.empty() ? "freeze calendar is current" : "CHANGES BLOCKED HERE: " + calendar);
   for (const auto& rollout : fleet["changes"]) print_rollout(rollout);
   for (const auto& window : fleet["windows"]) print_window(window);
 }
@@ -212,14 +217,14 @@
     const auto& heard = member["heard_s_ago"];
     fmt::print("router {}: {} for {:.1f} s, {}\n", text(member, "name"), text(member, "state"),
                number(member, "for_s"),
-               heard.is_null() ? std::string("never heard")
-                               : fmt::format("heard {:.1f} s ago", heard.get<double>()));
+               heard.is_null() ? std::string("no message yet")
+                               : fmt::format("last message {:.1f} s ago", heard.get<double>()));
   }
 }
 
 void print_observations(const json& fleet) {
   for (const auto& observation : fleet["facts"])
-    fmt::print("server {}: {}, seen by {} {:.1f} s ago\n", text(observation, "server"),
+    fmt::print("endpoint {}: {}, observed by {} {:.1f} s ago\n", text(observation, "server"),
                text(observation, "state"), text(observation, "by"), number(observation, "ago_s"));
 }
 
@@ -236,7 +241,7 @@
       print_purges_status(router.ask({{"do", "status"}}));
     else
       print_purge(router.ask({{"do", "status"}, {"number", number}}));
-    return kDone;
+    return kExitSuccess;
   });
 }
 
@@ -246,13 +251,13 @@
     const auto fleet = router.ask({{"do", "fleet"}});
     if (form == OutputForm::json) {
       fmt::print("{}\n", fleet.dump());
-      return kDone;
+      return kExitSuccess;
     }
-    print_counts(fleet);
+    print_membership(fleet);
     print_rollouts(fleet);
     print_members(fleet);
     print_observations(fleet);
-    return kDone;
+    return kExitSuccess;
   });
 }
 
--- a/src/admin/admin_client.h
+++ b/src/admin/admin_client.h
@@ -1,7 +1,7 @@
 /// \file
-/// The operators' commands that talk to a running router over its admin socket, from their own process:
-/// blocking, with a timeout. They print to standard output, errors to standard error, and give the exit code:
-/// 0 done, 1 refused or not reached.
+/// The operators' commands that talk to a running router over its admin socket, from another process:
+/// blocking, with a timeout. They print to standard output, errors to standard error, and return the exit
+/// code: 0 for success, 1 if the request was refused or the router not reached.
 #pragma once
 
 #include <string>
@@ -10,25 +10,26 @@
 
 namespace walkpaddle::admin {
 
-/// The purge that an operator asks for.
+/// A purge requested by an operator.
 struct PurgeCommand {
   std::string kind;           ///< object, group, tag, pattern or all
-  std::string what;           ///< its id, number, name or pattern; empty for all
-  bool wait_for_all = false;  ///< until every router holds it and every cache server has confirmed it
-  Seconds timeout = 10;       ///< of the wait
+  std::string what;           ///< id, number, name or pattern of its target; empty for all
+  bool wait_for_all = false;  ///< wait until all routers hold it and all cache servers confirmed it
+  Seconds timeout = 10;       ///< longest time to wait
 };
 
-/// Issues a purge, waits until it is accepted or as asked, and prints where it stands.
+/// Issues a purge, waits until it is accepted, or for all with `wait_for_all`, and prints its status.
 int purge(const std::string& socket, const PurgeCommand& command);
-/// Prints where a purge stands. `number`: as purge() printed it; empty: the router and its last purges.
+/// Prints the status of a purge. `number`: as printed by purge(); empty: prints the state of the purge log
+/// and the latest purges.
 int purge_status(const std::string& socket, const std::string& number);
 
-/// How fleet_status() prints.
+/// Output format of fleet_status().
 enum class OutputForm {
-  text,  ///< lines for people
-  json   ///< the router's reply as it came, one object
+  text,  ///< human-readable lines
+  json   ///< the router's reply, one JSON object
 };
-/// Prints who of the fleet is alive, and what it knows of the endpoints.
+/// Prints the members of the fleet, its rollouts and freeze windows, and its observations of endpoints.
 int fleet_status(const std::string& socket, OutputForm form);
 
 }  // namespace walkpaddle::admin
--- a/src/admin/admin_replies.cpp
+++ b/src/admin/admin_replies.cpp
@@ -18,26 +18,26 @@
 
 namespace {
 
-constexpr std::size_t kMostObservations = 500;  // of a reply; `facts_held` says that there are more
-constexpr std::size_t kLatestPurges = 20;       // of a reply
-constexpr std::size_t kLongestAction = 60;      // bytes of an unknown one that are repeated
-constexpr Seconds kShortestUptime = 1e-3;       // that rates are divided by
-constexpr int kHexadecimal = 16;
-
-// A purge's number as every router understands it.
-std::string issuer_text(const purge::PurgeStamp& stamp) {
+constexpr std::size_t kMaxObservations = 500;  // in a reply; `facts_held` is the total number
+constexpr std::size_t kMaxLatestPurges = 20;   // in a reply
+constexpr std::size_t kMaxActionBytes = 60;    // bytes of an unknown action repeated in the reply
+constexpr Seconds kMinUptime = 1e-3;           // least divisor of rates
+constexpr int kHexBase = 16;
+
+// The number of a purge in the form that every router accepts.
+std::string stamp_text(const purge::PurgeStamp& stamp) {
   return fmt::format("{:016x}:{}", stamp.issuer, stamp.number);
 }
 
 json refused(const std::string& why) { return {{"ok", false}, {"why", why}}; }
 
-// Names come from files and from the wire: bytes that are no UTF-8 are replaced.
+// Names come from files and from the network; bytes that are not UTF-8 are replaced.
 std::string dump_replacing(const json& reply) {
   return reply.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// Seconds since `time`, null where it never was.
-json age_or_null(Seconds now, Seconds time) { return time > 0 ? json(now - time) : json(nullptr); }
+// Seconds since `time`; null if `time` is 0, which means never.
+json age_json(Seconds now, Seconds time) { return time > 0 ? json(now - time) : json(nullptr); }
 
 std::string_view state_text(const rollout::RolloutStatus& rollout) {
   if (rollout.stopped) return "STOPPED";
@@ -78,7 +78,7 @@
   return all;
 }
 
-// The fields of rollouts, null or empty where there are none.
+// Adds the fields of rollouts, null or empty if rollouts are disabled.
 void add_rollouts(json& reply, const rollout::RolloutCoordinator* changes, Seconds now) {
   reply["generation"] = nullptr;
   reply["fleets_generation"] = nullptr;
@@ -111,21 +111,24 @@
     if (action == "fleet" && replication_ != nullptr) return fleet_status();
     return reply_to(request, action).dump();
   } catch (const json::exception& e) {
-    return dump_replacing(refused(std::string("a request that cannot be read: ") + e.what()));
+    return dump_replacing(refused(std::string("malformed request: ") + e.what()));
   } catch (const InputError& e) {
     return dump_replacing(refused(e.what()));
   }
 }
 
 json AdminReplies::reply_to(const json& request, const std::string& action) {
-  if (action == "fleet") return refused("this router shares nothing: share is not in its file");
+  if (action == "fleet")
+    return refused(
+        "this router does not replicate observations: its operator's file does not set share = true");
   if (purges_.replication() == nullptr)
-    return refused("no purges go between routers here: fleet is not in its file, or says purges = false");
+    return refused(
+        "purges are not replicated: the operator's file has no section fleet, or sets purges = false");
   if (action == "purge") return issue_purge(request);
   if (action == "status" && request.contains("number"))
     return purge_status(request["number"].get<std::string>());
   if (action == "status") return purges_status();
-  return refused("no such request: " + action.substr(0, kLongestAction));
+  return refused("unknown request: " + action.substr(0, kMaxActionBytes));
 }
 
 // ---- purges ----
@@ -133,20 +136,20 @@
 json AdminReplies::issue_purge(const json& request) {
   const auto kind = purge::parse_purge_kind(request.at("kind").get<std::string>());
   auto name = request.value("what", std::string());
-  if (!kind) return refused("no such kind of purge");
+  if (!kind) return refused("unknown kind of purge");
   if (const auto why = purges_.rejection_reason(*kind, name)) return refused(*why);
   const auto& entry = purges_.issue(*kind, std::move(name), scheduler_.now());
-  log_("purge", "{} issued here: {} {}", number_text(entry.stamp), purge::to_string(entry.kind),
+  log_("purge", "{} issued by this router: {} {}", number_text(entry.stamp), purge::to_string(entry.kind),
        entry.target);
-  auto reply = standing(entry);
+  auto reply = purge_json(entry);
   reply["ok"] = true;
   return reply;
 }
 
 json AdminReplies::purge_status(const std::string& number) const {
   const auto* entry = find_purge(number);
-  if (entry == nullptr) return refused("no such purge here: never issued, or older than any copy");
-  auto reply = standing(*entry);
+  if (entry == nullptr) return refused("unknown purge: never issued, or dropped because no copy is as old");
+  auto reply = purge_json(*entry);
   reply["ok"] = true;
   return reply;
 }
@@ -162,52 +165,55 @@
           {"age_limit_s", purges_.copy_age_limit(now)},
           {"held", purges_.log().size()},
           {"in_force", purges_.in_force()},
-          {"peers", purge_peers()},
-          {"latest", latest_purges()}};
+          {"peers", purge_peers_json()},
+          {"latest", latest_purges_json()}};
 }
 
-json AdminReplies::purge_peers() const {
+json AdminReplies::purge_peers_json() const {
   const Seconds now = scheduler_.now();
   json all = json::array();
   for (std::size_t n = 0; n < names_.peers.size(); ++n) {
     const auto peer = purges_.replication()->peer_status(static_cast<int>(n));
     all.push_back({{"name", names_.peers[n]},
                    {"connected", peer.connected},
-                   {"complete_s_ago", age_or_null(now, peer.complete_at)}});
+                   {"complete_s_ago", age_json(now, peer.complete_at)}});
   }
   return all;
 }
 
-json AdminReplies::latest_purges() const {
+json AdminReplies::latest_purges_json() const {
   json latest = json::array();
   const auto& entries = purges_.log().entries();
-  for (auto entry = entries.rbegin(); entry != entries.rend() && latest.size() < kLatestPurges; ++entry)
-    latest.push_back(standing(entry->second));
+  for (auto entry = entries.rbegin(); entry != entries.rend() && latest.size() < kMaxLatestPurges; ++entry)
+    latest.push_back(purge_json(entry->second));
   return latest;
 }
 
-json AdminReplies::standing(const purge::PurgeEntry& entry) const {
+json AdminReplies::purge_json(const purge::PurgeEntry& entry) const {
   const Seconds now = scheduler_.now();
-  const auto standing = purges_.status(entry);
+  const auto status = purges_.status(entry);
   json lacking = json::array();
-  for (const int peer : standing.peers_lacking)
-    lacking.push_back(names_.peers[static_cast<std::size_t>(peer)]);
+  for (const int peer : status.peers_lacking) lacking.push_back(names_.peers[static_cast<std::size_t>(peer)]);
   json unconfirmed = json::array();
-  for (const int endpoint : standing.servers_unconfirmed)
-    unconfirmed.push_back(router_.endpoint_id(endpoint));
+  for (const int endpoint : status.servers_unconfirmed) unconfirmed.push_back(router_.endpoint_id(endpoint));
   json in_force_age = nullptr;
-  if (standing.accepted_at > 0) in_force_age = now - standing.accepted_at - purges_.promised_delay();
-  return {{"number", number_text(entry.stamp)},   {"issuer", issuer_text(entry.stamp)},
-          {"kind", purge::to_string(entry.kind)}, {"what", entry.target},
-          {"ago_s", now - entry.valid_since},     {"holders", standing.replicas},
-          {"routers", standing.routers},          {"accepted", standing.accepted},
-          {"promise_holds_s_ago", in_force_age},  {"lacking", lacking},
+  if (status.accepted_at > 0) in_force_age = now - status.accepted_at - purges_.promised_delay();
+  return {{"number", number_text(entry.stamp)},
+          {"issuer", stamp_text(entry.stamp)},
+          {"kind", purge::to_string(entry.kind)},
+          {"what", entry.target},
+          {"ago_s", now - entry.valid_since},
+          {"holders", status.replicas},
+          {"routers", status.routers},
+          {"accepted", status.accepted},
+          {"promise_holds_s_ago", in_force_age},
+          {"lacking", lacking},
           {"boxes_unconfirmed", unconfirmed}};
 }
 
 std::string AdminReplies::number_text(const purge::PurgeStamp& stamp) const {
   if (stamp.issuer == purges_.setup().self) return names_.self + ":" + std::to_string(stamp.number);
-  return issuer_text(stamp);
+  return stamp_text(stamp);
 }
 
 const purge::PurgeEntry* AdminReplies::find_purge(const std::string& number) const {
@@ -215,20 +221,20 @@
   auto issuer = purges_.setup().self;
   if (number.find(':') != std::string::npos) {
     const auto name = take_field(rest, ':');
-    if (name != names_.self) issuer = parse<std::uint64_t>(name, "issuer", kHexadecimal);
+    if (name != names_.self) issuer = parse<std::uint64_t>(name, "issuer", kHexBase);
   }
   return purges_.log().find(issuer, parse<std::uint64_t>(rest, "number of a purge"));
 }
 
 // ---- the fleet ----
 
-// Who is of the fleet, and what it knows of the endpoints that discovery may not say: from whom, how old.
+// Members of the fleet, and the replicated observations of endpoints with their observer and age.
 std::string AdminReplies::fleet_status() const {
   const Seconds now = scheduler_.now();
   const auto& fleet = *replication_;
   const auto& datagrams = fleet.counts();
   const auto observations = fleet.tracker().observations().all();
-  const Seconds uptime = std::max(kShortestUptime, now - fleet.started());
+  const Seconds uptime = std::max(kMinUptime, now - fleet.started());
   json reply = {{"ok", true},
                 {"name", names_.self},
                 {"alive", fleet.members().alive_count()},
@@ -237,11 +243,11 @@
                 {"local_trouble", fleet.members().local_health_score()},
                 {"suspected_here", fleet.members().suspicions()},
                 {"refuted", fleet.members().refuted()},
-                {"members", members()},
+                {"members", members_json()},
                 {"facts_held", observations.size()},
                 {"facts_heard", fleet.gossip().observations_received()},
-                {"facts", describe(observations)},
-                {"counters", counters()},
+                {"facts", observations_json(observations)},
+                {"counters", counters_json()},
                 {"facts_refused", fleet.tracker().refused()},
                 {"strangers", datagrams.strangers},
                 {"unreadable", datagrams.unreadable},
@@ -252,7 +258,7 @@
   return dump_replacing(reply);
 }
 
-json AdminReplies::members() const {
+json AdminReplies::members_json() const {
   const Seconds now = scheduler_.now();
   json all = json::array();
   const auto& peers = replication_->members().peers();
@@ -260,11 +266,11 @@
     all.push_back({{"name", names_.peers[n]},
                    {"state", membership::to_string(peers[n].state)},
                    {"for_s", now - peers[n].since},
-                   {"heard_s_ago", age_or_null(now, peers[n].last_heard)}});
+                   {"heard_s_ago", age_json(now, peers[n].last_heard)}});
   return all;
 }
 
-json AdminReplies::describe(const std::vector<replica::EndpointObservation>& observations) const {
+json AdminReplies::observations_json(const std::vector<replica::EndpointObservation>& observations) const {
   const Seconds now = scheduler_.now();
   std::map<std::uint64_t, std::string> endpoints;
   for (int n = 0; n < router_.endpoints(); ++n) {
@@ -274,7 +280,7 @@
   }
   json all = json::array();
   for (const auto& observation : observations) {
-    if (all.size() >= kMostObservations) break;
+    if (all.size() >= kMaxObservations) break;
     const auto known = endpoints.find(observation.endpoint);
     all.push_back(
         {{"server", known == endpoints.end() ? fmt::format("{:016x}", observation.endpoint) : known->second},
@@ -285,7 +291,7 @@
   return all;
 }
 
-json AdminReplies::counters() const {
+json AdminReplies::counters_json() const {
   json all = json::object();
   for (const auto& [name, count] : router_.counters()) all[name] = count;
   return all;
--- a/src/admin/admin_replies.h
+++ b/src/admin/admin_replies.h
@@ -1,5 +1,5 @@
 /// \file
-/// What requests over the admin socket are answered with, as JSON objects of one line.
+/// Replies to the requests over the admin socket, as JSON objects of one line.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +17,12 @@
 
 namespace walkpaddle::admin {
 
-/// What replies say of the router beside its purges and its fleet.
+/// The state of the router that replies include in addition to purges and fleet.
 class RouterView {
  public:
-  /// How many endpoints are known; their numbers begin at 0.
+  /// Number of known endpoints, which are numbered from 0.
   virtual int endpoints() const = 0;
-  /// An endpoint's id, as discovery gives it.
+  /// The id of an endpoint, from discovery.
   virtual std::string endpoint_id(int endpoint) const = 0;
   /// Counters since the start, by name.
   virtual std::vector<std::pair<std::string, std::uint64_t>> counters() const = 0;
@@ -31,20 +31,21 @@
   ~RouterView() = default;
 };
 
-/// Answers requests; issues the purges that they ask for. All that it is given by reference must outlive it.
+/// Answers requests and issues the purges that they request. All that it is given by reference or pointer
+/// must outlive it.
 class AdminReplies {
  public:
-  /// The routers' names.
+  /// Names of the routers.
   struct Names {
-    std::string self;                ///< this router's
-    std::vector<std::string> peers;  ///< in the order of the operator's file
+    std::string self;                ///< name of this router
+    std::vector<std::string> peers;  ///< names of the peers, in the order of the operator's file
   };
-  /// `replication`: null where nothing is shared.
+  /// `replication`: null if observations are not replicated.
   AdminReplies(const Scheduler& scheduler, Log& log, purge::PurgeRegistry& purges, Names names,
                const RouterView& router, const replication::ReplicationService* replication);
 
-  /// The reply to one line, without the line's end. A request that cannot be read or is refused is answered
-  /// with `ok` false and `why`.
+  /// Returns the reply to one request line; neither includes the line's end. The reply to a malformed or
+  /// refused request has `ok` false and the reason in `why`.
   std::string answer(const std::string& line);
 
  private:
@@ -52,13 +53,13 @@
   nlohmann::json issue_purge(const nlohmann::json& request);
   nlohmann::json purge_status(const std::string& number) const;
   nlohmann::json purges_status() const;
-  nlohmann::json standing(const purge::PurgeEntry& entry) const;
-  nlohmann::json latest_purges() const;
-  nlohmann::json purge_peers() const;
+  nlohmann::json purge_json(const purge::PurgeEntry& entry) const;
+  nlohmann::json latest_purges_json() const;
+  nlohmann::json purge_peers_json() const;
   std::string fleet_status() const;
-  nlohmann::json members() const;
-  nlohmann::json describe(const std::vector<replica::EndpointObservation>& observations) const;
-  nlohmann::json counters() const;
+  nlohmann::json members_json() const;
+  nlohmann::json observations_json(const std::vector<replica::EndpointObservation>& observations) const;
+  nlohmann::json counters_json() const;
   std::string number_text(const purge::PurgeStamp& stamp) const;
   const purge::PurgeEntry* find_purge(const std::string& number) const;
 
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-constexpr std::size_t kMostSessions = 8;  // another is closed unheard
-constexpr std::size_t kLongestLine = 4096;
+constexpr std::size_t kMaxSessions = 8;      // further connections are closed at once
+constexpr std::size_t kMaxLineBytes = 4096;  // of a request
 constexpr Seconds kAcceptRetryInterval = 0.1;
 constexpr Seconds kIdleTimeout = 60;
 
-struct SessionCount {
-  explicit SessionCount(std::size_t& counted) : count(counted) { ++count; }
-  SessionCount(const SessionCount&) = delete;
-  SessionCount& operator=(const SessionCount&) = delete;
-  ~SessionCount() { --count; }
+struct SessionCounter {
+  explicit SessionCounter(std::size_t& counted) : count(counted) { ++count; }
+  SessionCounter(const SessionCounter&) = delete;
+  SessionCounter& operator=(const SessionCounter&) = delete;
+  ~SessionCounter() { --count; }
   std::size_t& count;
 };
 
@@ -40,7 +40,7 @@
   while (listener_.open()) {
     Fd fd = listener_.accept();
     if (fd) {
-      if (sessions_ < kMostSessions) scheduler_.start(session(std::move(fd)));
+      if (sessions_ < kMaxSessions) scheduler_.start(session(std::move(fd)));
       continue;
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
@@ -50,14 +50,14 @@
 }
 
 Task AdminServer::session(Fd fd) {
-  const SessionCount counted(sessions_);
+  const SessionCounter counted(sessions_);
   Stream stream(scheduler_, outbox_, std::move(fd));
   for (;;) {
     const auto came = stream.read();
     if (came == Stream::Came::end) break;
     if (came == Stream::Came::bytes) {
       answer_lines(stream);
-      if (stream.in().size() > kLongestLine) break;
+      if (stream.in().size() > kMaxLineBytes) break;
       continue;
     }
     const bool readable = co_await stream.readable(scheduler_.now() + kIdleTimeout);
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,6 +1,6 @@
 /// \file
-/// The admin socket of a running router: a Unix-domain socket, mode 0600; JSON objects of one line each way,
-/// bounded. What is asked is carried out on the router's own scheduler, between two of its turns.
+/// The admin socket of a running router: a Unix-domain socket with mode 0600. Requests and replies are JSON
+/// objects of one line; the length of a request is bounded. Requests run on the router's scheduler.
 #pragma once
 
 #include <cstddef>
@@ -14,11 +14,11 @@
 
 namespace walkpaddle::admin {
 
-/// Listens, reads requests and writes replies. Scheduler and outbox must outlive it.
+/// Accepts connections, reads requests and writes replies. Scheduler and outbox must outlive it.
 class AdminServer {
  public:
-  /// Throws SystemError if the socket cannot be made. One that a dead router left is replaced; one that
-  /// answers is another router's and is not.
+  /// Throws SystemError if the socket cannot be created. A socket file left by a dead router is replaced. If
+  /// another process listens on it, construction fails.
   AdminServer(Scheduler& scheduler, Outbox& outbox, std::string path, AdminReplies replies);
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
--- a/src/admin/change_documents.cpp
+++ b/src/admin/change_documents.cpp
@@ -19,9 +19,9 @@
 namespace fs = std::filesystem;
 using config::Section;
 
-constexpr std::size_t kMostFiles = 256;
-constexpr std::size_t kApprovers = 2;
-constexpr Seconds kEndOfTime = 1e11;
+constexpr std::size_t kMaxFiles = 256;
+constexpr std::size_t kRequiredApprovers = 2;
+constexpr Seconds kMaxUnixTime = 1e11;
 
 std::uint8_t read_work(const Section& section, const std::string& word) {
   if (word == "settings") return freeze::kSettings;
@@ -61,19 +61,20 @@
   return {section.title(), static_cast<std::uint32_t>(version)};
 }
 
-// The end of an exception is given in UTC; 0 where there is no such time.
+// The end of an exception, given in UTC, as Unix time; 0 if the time does not exist.
 Seconds utc_seconds(const freeze::LocalTime& until) {
   const freeze::Window window{
       .name = "e", .zone = "UTC", .from = {1970, 1, 1, 0, 0}, .until = until, .author = "e"};
-  const auto spans = freeze::spans(window, 0, kEndOfTime, 0);
+  const auto spans = freeze::spans(window, 0, kMaxUnixTime, 0);
   return spans.empty() ? 0 : spans.front().until;
 }
 
 freeze::Exception read_exception(const Section& section, Seconds now) {
   const auto approvers = section.texts("approvers");
-  if (approvers.size() != kApprovers) section.refuse("an exception has two approvers", "approvers");
+  if (approvers.size() != kRequiredApprovers)
+    section.refuse("an exception needs exactly two approvers", "approvers");
   const auto until = read_local_time(section, "until");
-  if (until.year == 0) section.refuse("until has no year", "until");
+  if (until.year == 0) section.refuse("until needs a year", "until");
   freeze::Exception exception{.change = section.text("change"),
                               .window = section.text("window"),
                               .reason = section.text("reason"),
@@ -88,8 +89,8 @@
   section.refuse(fmt::format("change {}: {}", section.title(), why), key);
 }
 
-// Lines "path=value" of settings that a router takes while it serves.
-std::string read_settings_lines(const Section& section, const std::vector<std::string>& lines) {
+// Joins lines "path=value". Only settings that a router applies while it serves are allowed.
+std::string join_settings(const Section& section, const std::vector<std::string>& lines) {
   std::string joined;
   for (const auto& line : lines) {
     std::string_view value = line;
@@ -97,7 +98,7 @@
     if (!config::is_live_setting(key))
       refuse_change(
           section,
-          fmt::format("'{}' does not change while a router serves; it takes a release or a restart", key),
+          fmt::format("'{}' cannot be changed while a router serves; it needs a release or a restart", key),
           key);
     if (value.empty() || value.find_first_of("\n ") != std::string_view::npos)
       refuse_change(section, fmt::format("'{}', expected path=value", line), key);
@@ -111,12 +112,12 @@
   auto program = section.text("program");
   if (work == freeze::kRelease) {
     if (program.empty() || !settings.empty())
-      refuse_change(section, "a release names its program and no settings");
+      refuse_change(section, "a release needs program and must not have settings");
     return program;
   }
   if (settings.empty() || !program.empty())
-    refuse_change(section, "a change of settings names settings and no program");
-  return read_settings_lines(section, settings);
+    refuse_change(section, "a change of settings needs settings and must not have program");
+  return join_settings(section, settings);
 }
 
 rollout::RolloutPlan read_change(const Section& section) {
@@ -141,10 +142,10 @@
 }
 
 std::pair<std::string, std::string> read_stop(const Section& section) {
-  return {section.title(), section.required_text("why", "a stop says why")};
+  return {section.title(), section.required_text("why", "a stop needs a reason: key why is missing")};
 }
 
-// ---- the form of each section, for the library; it copies them ----
+// ---- option tables of the sections; libConfuse copies them ----
 
 cfg_opt_t* window_options() {
   static cfg_opt_t options[] = {CFG_INT("version", 1, CFGF_NONE),
@@ -224,7 +225,7 @@
   for (const auto& entry : fs::directory_iterator(folder, error))
     if (entry.path().extension() == ".conf") paths.push_back(entry.path().string());
   if (error) throw InputError("cannot read the folder " + folder + ": " + error.message());
-  if (paths.size() > kMostFiles) throw ConfigError({.file = folder}, "more than 256 documents");
+  if (paths.size() > kMaxFiles) throw ConfigError({.file = folder}, "more than 256 documents");
   std::ranges::sort(paths);
   ChangeDocuments documents;
   for (const auto& path : paths) read_file(path, now, documents);
--- a/tests/change_sockets.cpp
+++ b/tests/change_sockets.cpp
@@ -97,9 +97,9 @@
     Event e(s);
     const auto pause = [&](Seconds t) { return e.wait(s.now() + t); };
     co_await pause(8);  // routers vote for nobody before their lease has passed once
-    if (!all_say("runs g1, the fleet stands at g1; its calendar is current")) tell_all();
+    if (!all_say("runs g1, fleet generation g1; freeze calendar is current")) tell_all();
     say("eight routers stand at g1, their calendars current",
-        all_say("runs g1, the fleet stands at g1; its calendar is current"));
+        all_say("runs g1, fleet generation g1; freeze calendar is current"));
 
     fleet.document(3, "c1", settings_text("c1", "g1", "g2"));
     for (const Seconds until = s.now() + 40; s.now() < until && !(driver() >= 0 && all_say("stage 1 of 3"));)
@@ -127,20 +127,20 @@
     for (const int away : {a, b})
       for (int n = 0; n < kRouters; ++n)
         if (n != a && n != b) fleet.cut(away, n, 0);
-    for (const Seconds until = s.now() + 90; s.now() < until && !all_say("runs g2, the fleet stands at g2");)
+    for (const Seconds until = s.now() + 90; s.now() < until && !all_say("runs g2, fleet generation g2");)
       co_await pause(0.5);
-    if (!idle || !all_say("runs g2, the fleet stands at g2")) tell_all();
+    if (!idle || !all_say("runs g2, fleet generation g2")) tell_all();
     say("two cut off through a stage drive nothing, and all come to g2",
-        idle && all_say("runs g2, the fleet stands at g2"));
+        idle && all_say("runs g2, fleet generation g2"));
     int moves = 0;
     for (int n = 0; n < kRouters; ++n) moves += logged(n, "change c1: this router runs g2");
     say("every router was moved", moves == kRouters);
 
     for (int n = 0; n < kRouters; ++n) fleet.kill(n);
     for (int n = 0; n < kRouters; ++n) fleet.start(n);
-    for (const Seconds until = s.now() + 20; s.now() < until && !all_say("runs g2, the fleet stands at g2");)
+    for (const Seconds until = s.now() + 20; s.now() < until && !all_say("runs g2, fleet generation g2");)
       co_await pause(0.5);
-    say("the whole fleet killed and started again is at g2", all_say("runs g2, the fleet stands at g2"));
+    say("the whole fleet killed and started again is at g2", all_say("runs g2, fleet generation g2"));
 
     fleet.document(5, "c2", settings_text("c2", "g2", "g3"));
     for (const Seconds until = s.now() + 60; s.now() < until && !all_say("stage 2 of 3");)
@@ -149,7 +149,7 @@
     fleet.kill(6);
     const Seconds stopped = s.now();
     fleet.document(1, "stop", "stop \"c2\" { why = \"the pager rang\" }\n");
-    for (const Seconds until = s.now() + 20; s.now() < until && !all_say("runs g2, the fleet stands at g2");)
+    for (const Seconds until = s.now() + 20; s.now() < until && !all_say("runs g2, fleet generation g2");)
       co_await pause(0.1);
     std::fprintf(stderr, "from the stop to the last router back: %.1f s\n", s.now() - stopped);
     say("a stop that one is told is heeded by all, and all go back",
@@ -192,11 +192,11 @@
     const auto before = sums();
     fleet.document(2, "c1", release_text("present", program, true));
     for (const Seconds until = s.now() + 200;
-         s.now() < until && !all_say("runs present, the fleet stands at present");)
+         s.now() < until && !all_say("runs present, fleet generation present");)
       co_await pause(0.5);
-    if (!all_say("runs present, the fleet stands at present")) tell_all();
+    if (!all_say("runs present, fleet generation present")) tell_all();
     say("a release goes through, each process making way for the next in its place",
-        all_say("runs present, the fleet stands at present"));
+        all_say("runs present, fleet generation present"));
     bool once = true, same = true;
     for (int n = 0; n < kRouters; ++n)
       once = once && fleet.starts(n) == 1, same = same && logged(n, "hands over to present");
