--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -61,9 +61,9 @@
     pollfd readable{fd_.get(), POLLIN, 0};
     if (::poll(&readable, 1, kReplyTimeoutMs) <= 0) throw Error("the router does not answer");
     char bytes[kReadBytes];
-    const auto got = ::recv(fd_.get(), bytes, sizeof bytes, 0);
-    if (got <= 0) throw Error("the router closed the connection");
-    received_.append(bytes, static_cast<std::size_t>(got));
+    const auto received_bytes = ::recv(fd_.get(), bytes, sizeof bytes, 0);
+    if (received_bytes <= 0) throw Error("the router closed the connection");
+    received_.append(bytes, static_cast<std::size_t>(received_bytes));
   }
 
   Fd fd_;
@@ -99,7 +99,7 @@
 std::string in_force_text(const json& seconds_ago) {
   if (seconds_ago.is_null()) return "";
   const double seconds = seconds_ago.get<double>();
-  return seconds >= 0 ? fmt::format(", no stale copies since {:.1f} s ago", seconds)
+  return seconds >= 0 ? fmt::format(", no stale copies for the last {:.1f} s", seconds)
                       : fmt::format(", no stale copies in {:.1f} s", -seconds);
 }
 
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -121,16 +121,17 @@
 }
 
 replication::ReplicationService::Setup Server::replication_setup() {
-  return {.name = operator_config_.fleet.name,
-          .listen = parse_address(operator_config_.fleet.listen),
-          .peers = fleet_peers(operator_config_),
-          .seed = fold_seed(config_.seed),
-          .store = store_.get(),
-          .on_observations = [this] { discovery_.apply_observations(); },
-          .take_snapshot = [this] { return warm_start_.replicated_snapshot(); },
-          .restore_snapshot =
-              [this](const gossip::ReplicatedSnapshot& kept) { warm_start_.restore_replicated(kept); },
-          .changes = rollout_agent_.coordinator_setup()};
+  return {
+      .name = operator_config_.fleet.name,
+      .listen = parse_address(operator_config_.fleet.listen),
+      .peers = fleet_peers(operator_config_),
+      .seed = fold_seed(config_.seed),
+      .store = store_.get(),
+      .on_observations = [this] { discovery_.apply_observations(); },
+      .take_snapshot = [this] { return warm_start_.replicated_snapshot(); },
+      .restore_snapshot =
+          [this](const gossip::ReplicatedSnapshot& snapshot) { warm_start_.restore_replicated(snapshot); },
+      .changes = rollout_agent_.coordinator_setup()};
 }
 
 void Server::open_admin_socket() {
--- a/src/server/signals.cpp
+++ b/src/server/signals.cpp
@@ -39,8 +39,8 @@
 
 int Signals::take() {
   signalfd_siginfo info;
-  const auto got = ::read(fd_.get(), &info, sizeof info);
-  return got == sizeof info ? static_cast<int>(info.ssi_signo) : 0;
+  const auto bytes = ::read(fd_.get(), &info, sizeof info);
+  return bytes == sizeof info ? static_cast<int>(info.ssi_signo) : 0;
 }
 
 }  // namespace walkpaddle::server
--- a/src/server/warm_start.cpp
+++ b/src/server/warm_start.cpp
@@ -32,28 +32,28 @@
   try {
     std::ifstream in(file_, std::ios::binary);
     if (!in) return log_("learnt", "no snapshot file {}, starting without one", file_);
-    const auto kept = warm_start::parse_snapshot(read_bounded(in), settings_.text("family"),
-                                                 settings_.number(kTransferRateKey), now);
+    const auto file_snapshot = warm_start::parse_snapshot(read_bounded(in), settings_.text("family"),
+                                                          settings_.number(kTransferRateKey), now);
     WarmStartSnapshot snapshot;
-    const int service_times = restore_service_times(kept, snapshot);
-    const int unreachable = restore_unreachable_endpoints(kept, snapshot);
+    const int service_times = restore_service_times(file_snapshot, snapshot);
+    const int unreachable = restore_unreachable_endpoints(file_snapshot, snapshot);
     dispatcher_.input().restore_snapshot(snapshot);
     log_("learnt", "restored from {}, {:.0f} s old: {} service times, {} unreachable endpoints", file_,
-         now - kept.written_at, service_times, unreachable);
+         now - file_snapshot.written_at, service_times, unreachable);
   } catch (const std::exception& e) {
     log_("learnt", "{} refused: {}; starting without a snapshot", file_, e.what());
   }
 }
 
 // Matches the file's service times to the current classes by name. Returns the number of matches.
-int WarmStart::restore_service_times(const warm_start::SnapshotFile& kept,
+int WarmStart::restore_service_times(const warm_start::SnapshotFile& file_snapshot,
                                      WarmStartSnapshot& snapshot) const {
   int known = 0;
   for (const auto& request_class : config::request_class_names(settings_)) {
-    const auto at = std::ranges::find(kept.service_times, request_class.name,
+    const auto at = std::ranges::find(file_snapshot.service_times, request_class.name,
                                       &warm_start::SnapshotFile::ServiceTime::request_class);
     WarmStartSnapshot::ServiceTime time;
-    if (at != kept.service_times.end()) time = {at->mean, at->answers};
+    if (at != file_snapshot.service_times.end()) time = {at->mean, at->answers};
     if (time.answers > 0) ++known;
     snapshot.service_times.push_back(time);
   }
@@ -61,10 +61,10 @@
 }
 
 // Restores only endpoints in the current list. For one that started since, the list's report stands.
-int WarmStart::restore_unreachable_endpoints(const warm_start::SnapshotFile& kept,
+int WarmStart::restore_unreachable_endpoints(const warm_start::SnapshotFile& file_snapshot,
                                              WarmStartSnapshot& snapshot) const {
   int restored = 0;
-  for (const auto& unreached : kept.unreachable) {
+  for (const auto& unreached : file_snapshot.unreachable) {
     for (int endpoint = 0; endpoint < upstream_.endpoint_count(); ++endpoint) {
       if (upstream_.id(endpoint) != unreached.id) continue;
       snapshot.unreachable.push_back({endpoint, unreached.failed_at});
@@ -76,32 +76,32 @@
 
 warm_start::SnapshotFile WarmStart::make_snapshot_file() {
   const auto snapshot = dispatcher_.input().snapshot();
-  warm_start::SnapshotFile kept{.family = std::string(settings_.text("family")),
-                                .client_kb_per_s = settings_.number(kTransferRateKey),
-                                .written_at = scheduler_.now()};
+  warm_start::SnapshotFile file_snapshot{.family = std::string(settings_.text("family")),
+                                         .client_kb_per_s = settings_.number(kTransferRateKey),
+                                         .written_at = scheduler_.now()};
   const auto names = config::request_class_names(settings_);
   const auto classes = std::min(names.size(), snapshot.service_times.size());
   for (std::size_t n = 0; n < classes; ++n) {
     const auto& time = snapshot.service_times[n];
-    if (time.answers > 0) kept.service_times.push_back({names[n].name, time.mean, time.answers});
+    if (time.answers > 0) file_snapshot.service_times.push_back({names[n].name, time.mean, time.answers});
   }
   for (const auto& unreachable : snapshot.unreachable)
-    kept.unreachable.push_back({std::string(upstream_.id(unreachable.endpoint)), unreachable.at});
-  return kept;
+    file_snapshot.unreachable.push_back({std::string(upstream_.id(unreachable.endpoint)), unreachable.at});
+  return file_snapshot;
 }
 
 void WarmStart::write_file() {
   if (file_.empty()) return;
-  const auto kept = make_snapshot_file();
+  const auto file_snapshot = make_snapshot_file();
   // Renamed when complete, so that a start that reads meanwhile finds the previous file.
   const auto temporary = file_ + ".new";
   std::ofstream out(temporary, std::ios::binary | std::ios::trunc);
-  out << warm_start::serialize(kept) << std::flush;
+  out << warm_start::serialize(file_snapshot) << std::flush;
   out.close();
   if (!out || std::rename(temporary.c_str(), file_.c_str()) != 0)
     return log_("learnt", "cannot write {}: {}", file_, std::system_category().message(errno));
-  log_("learnt", "wrote {}: {} service times, {} unreachable endpoints", file_, kept.service_times.size(),
-       kept.unreachable.size());
+  log_("learnt", "wrote {}: {} service times, {} unreachable endpoints", file_,
+       file_snapshot.service_times.size(), file_snapshot.unreachable.size());
 }
 
 gossip::ReplicatedSnapshot WarmStart::replicated_snapshot() const {
--- a/src/server/warm_start.h
+++ b/src/server/warm_start.h
@@ -39,8 +39,9 @@
   void restore_replicated(const gossip::ReplicatedSnapshot& replicated);
 
  private:
-  int restore_service_times(const warm_start::SnapshotFile& kept, WarmStartSnapshot& snapshot) const;
-  int restore_unreachable_endpoints(const warm_start::SnapshotFile& kept, WarmStartSnapshot& snapshot) const;
+  int restore_service_times(const warm_start::SnapshotFile& file_snapshot, WarmStartSnapshot& snapshot) const;
+  int restore_unreachable_endpoints(const warm_start::SnapshotFile& file_snapshot,
+                                    WarmStartSnapshot& snapshot) const;
   warm_start::SnapshotFile make_snapshot_file();
 
   const std::string& file_;
