--- a/src/server/warm_start.cpp
+++ b/src/server/warm_start.cpp
@@ -60,7 +60,7 @@
   return known;
 }
 
-// Restores only endpoints in the current list. For one that started since, the list's report stands.
+// Passes on only endpoints in the current list. The policy ignores the record of one that has started since.
 int WarmStart::restore_unreachable_endpoints(const warm_start::SnapshotFile& file_snapshot,
                                              WarmStartSnapshot& snapshot) const {
   int restored = 0;
