--- a/src/admin/admin_replies.cpp
+++ b/src/admin/admin_replies.cpp
@@ -249,12 +249,12 @@
                 {"facts", observations_json(observations)},
                 {"counters", counters_json()},
                 {"facts_refused", fleet.tracker().refused()},
-                {"strangers", datagrams.strangers},
+                {"strangers", datagrams.unknown_senders},
                 {"unreadable", datagrams.unreadable},
                 {"unsent", datagrams.unsent},
                 {"bytes_in_a_s", static_cast<double>(datagrams.bytes_received) / uptime},
                 {"bytes_out_a_s", static_cast<double>(datagrams.bytes_sent) / uptime}};
-  add_rollouts(reply, fleet.changes(), now);
+  add_rollouts(reply, fleet.rollouts(), now);
   return dump_replacing(reply);
 }
 
@@ -266,7 +266,7 @@
     all.push_back({{"name", names_.peers[n]},
                    {"state", membership::to_string(peers[n].state)},
                    {"for_s", now - peers[n].since},
-                   {"heard_s_ago", age_json(now, peers[n].last_heard)}});
+                   {"heard_s_ago", age_json(now, peers[n].last_contact)}});
   return all;
 }
 
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -142,9 +142,9 @@
                                     net::DiscoveryEvents& events) {
   return with_config_errors([&] {
     const auto known = json::parse(initial_events);
-    events.known_begin(newest_timestamp(known.at("batch")));
+    events.begin_initial_events(newest_timestamp(known.at("batch")));
     for (const auto& event : known.at("batch")) replay_event(event, settings, events);
-    events.known_end();
+    events.end_initial_events();
     return known.at("offset").get<std::uint64_t>();
   });
 }
--- a/src/server/descriptor_budget.cpp
+++ b/src/server/descriptor_budget.cpp
@@ -16,7 +16,7 @@
 constexpr int kDiscovery = 1;  // its connection, or the spare descriptor reserved for it
 constexpr int kOpenFile = 1;   // configuration or snapshot file, one at a time
 constexpr int kJustAccepted = 1;
-constexpr int kClosingClients = static_cast<int>(net::ClientListener::kMaxLeaving);
+constexpr int kClosingClients = static_cast<int>(net::ClientListener::kMaxClosing);
 constexpr int kSpare = 1;
 constexpr int kAlwaysOpen = kStandardStreams + kEpoll + kSignals + kClientListener + kDiscovery + kOpenFile +
                             kJustAccepted + kClosingClients + kSpare;
--- a/src/server/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -128,7 +128,7 @@
     const bool list_known = parts_.discovery.has_initial_list();
     if (parts_.dispatcher.guard().may_report_ready(list_known, true) != guard::Invariant::none) return;
   }
-  parts_.client_listener.set_alive_word(health);
+  parts_.client_listener.set_alive_reply(health);
   parts_.log("phase", "{}, {} client connections, {} open requests", to_string(phase),
              parts_.client_listener.count(), parts_.dispatcher.open_requests());
 }
--- a/src/server/rollout_agent.cpp
+++ b/src/server/rollout_agent.cpp
@@ -97,7 +97,7 @@
 void RolloutAgent::finish_start() {
   ready_ = true;
   ::alarm(0);
-  parts_.log("change", "this router runs {}", replication_->changes()->rollout().running());
+  parts_.log("change", "this router runs {}", replication_->rollouts()->rollout().running());
   reload_documents();
 }
 
@@ -108,8 +108,8 @@
   const auto& folder = parts_.operator_config.rollouts.folder;
   try {
     const auto documents = admin::read_change_documents(folder, now);
-    auto& calendar = replication_->changes()->calendar();
-    auto& rollout = replication_->changes()->rollout();
+    auto& calendar = replication_->rollouts()->calendar();
+    auto& rollout = replication_->rollouts()->rollout();
     for (const auto& window : documents.windows) calendar.declare(window);
     for (const auto& [window, version] : documents.withdrawals) calendar.withdraw(window, version);
     for (const auto& exception : documents.exceptions) calendar.add_exception(exception);
@@ -138,7 +138,7 @@
   else if (predecessor != nullptr)
     program = predecessor;
   if (program.empty() || ::access(program.c_str(), X_OK) != 0) {
-    auto& rollout = replication_->changes()->rollout();
+    auto& rollout = replication_->rollouts()->rollout();
     return rollout.move_failed("'" + program + "' is not an executable file on this router");
   }
   successor_ = Successor{move, program, settings_lines_, Fd()};
@@ -149,7 +149,7 @@
 // are added to the platform's each time, so that a rollback only has to apply the earlier generation's
 // settings.
 void RolloutAgent::apply_generation(const rollout::GenerationMove& move) {
-  auto& rollout = replication_->changes()->rollout();
+  auto& rollout = replication_->rollouts()->rollout();
   const Seconds now = parts_.scheduler.now();
   const auto& lines = settings_of(move);
   try {
--- a/src/server/rollout_agent.h
+++ b/src/server/rollout_agent.h
@@ -47,7 +47,7 @@
     Scheduler& scheduler;                  ///< its clock
     Log& log;                              ///< gets a line for each reload of documents and each hot restart
     const config::PlatformConfig& config;  ///< the platform's settings, which rollouts add to
-    const config::OperatorConfig& operator_config;  ///< its section `changes`
+    const config::OperatorConfig& operator_config;  ///< its section `rollouts`
     Signals& signals;                               ///< woken when a successor is requested
     net::RequestDispatcher& dispatcher;             ///< settings are applied to it
     Metrics& metrics;                               ///< counters for the canary verdict
@@ -72,7 +72,7 @@
   void take_listener(Fd listener) override;
 
  private:
-  bool rollouts_enabled() const { return replication_ != nullptr && replication_->changes() != nullptr; }
+  bool rollouts_enabled() const { return replication_ != nullptr && replication_->rollouts() != nullptr; }
   void carry_out(const rollout::GenerationMove& move);
   void request_successor(const rollout::GenerationMove& move);
   void apply_generation(const rollout::GenerationMove& move);
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -131,7 +131,7 @@
       .take_snapshot = [this] { return warm_start_.replicated_snapshot(); },
       .restore_snapshot =
           [this](const gossip::ReplicatedSnapshot& snapshot) { warm_start_.restore_replicated(snapshot); },
-      .changes = rollout_agent_.coordinator_setup()};
+      .rollouts = rollout_agent_.coordinator_setup()};
 }
 
 void Server::open_admin_socket() {
@@ -150,7 +150,7 @@
   }
   if (purge_persister_) purge_persister_->on_turn_end();
   if (links_) links_->on_turn_end();
-  if (replication_) replication_->pull();
+  if (replication_) replication_->on_turn_end();
   rollout_agent_.on_turn_end();
 }
 
