--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -57,10 +57,10 @@
   request_class.deduplication = value_of_name(
       settings.text(path + "group"),
       {{"zone", DeduplicationScope::location}, {"cell", DeduplicationScope::cell}}, DeduplicationScope::all);
-  request_class.deduplication_window = settings.ms(path + "window");
-  request_class.latency_objective = settings.ms(path + "aim");
+  request_class.deduplication_window = settings.duration(path + "window");
+  request_class.latency_objective = settings.duration(path + "aim");
   request_class.latency_objective_stretch = settings.number(path + "aim_stretch");
-  request_class.deadline = settings.ms(path + "deadline");
+  request_class.deadline = settings.duration(path + "deadline");
   request_class.priority = settings.number(path + "gain", 1);
   request_class.max_age = settings.item_number("specifics.class_fresh", n) / 1e3;
   request_class.in_parts = settings.item("specifics.in_parts", n) == "true";
@@ -70,47 +70,48 @@
 
 // ---- checks ----
 
-// Times in milliseconds: a day is longer than any of them can mean. Sizes: what an index or a count can hold.
+// Upper bounds far above any sensible value: a day for times, which are in milliseconds, and for numbers what
+// an index or a counter can hold.
 constexpr double kDayMs = 86'400'000;
-constexpr double kLargestCount = 1'000'000;
-constexpr double kLongestTickMs = 1000;
-constexpr double kLargestRate = 1e9;
+constexpr double kMaxCount = 1'000'000;
+constexpr double kMaxTickMs = 1000;
+constexpr double kMaxRate = 1e9;
 
 struct Range {
   const char* key;
-  double least;
-  double most;
+  double min;
+  double max;
 };
 
-constexpr Range kRanges[] = {{"fleet_size", 1, kLargestCount},
-                             {"locality", 0, kLargestCount},
-                             {"tick", 0, kLongestTickMs},
-                             {"specifics.second_tier_kind", -1, kLargestCount},
-                             {"specifics.origin_kind", -1, kLargestCount},
-                             {"specifics.client_kb_per_s", 0, kLargestRate},
+constexpr Range kRanges[] = {{"fleet_size", 1, kMaxCount},
+                             {"locality", 0, kMaxCount},
+                             {"tick", 0, kMaxTickMs},
+                             {"specifics.second_tier_kind", -1, kMaxCount},
+                             {"specifics.origin_kind", -1, kMaxCount},
+                             {"specifics.client_kb_per_s", 0, kMaxRate},
                              {"specifics.upper_cold_from", 0, 1},
-                             {"specifics.upper_fall_multiple", 0, kLargestCount},
+                             {"specifics.upper_fall_multiple", 0, kMaxCount},
                              {"specifics.parent_warms_in", 0, kDayMs},
                              {"specifics.purge_settles", 0, kDayMs},
                              {"rules.cold_from", 0, 1},
-                             {"rules.fall_multiple", 0, kLargestCount},
+                             {"rules.fall_multiple", 0, kMaxCount},
                              {"rules.warm_after", 0, kDayMs},
                              {"rules.overload_for", 0, kDayMs},
-                             {"allowed.max_attempts", 1, kLargestCount},
+                             {"allowed.max_attempts", 1, kMaxCount},
                              {"allowed.max_retry_after", 0, kDayMs},
-                             {"allowed.streams_per_conn", 1, kLargestCount},
+                             {"allowed.streams_per_conn", 1, kMaxCount},
                              {"allowed.dial_timeout", 0, kDayMs},
                              {"allowed.idle_close", 0, kDayMs}};
 constexpr Range kClassRanges[] = {{"window", 0, kDayMs},
                                   {"aim", 0, kDayMs},
                                   {"deadline", 0, kDayMs},
-                                  {"aim_stretch", 0, kLargestCount},
-                                  {"gain", 0, kLargestCount}};
+                                  {"aim_stretch", 0, kMaxCount},
+                                  {"gain", 0, kMaxCount}};
 
-constexpr std::size_t kMostWords = 4;
+constexpr std::size_t kMaxWords = 4;
 struct Words {
   const char* key;
-  std::array<std::string_view, kMostWords> allowed;  // empty past the last
+  std::array<std::string_view, kMaxWords> allowed;  // unused elements are empty
 };
 
 constexpr Words kWords[] = {{"specifics.direct", {"true", "false", "1", "0"}},
@@ -141,9 +142,9 @@
   const auto key = path + range.key;
   const auto text = settings.text(key);
   if (text.empty()) return;
-  const double value = parse_or(text, range.most + 1);
-  if (value < range.least || value > range.most)
-    refuse(key, text, plain_text(range.least) + " to " + plain_text(range.most));
+  const double value = parse_or(text, range.max + 1);
+  if (value < range.min || value > range.max)
+    refuse(key, text, plain_text(range.min) + " to " + plain_text(range.max));
 }
 
 void check_words(const Settings& settings, const std::string& path, const Words& words) {
@@ -161,11 +162,12 @@
   for (const auto& words : kClassWords) check_words(settings, path, words);
   for (const auto& range : kClassRanges) check_range(settings, path, range);
   const auto window = settings.text(path + "window");
-  if (settings.text(path + "effect") == "guarded" && !window.empty() && settings.ms(path + "window") <= 0)
+  if (settings.text(path + "effect") == "guarded" && !window.empty() &&
+      settings.duration(path + "window") <= 0)
     refuse(path + "window", window, "more than 0 for a guarded class");
 }
 
-// Lists have a value for each class, or are absent.
+// A list of values by class is absent or has one value for each class.
 void check_class_lists(const Settings& settings, int classes) {
   for (const std::string key : {"specifics.class_fresh", "specifics.in_parts", "specifics.pass_on"}) {
     const auto list = settings.text(key);
@@ -175,24 +177,25 @@
 }
 
 void check_placement(const Settings& settings) {
-  const auto location = static_cast<std::size_t>(settings.whole("locality"));
+  const auto location = static_cast<std::size_t>(settings.integer("locality"));
   const auto text = settings.item("specifics.seats_by_zone", location);
   if (text.empty()) return;
   const double here = parse_or(text, -1.0);
   const double everywhere = settings.number("fleet_size", here);
-  if (here < 0 || here > everywhere) refuse("specifics.seats_by_zone", text, "0 to fleet_size here");
+  if (here < 0 || here > everywhere)
+    refuse("specifics.seats_by_zone", text, "0 to fleet_size at this location");
 }
 
 void check_roles(const Settings& settings) {
   const std::string key = "specifics.second_tier_kind";
-  const int parents = settings.whole(key, -1);
-  if (parents >= 0 && parents == settings.whole("specifics.origin_kind", -1))
-    refuse(key, settings.text(key), "another kind than origin_kind");
+  const int parents = settings.integer(key, -1);
+  if (parents >= 0 && parents == settings.integer("specifics.origin_kind", -1))
+    refuse(key, settings.text(key), "a kind other than origin_kind");
 }
 
 void check_load_reports(const Settings& settings) {
   if (settings.text("report.source") == "answers" && settings.text("report.names").empty())
-    refuse("report.names", "", "the names of the values, as report.source is 'answers'");
+    refuse("report.names", "", "names of the reported values, which report.source = answers requires");
 }
 
 }  // namespace
@@ -200,7 +203,7 @@
 void check_settings(const Settings& settings) {
   for (const auto& range : kRanges) check_range(settings, "", range);
   for (const auto& words : kWords) check_words(settings, "", words);
-  const int classes = settings.whole("categories.count");
+  const int classes = settings.integer("categories.count");
   for (int n = 0; n < classes; ++n) check_request_class(settings, static_cast<std::size_t>(n));
   check_class_lists(settings, classes);
   check_placement(settings);
@@ -216,19 +219,19 @@
 }
 
 void apply_settings(const Settings& settings, RoutingPolicy& policy) {
-  const int location = settings.whole("locality");
+  const int location = settings.integer("locality");
   const int here =
       static_cast<int>(settings.item_number("specifics.seats_by_zone", static_cast<std::size_t>(location)));
-  policy.set_placement({location, std::max(1, here), std::max(1, settings.whole("fleet_size", 1))});
-  policy.set_roles({settings.whole("specifics.second_tier_kind", -1),
-                    settings.whole("specifics.origin_kind", -1), settings.flag("specifics.direct")});
+  policy.set_placement({location, std::max(1, here), std::max(1, settings.integer("fleet_size", 1))});
+  policy.set_roles({settings.integer("specifics.second_tier_kind", -1),
+                    settings.integer("specifics.origin_kind", -1), settings.flag("specifics.direct")});
   for (const auto& request_class : request_classes(settings)) policy.add_request_class(request_class);
-  const SlowStartSettings caches{settings.number("rules.cold_from", 1),
-                                 settings.number("rules.fall_multiple", 1), settings.ms("rules.warm_after"),
-                                 settings.ms("rules.overload_for")};
+  const SlowStartSettings caches{
+      settings.number("rules.cold_from", 1), settings.number("rules.fall_multiple", 1),
+      settings.duration("rules.warm_after"), settings.duration("rules.overload_for")};
   const SlowStartSettings parents{
       settings.number("specifics.upper_cold_from", 1), settings.number("specifics.upper_fall_multiple", 1),
-      settings.ms("specifics.parent_warms_in"), settings.ms("rules.overload_for")};
+      settings.duration("specifics.parent_warms_in"), settings.duration("rules.overload_for")};
   policy.set_slow_start(caches, parents);
   const auto weights = settings.text("weights");
   policy.set_weights_are_transfers(weights == "nominal" || weights == "rough");
@@ -244,7 +247,7 @@
 }
 
 void apply_live_settings(const Settings& settings, RoutingPolicy& policy) {
-  policy.set_retries({settings.whole("allowed.max_attempts", 1), settings.flag("allowed.cancel")});
+  policy.set_retries({settings.integer("allowed.max_attempts", 1), settings.flag("allowed.cancel")});
   const auto sibling_fills =
       value_of_name(settings.text("specifics.peers_fill"),
                     {{"location", SiblingFills::location}, {"any", SiblingFills::any}}, SiblingFills::none);
@@ -254,8 +257,8 @@
   policy.set_fills({sibling_fills, settings.flag("specifics.merges_fills"), reporting,
                     settings.number("specifics.client_kb_per_s")});
   const bool retry_after = settings.flag("allowed.retry_after");
-  policy.set_client_settings(
-      {settings.flag("client_habits.marks_retry"), retry_after ? settings.ms("allowed.max_retry_after") : 0});
+  policy.set_client_settings({settings.flag("client_habits.marks_retry"),
+                              retry_after ? settings.duration("allowed.max_retry_after") : 0});
 }
 
 }  // namespace walkpaddle::config
--- a/tests/change_sockets.cpp
+++ b/tests/change_sockets.cpp
@@ -99,9 +99,9 @@
     Event timer(scheduler);
     const auto pause = [&](Seconds duration) { return timer.wait(scheduler.now() + duration); };
     co_await pause(8);  // no router votes within one lease of its start
-    if (!all_report("runs g1, the fleet stands at g1; its calendar is current")) print_statuses();
+    if (!all_report("runs g1, fleet generation g1; freeze calendar is current")) print_statuses();
     check("all eight routers run g1 and their calendars are current",
-          all_report("runs g1, the fleet stands at g1; its calendar is current"));
+          all_report("runs g1, fleet generation g1; freeze calendar is current"));
 
     fleet.document(3, "c1", settings_text("c1", "g1", "g2"));
     for (const Seconds until = scheduler.now() + 40;
@@ -133,13 +133,13 @@
       for (int n = 0; n < kRouters; ++n)
         if (n != a && n != b) fleet.cut(away, n, 0);
     for (const Seconds until = scheduler.now() + 90;
-         scheduler.now() < until && !all_report("runs g2, the fleet stands at g2");)
+         scheduler.now() < until && !all_report("runs g2, fleet generation g2");)
       co_await pause(0.5);
-    if (!neither_drives || !all_report("runs g2, the fleet stands at g2")) print_statuses();
+    if (!neither_drives || !all_report("runs g2, fleet generation g2")) print_statuses();
     check(
         "two routers that are cut off during a stage do not drive, and after the cut all routers come to run "
         "g2",
-        neither_drives && all_report("runs g2, the fleet stands at g2"));
+        neither_drives && all_report("runs g2, fleet generation g2"));
     int moves = 0;
     for (int n = 0; n < kRouters; ++n) moves += logged(n, "change c1: this router runs g2");
     check("every router moved to g2", moves == kRouters);
@@ -147,10 +147,10 @@
     for (int n = 0; n < kRouters; ++n) fleet.kill(n);
     for (int n = 0; n < kRouters; ++n) fleet.start(n);
     for (const Seconds until = scheduler.now() + 20;
-         scheduler.now() < until && !all_report("runs g2, the fleet stands at g2");)
+         scheduler.now() < until && !all_report("runs g2, fleet generation g2");)
       co_await pause(0.5);
     check("after all routers are killed and started again, the fleet runs g2",
-          all_report("runs g2, the fleet stands at g2"));
+          all_report("runs g2, fleet generation g2"));
 
     fleet.document(5, "c2", settings_text("c2", "g2", "g3"));
     for (const Seconds until = scheduler.now() + 60; scheduler.now() < until && !all_report("stage 2 of 3");)
@@ -160,7 +160,7 @@
     const Seconds stopped = scheduler.now();
     fleet.document(1, "stop", "stop \"c2\" { why = \"the pager rang\" }\n");
     for (const Seconds until = scheduler.now() + 20;
-         scheduler.now() < until && !all_report("runs g2, the fleet stands at g2");)
+         scheduler.now() < until && !all_report("runs g2, fleet generation g2");)
       co_await pause(0.1);
     std::fprintf(stderr, "time from the stop until the last router moved back: %.1f s\n",
                  scheduler.now() - stopped);
@@ -208,14 +208,14 @@
     const auto before = request_totals();
     fleet.document(2, "c1", release_text("present", program, true));
     for (const Seconds until = scheduler.now() + 200;
-         scheduler.now() < until && !all_report("runs present, the fleet stands at present");)
+         scheduler.now() < until && !all_report("runs present, fleet generation present");)
       co_await pause(0.5);
-    if (!all_report("runs present, the fleet stands at present")) print_statuses();
+    if (!all_report("runs present, fleet generation present")) print_statuses();
     check("a release reaches all routers, each process being replaced by its successor",
-          all_report("runs present, the fleet stands at present"));
+          all_report("runs present, fleet generation present"));
     bool once = true, same = true;
     for (int n = 0; n < kRouters; ++n)
-      once = once && fleet.starts(n) == 1, same = same && logged(n, "makes way for present");
+      once = once && fleet.starts(n) == 1, same = same && logged(n, "hands over to present");
     check("every router was replaced by its successor, and the supervisor started none", once && same);
     fleet.kill(4);
     fleet.start(4);
@@ -247,7 +247,7 @@
          scheduler.now() < until && !(all_report("STOPPED") && all_report("runs g1"));)
       co_await pause(0.5);
     int attempts = 0;
-    for (int n = 0; n < kRouters; ++n) attempts += logged(n, "makes way for present");
+    for (int n = 0; n < kRouters; ++n) attempts += logged(n, "hands over to present");
     std::fprintf(stderr, "%s: attempted by %d routers; %s\n", kind.c_str(), attempts, status(0).c_str());
     check("a release with the fault " + kind + " is stopped at its canary, and all routers run g1",
           all_report("STOPPED") && all_report("runs g1") && attempts == 1);
@@ -266,7 +266,7 @@
         "router",
         all_report("STOPPED") &&
             all_report("refused: channel gossip, fleet.Fact.started: its unit was s and is ms") &&
-            !any_logged("makes way"));
+            !any_logged("hands over"));
     scheduler.stop();
   }
 
