--- a/soak/endpoint.cpp
+++ b/soak/endpoint.cpp
@@ -132,8 +132,8 @@
     }
     if (active(Kind::server_closes_idle) || active(Kind::server_resets_idle)) close_idle_connections();
     const auto came = stream.read();
-    if (came == Stream::Came::end) break;
-    if (came == Stream::Came::nothing) {
+    if (came == Stream::ReadResult::end) break;
+    if (came == Stream::ReadResult::nothing) {
       exact = true;
       co_await stream.readable(scheduler_.now() + 0.25);
       continue;
--- a/src/cli/run_command.cpp
+++ b/src/cli/run_command.cpp
@@ -33,9 +33,9 @@
   return config;
 }
 
-Log::Form log_form_of(const std::string& log_form, const config::OperatorConfig& operator_config) {
+Log::Format log_form_of(const std::string& log_form, const config::OperatorConfig& operator_config) {
   const bool json = log_form.empty() ? operator_config.log_json : log_form == "json";
-  return json ? Log::Form::json : Log::Form::text;
+  return json ? Log::Format::json : Log::Format::text;
 }
 
 // Serves until stopped. Returns the successor if a hot restart was requested.
--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -77,11 +77,11 @@
       log_("accept", "cannot accept a connection: {}; {} clients connected", std::strerror(error),
            connections_.size());
       if (error == EMFILE || error == ENFILE) evict_idle_client();
-      co_await listener_.came.wait(scheduler_.now() + kPause);
+      co_await listener_.input_ready.wait(scheduler_.now() + kPause);
       continue;
     }
     accept_failing_since_ = kNoTime;
-    co_await listener_.came.wait();
+    co_await listener_.input_ready.wait();
   }
 }
 
@@ -144,13 +144,13 @@
   client->connected();
   for (int reads = 0;;) {
     const auto result = stream.read();
-    if (result == Stream::Came::end) break;
-    if (result == Stream::Came::bytes) messages_.take(client);
-    if (result == Stream::Came::nothing)
+    if (result == Stream::ReadResult::end) break;
+    if (result == Stream::ReadResult::bytes) messages_.take(client);
+    if (result == Stream::ReadResult::nothing)
       client->max_accept_delay_ = 0;  // later messages did not wait for the accept
     messages_.serve_deferred(client);
     if (!client->is_open() && may_close(*client)) break;
-    if (result == Stream::Came::bytes) {
+    if (result == Stream::ReadResult::bytes) {
       ++reads;
       if (reads % kReadsPerTurn != 0) continue;
       Event turn(scheduler_);
@@ -197,7 +197,7 @@
   client.phase_ = ClientConnection::Phase::half_closed;
   ++closing_;
   client.close_at_ = scheduler_.now() + kLingerTime;
-  client.stream_.end_writing();
+  client.stream_.shutdown_write();
   client.stream_.wake();
 }
 
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -41,7 +41,7 @@
   /// Closes the listening socket.
   void stop_accepting() { listener_.close(); }
   /// Gives up the listening socket, still open, for a successor. New connections wait in its queue meanwhile.
-  Fd hand_over_listener() { return listener_.give(); }
+  Fd hand_over_listener() { return listener_.detach(); }
   /// Half-closes each connection that has no outstanding answers and no unread bytes.
   void close_idle();
   /// Answers every open and deferred request without serving it, and rejects later ones; for the end of the
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -171,8 +171,8 @@
 DiscoveryClient::Input DiscoveryClient::read_frames(Stream& stream, Progress& progress) {
   constexpr std::size_t kLeastProgressBytes = 4096;
   const auto result = stream.read();
-  if (result == Stream::Came::end) return Input::end;
-  if (result == Stream::Came::nothing) return Input::none;
+  if (result == Stream::ReadResult::end) return Input::end;
+  if (result == Stream::ReadResult::nothing) return Input::none;
   const auto bytes_before = stream.in().size();
   if (!take_frames(stream)) {
     progress.why = "unusable frame";
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -30,8 +30,7 @@
     : scheduler_(scheduler), log_(log), endpoint_(endpoint), stream_(scheduler, outbox, std::move(socket)) {}
 
 bool UpstreamConnection::accepts(const Attempt& attempt, std::size_t max_in_flight) const {
-  return usable() && stream_.writable_still() && in_flight_ < max_in_flight &&
-         !open_.contains(attempt.spec_.id);
+  return usable() && stream_.can_write() && in_flight_ < max_in_flight && !open_.contains(attempt.spec_.id);
 }
 
 void UpstreamConnection::set_connected() {
@@ -65,7 +64,7 @@
 }
 
 bool UpstreamConnection::withdraw(Attempt& attempt) {
-  if (!stream_.take_back(attempt.first_byte_, attempt.last_byte_)) return false;
+  if (!stream_.remove_unsent(attempt.first_byte_, attempt.last_byte_)) return false;
   const auto bytes = attempt.last_byte_ - attempt.first_byte_;
   open_.erase(attempt.spec_.id);
   for (auto& [id, other] : open_) {
@@ -106,7 +105,7 @@
 
 void UpstreamConnection::end_attempts() {
   for (const auto& [id, attempt] : std::exchange(open_, {}))
-    if (attempt != nullptr) attempt->connection_ended(stream_.handed());
+    if (attempt != nullptr) attempt->connection_ended(stream_.flushed());
 }
 
 // ---- Answers. ------------------------------------------------------------------------------------------
@@ -115,8 +114,8 @@
   const bool had_begun = answer_begun();
   const auto answers_before = answers_;
   const auto result = stream_.read();
-  if (result == Stream::Came::end) return Input::end;
-  if (result == Stream::Came::nothing) return Input::none;
+  if (result == Stream::ReadResult::end) return Input::end;
+  if (result == Stream::ReadResult::nothing) return Input::none;
   last_received_at_ = scheduler_.now();
   if (!take_answers(listener)) {
     end_as("malformed answer", guard::EndpointClose::answer_unusable);
--- a/src/replication/peer_links.cpp
+++ b/src/replication/peer_links.cpp
@@ -153,7 +153,7 @@
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
     const bool queue_empty = errno == EAGAIN;
-    co_await listener_.came.wait(queue_empty ? kNoTime : scheduler_.now() + kRetryPause);
+    co_await listener_.input_ready.wait(queue_empty ? kNoTime : scheduler_.now() + kRetryPause);
   }
 }
 
@@ -179,8 +179,8 @@
   if (dialled_peer) stream.write(encode_hello(setup_.name));
   for (;;) {
     const auto came = stream.read();
-    if (came == Stream::Came::end) break;
-    if (came == Stream::Came::bytes) {
+    if (came == Stream::ReadResult::end) break;
+    if (came == Stream::ReadResult::bytes) {
       if (!session.read_messages()) break;
       continue;
     }
