--- a/lab/faulty.cpp
+++ b/lab/faulty.cpp
@@ -17,7 +17,7 @@
 
 struct Fault {
   explicit Fault(const server::ListenerContext& p, const std::string& kind) : parts(p), kind(kind) {
-    if (kind == "slow") p.scheduler.at_turns_end([] { ::usleep(15000); });
+    if (kind == "slow") p.scheduler.call_at_turn_end([] { ::usleep(15000); });
     if (kind == "refuse" || kind == "fall" || kind == "leak") p.scheduler.start(work());
   }
   Task work() {
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -240,7 +240,7 @@
       auto stream = std::make_unique<Stream>(scheduler_, outbox_, std::move(fd));
       const Seconds until = scheduler_.now() + 2;
       while (stream->in().size() < 8 && scheduler_.now() < until) {
-        if (stream->read() == Stream::Came::end) break;
+        if (stream->read() == Stream::ReadResult::end) break;
         if (stream->in().size() < 8) co_await stream->readable(until);
       }
       if (stream->in().size() >= 8) {
@@ -254,7 +254,7 @@
       continue;
     }
     if (bus.stream) {
-      while (bus.stream->read() == Stream::Came::bytes) bus.stream->consume(bus.stream->in().size());
+      while (bus.stream->read() == Stream::ReadResult::bytes) bus.stream->consume(bus.stream->in().size());
       bus.stream->write(standins::frame_text(bus.events.size() + 1, 0, ""));
     }
     co_await wait.wait(scheduler_.now() + 0.05);
@@ -282,8 +282,8 @@
     int tag = 0;
     for (Seconds next = scheduler_.now(); r.pid > 0;) {
       const auto came = stream.read();
-      if (came == Stream::Came::end) break;
-      if (came == Stream::Came::bytes) {
+      if (came == Stream::ReadResult::end) break;
+      if (came == Stream::ReadResult::bytes) {
         net::Words words;
         for (;;) {
           net::read_words(stream.in(), 8, 1 << 20, words);
--- a/lab/switch.cpp
+++ b/lab/switch.cpp
@@ -27,7 +27,7 @@
 
 int Switch::add(int router_port) {
   const int n = static_cast<int>(routers_.size());
-  routers_.push_back(std::make_unique<Router>(scheduler_, datagrams_on(Address{kLoopback, 0})));
+  routers_.push_back(std::make_unique<Router>(scheduler_, bind_udp(Address{kLoopback, 0})));
   routers_.back()->port = router_port;
   by_port_[router_port] = n;
   return standins::port_of(routers_.back()->socket.fd());
@@ -45,7 +45,7 @@
 
 Task Switch::end() {
   std::uint64_t count = 0;
-  while (::read(end_->fd(), &count, sizeof count) != sizeof count) co_await end_->came.wait();
+  while (::read(end_->fd(), &count, sizeof count) != sizeof count) co_await end_->input_ready.wait();
   scheduler_.stop();
 }
 
@@ -76,7 +76,7 @@
         pass(from->second, to, {room, static_cast<std::size_t>(got)});
     }
     if (waits)
-      co_await routers_[static_cast<std::size_t>(to)]->socket.came.wait();
+      co_await routers_[static_cast<std::size_t>(to)]->socket.input_ready.wait();
     else
       co_await next.wait(scheduler_.now());
   }
--- a/soak/clients.cpp
+++ b/soak/clients.cpp
@@ -78,7 +78,7 @@
     if (link->stream().error() != 0) continue;
     link->write(net::words_text({"ALIVE", "1", ""}));
     const Seconds until = scheduler_.now() + kAnswer;
-    while (scheduler_.now() < until && link->stream().read() == Stream::Came::nothing)
+    while (scheduler_.now() < until && link->stream().read() == Stream::ReadResult::nothing)
       co_await link->stream().readable(until);
     if (link->stream().in().find("\r\nREADY\r\n") != std::string_view::npos) process_.is_ready();
   }
@@ -195,7 +195,7 @@
     const bool rests = roll() < 0.3;
     for (Seconds next = scheduler_.now();;) {
       const auto came = stream.read();
-      if (came == Stream::Came::end) {
+      if (came == Stream::ReadResult::end) {
         take_answers(c);
         if (rests && c.open.empty() && stream.error() == 0) {
           ask_across_end(c);
@@ -204,7 +204,7 @@
         at_end(c);
         break;
       }
-      if (came == Stream::Came::bytes) {
+      if (came == Stream::ReadResult::bytes) {
         take_answers(c);
         continue;
       }
--- a/soak/discovery.cpp
+++ b/soak/discovery.cpp
@@ -180,9 +180,9 @@
   for (;;) {
     accept(w);
     if (w.link) {
-      Stream::Came came;
-      while ((came = w.link->stream().read()) == Stream::Came::bytes) continue;
-      if (came == Stream::Came::end)
+      Stream::ReadResult came;
+      while ((came = w.link->stream().read()) == Stream::ReadResult::bytes) continue;
+      if (came == Stream::ReadResult::end)
         w.link.reset();
       else
         write_due(w);
--- a/soak/endpoint.cpp
+++ b/soak/endpoint.cpp
@@ -105,7 +105,7 @@
     if (std::exchange(queue_is_short_, false)) ::listen(listener->fd(), SOMAXCONN);
     Fd fd = listener->accept();
     if (!fd) {
-      co_await listener->came.wait(scheduler_.now() + kPause);
+      co_await listener->input_ready.wait(scheduler_.now() + kPause);
       continue;
     }
     ++accepted_;
@@ -132,8 +132,8 @@
     }
     if (active(Kind::server_closes_idle) || active(Kind::server_resets_idle)) close_idle_connections();
     const auto came = stream.read();
-    if (came == Stream::Came::end) break;
-    if (came == Stream::Came::nothing) {
+    if (came == Stream::ReadResult::end) break;
+    if (came == Stream::ReadResult::nothing) {
       exact = true;
       co_await stream.readable(scheduler_.now() + 0.25);
       continue;
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -45,7 +45,7 @@
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
     const Seconds until = errno == EAGAIN ? kNoTime : scheduler_.now() + kAcceptRetryInterval;
-    co_await listener_.came.wait(until);
+    co_await listener_.input_ready.wait(until);
   }
 }
 
@@ -54,8 +54,8 @@
   Stream stream(scheduler_, outbox_, std::move(fd));
   for (;;) {
     const auto came = stream.read();
-    if (came == Stream::Came::end) break;
-    if (came == Stream::Came::bytes) {
+    if (came == Stream::ReadResult::end) break;
+    if (came == Stream::ReadResult::bytes) {
       answer_lines(stream);
       if (stream.in().size() > kLongestLine) break;
       continue;
--- a/src/cli/optional_listeners.cpp
+++ b/src/cli/optional_listeners.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "config/platform_config.h"
-#include "dns/front.h"
+#include "dns/dns_server.h"
 
 namespace walkpaddle::cli {
 
@@ -19,9 +19,9 @@
     class_names.push_back(request_class.name);
   dns::Zone zone({options.zone, options.server, options.time_to_live, options.requests_per_answer},
                  std::move(class_names));
-  server.add_listener(std::make_shared<dns::Front>(context.scheduler, context.outbox, context.log,
-                                                   context.dispatcher, context.upstream, std::move(zone),
-                                                   parse_address(options.listen)));
+  server.add_listener(std::make_shared<dns::DnsServer>(context.scheduler, context.outbox, context.log,
+                                                       context.dispatcher, context.upstream, std::move(zone),
+                                                       parse_address(options.listen)));
 }
 
 }  // namespace walkpaddle::cli
--- a/src/cli/run_command.cpp
+++ b/src/cli/run_command.cpp
@@ -33,9 +33,9 @@
   return config;
 }
 
-Log::Form chosen_form(const std::string& log_form, const config::OperatorConfig& operators) {
+Log::Format chosen_form(const std::string& log_form, const config::OperatorConfig& operators) {
   const bool json = log_form.empty() ? operators.log_json : log_form == "json";
-  return json ? Log::Form::json : Log::Form::text;
+  return json ? Log::Format::json : Log::Format::text;
 }
 
 // Serves until it is stopped; gives who is to follow.
--- a/src/dns/front.cpp
+++ b/src/dns/dns_server.cpp
@@ -1,4 +1,4 @@
-#include "dns/front.h"
+#include "dns/dns_server.h"
 
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -17,27 +17,27 @@
 
 }  // namespace
 
-Front::Socket::Socket(Scheduler& s, Fd f) : scheduler(s), fd(std::move(f)), came(s) {
+DnsServer::Socket::Socket(Scheduler& s, Fd f) : scheduler(s), fd(std::move(f)), input_ready(s) {
   scheduler.watch(fd.get(), *this);
 }
 
-Front::Socket::~Socket() { scheduler.forget(fd.get(), *this); }
+DnsServer::Socket::~Socket() { scheduler.unwatch(fd.get(), *this); }
 
-Front::Front(Scheduler& scheduler, Outbox& outbox, Log& log, net::RequestDispatcher& dispatcher,
-             net::UpstreamPool& caches, Zone zone, const Address& listen)
+DnsServer::DnsServer(Scheduler& scheduler, Outbox& outbox, Log& log, net::RequestDispatcher& dispatcher,
+                     net::UpstreamPool& caches, Zone zone, const Address& listen)
     : scheduler_(scheduler),
       outbox_(outbox),
       log_(log),
       dispatcher_(dispatcher),
       upstream_(caches),
       zone_(std::move(zone)),
-      socket_(scheduler, datagrams_on(listen)),
+      socket_(scheduler, bind_udp(listen)),
       listener_(scheduler, listen_on(listen)) {
   scheduler_.start(datagrams());
   scheduler_.start(accept_all());
 }
 
-Task Front::datagrams() {
+Task DnsServer::datagrams() {
   constexpr int kATurn = 64;  // then others get theirs; what the kernel cannot hold is asked again
   char room[kLongest];
   Event next(scheduler_);
@@ -48,7 +48,7 @@
       const auto got =
           ::recvfrom(socket_.fd.get(), room, sizeof room, 0, reinterpret_cast<sockaddr*>(&a), &size);
       if (got < 0 && errno == EAGAIN) {
-        co_await socket_.came.wait();
+        co_await socket_.input_ready.wait();
         break;
       }
       if (got > 0)
@@ -59,7 +59,7 @@
   }
 }
 
-Task Front::accept_all() {
+Task DnsServer::accept_all() {
   constexpr Seconds kPause = 0.1;
   while (listener_.open()) {
     Fd fd = listener_.accept();
@@ -69,13 +69,13 @@
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
     const Seconds until = errno == EAGAIN ? kNoTime : scheduler_.now() + kPause;
-    co_await listener_.came.wait(until);
+    co_await listener_.input_ready.wait(until);
   }
 }
 
 // Many queries on one connection, answered as they are decided. One that trickles or idles is closed; one
 // that does not read what it asked for too.
-Task Front::connection(Fd fd) {
+Task DnsServer::connection(Fd fd) {
   constexpr Seconds kIdle = 5;
   constexpr std::size_t kUnread = 256 * 1024;
   struct Count {
@@ -85,8 +85,8 @@
   auto stream = std::make_shared<Stream>(scheduler_, outbox_, std::move(fd));
   for (Seconds whole_at = scheduler_.now();;) {
     const auto came = stream->read();
-    if (came == Stream::Came::end || stream->unsent() > kUnread) break;
-    if (came == Stream::Came::bytes) {
+    if (came == Stream::ReadResult::end || stream->unsent() > kUnread) break;
+    if (came == Stream::ReadResult::bytes) {
       bool good = true;
       while (good && stream->in().size() >= 2) {
         const auto in = stream->in();
@@ -106,7 +106,7 @@
   stream->close();
 }
 
-void Front::give(const Asker& asker, const std::string& reply) {
+void DnsServer::give(const Asker& asker, const std::string& reply) {
   if (reply.empty()) return;
   if (asker.stream) {
     if (asker.stream->broken()) return;
@@ -122,7 +122,7 @@
     log_("dns", "an answer to {} could not be sent", text_of(asker.from));
 }
 
-void Front::take(std::string_view bytes, Asker asker) {
+void DnsServer::take(std::string_view bytes, Asker asker) {
   auto [question, reply] = read_query(bytes);
   if (!question) return give(asker, reply);
   const auto& q = *question;
@@ -145,7 +145,7 @@
   scheduler_.start(lookup(q, std::move(meaning), std::move(asker)));
 }
 
-Task Front::lookup(Question question, Zone::Meaning meaning, Asker asker) {
+Task DnsServer::lookup(Question question, Zone::Meaning meaning, Asker asker) {
   constexpr Seconds kPatience = 1;  // resolvers ask again after one to five seconds
   struct Count {
     std::size_t& count;
--- a/src/dns/front.h
+++ b/src/dns/dns_server.h
@@ -15,11 +15,11 @@
 
 namespace walkpaddle::dns {
 
-class Front {
+class DnsServer {
  public:
   // Throws SystemError if the address cannot be had.
-  Front(Scheduler& scheduler, Outbox& outbox, Log& log, net::RequestDispatcher& dispatcher,
-        net::UpstreamPool& caches, Zone zone, const Address& listen);
+  DnsServer(Scheduler& scheduler, Outbox& outbox, Log& log, net::RequestDispatcher& dispatcher,
+            net::UpstreamPool& caches, Zone zone, const Address& listen);
 
  private:
   // Where a reply goes: a datagram's sender, or a connection while it stands.
@@ -31,10 +31,10 @@
   struct Socket final : Scheduler::Watcher {
     Socket(Scheduler& scheduler, Fd fd);
     ~Socket();
-    void on_ready(std::uint32_t) override { came.set(); }
+    void on_ready(std::uint32_t) override { input_ready.set(); }
     Scheduler& scheduler;
     Fd fd;
-    Event came;
+    Event input_ready;
   };
   Task datagrams();
   Task accept_all();
--- a/src/io/listener.h
+++ b/src/io/listener.h
@@ -10,7 +10,7 @@
 
 class Listener final : Scheduler::Watcher {
  public:
-  Listener(Scheduler& scheduler, Fd fd) : came(scheduler), scheduler_(scheduler), fd_(std::move(fd)) {
+  Listener(Scheduler& scheduler, Fd fd) : input_ready(scheduler), scheduler_(scheduler), fd_(std::move(fd)) {
     scheduler_.watch(fd_.get(), *this);
   }
   Listener(const Listener&) = delete;
@@ -18,24 +18,24 @@
   ~Listener() { close(); }
   void close() {
     if (!fd_) return;
-    scheduler_.forget(fd_.get(), *this);
+    scheduler_.unwatch(fd_.get(), *this);
     fd_ = Fd();
-    came.set();
+    input_ready.set();
   }
-  Fd give() {  // open still, watched no more
-    if (fd_) scheduler_.forget(fd_.get(), *this);
+  Fd detach() {  // open still, watched no more
+    if (fd_) scheduler_.unwatch(fd_.get(), *this);
     Fd fd = std::move(fd_);
-    came.set();
+    input_ready.set();
     return fd;
   }
   bool open() const { return static_cast<bool>(fd_); }
   int fd() const { return fd_.get(); }
   Fd accept();  // the next that waits; invalid with errno if there is none or none can be had
 
-  Event came;
+  Event input_ready;
 
  private:
-  void on_ready(std::uint32_t) override { came.set(); }
+  void on_ready(std::uint32_t) override { input_ready.set(); }
   Scheduler& scheduler_;
   Fd fd_;
 };
--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-Log::Log(std::string name, Form form) : name_(std::move(name)), form_(form) {
+Log::Log(std::string name, Format form) : name_(std::move(name)), form_(form) {
   out_ = std::make_unique<spdlog::logger>(name_, std::make_shared<spdlog::sinks::stderr_sink_st>());
   out_->set_formatter(std::make_unique<spdlog::pattern_formatter>(
-      form == Form::json ? R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})"
-                         : "%Y-%m-%dT%H:%M:%S.%eZ %n %v",
+      form == Format::json ? R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})"
+                           : "%Y-%m-%dT%H:%M:%S.%eZ %n %v",
       spdlog::pattern_time_type::utc));
 }
 
@@ -57,7 +57,7 @@
 void Log::write(std::string_view kind, const std::string& text, int left_out) {
   const auto level =
       std::ranges::find(kCourse, kind) != std::end(kCourse) ? spdlog::level::info : spdlog::level::warn;
-  if (form_ == Form::json) {
+  if (form_ == Format::json) {
     using nlohmann::json;
     const auto quoted = [](std::string_view s) {
       return json(s).dump(-1, ' ', false, json::error_handler_t::replace);
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -21,8 +21,8 @@
 
 class Log {
  public:
-  enum class Form { text, json };
-  explicit Log(std::string name, Form form = Form::text);
+  enum class Format { text, json };
+  explicit Log(std::string name, Format form = Format::text);
   ~Log();
 
   template <class... Args>
@@ -40,7 +40,7 @@
   void write(std::string_view kind, const std::string& text, int left_out);
 
   const std::string name_;
-  const Form form_;
+  const Format form_;
   std::unique_ptr<spdlog::logger> out_;
   std::map<std::string, Kind, std::less<>> kinds_;
 };
--- a/src/io/scheduler.cpp
+++ b/src/io/scheduler.cpp
@@ -53,9 +53,11 @@
 
 void Scheduler::drop_tasks() { std::exchange(tasks_, {}).clear(); }
 
-Seconds Scheduler::now_exactly() const { return seconds_of<std::chrono::steady_clock>() + unix_less_steady_; }
+Seconds Scheduler::now_uncached() const {
+  return seconds_of<std::chrono::steady_clock>() + unix_less_steady_;
+}
 
-void Scheduler::read_clock() { now_ = now_exactly(); }
+void Scheduler::read_clock() { now_ = now_uncached(); }
 
 void Scheduler::start(Task task) {
   const auto handle = task.handle();
@@ -96,7 +98,7 @@
   for (const auto& r : std::exchange(refused_, {})) watch(r.fd, *r.watcher);
 }
 
-void Scheduler::forget(int fd, Watcher& watcher) {
+void Scheduler::unwatch(int fd, Watcher& watcher) {
   ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
   std::replace(told_.begin(), told_.end(), &watcher, static_cast<Watcher*>(nullptr));
   std::erase_if(refused_, [&](const Refused& r) { return r.watcher == &watcher; });
--- a/src/io/scheduler.h
+++ b/src/io/scheduler.h
@@ -76,10 +76,10 @@
   ~Scheduler();
 
   Seconds now() const { return now_; }  // Unix time, read once a turn
-  Seconds now_exactly() const;  // read now: where the turn may be long, or the process stood still within it
+  Seconds now_uncached() const;  // read now: where the turn may be long, or the process stood still within it
   // What is read in this turn may have waited so long for this thread: it was busy with the turn before, or
   // the process stood still.
-  Seconds late() const { return late_; }
+  Seconds max_input_delay() const { return late_; }
   void start(Task task);  // runs it up to its first wait, then goes on with the caller
   // The same for a task whose failure concerns it alone: an exception that leaves it ends it, not the
   // program.
@@ -89,8 +89,8 @@
   // Edges of `fd` are told from now on, the present state first. While the kernel refuses for want of memory
   // or of watches (ENOMEM, ENOSPC), it is asked again; other errors throw SystemError.
   void watch(int fd, Watcher& watcher);
-  void forget(int fd, Watcher& watcher);
-  void at_turns_end(std::function<void()> call) { ends_.push_back(std::move(call)); }
+  void unwatch(int fd, Watcher& watcher);
+  void call_at_turn_end(std::function<void()> call) { ends_.push_back(std::move(call)); }
   void turn_by(Seconds time) { turn_by_ = std::min(turn_by_, time); }  // a turn begins by then, once
   void run();  // until stop(); an exception of a task that is not isolated comes out here
   void stop() { stopped_ = true; }
--- a/src/io/stream.cpp
+++ b/src/io/stream.cpp
@@ -60,7 +60,7 @@
   return fd;
 }
 
-Fd datagrams_on(const Address& address) {
+Fd bind_udp(const Address& address) {
   Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const auto a = sockaddr_of(address);
   if (!fd || ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&a), sizeof a) != 0)
@@ -70,7 +70,7 @@
 
 Fd Listener::accept() { return Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)); }
 
-bool is_own_want(int error) {
+bool is_local_resource_error(int error) {
   return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM || error == EAGAIN ||
          error == EADDRNOTAVAIL;
 }
@@ -123,7 +123,7 @@
 Stream::~Stream() {
   outbox_.remove(*this);
   outbox_.hold(0, unsent());
-  scheduler_.forget(fd_.get(), *this);
+  scheduler_.unwatch(fd_.get(), *this);
 }
 
 void Stream::on_ready(std::uint32_t epoll_events) {
@@ -147,8 +147,8 @@
 
 }  // namespace
 
-Stream::Came Stream::read() {
-  if (broken_) return Came::end;
+Stream::ReadResult Stream::read() {
+  if (broken_) return ReadResult::end;
   auto& room = outbox_.room();
   if (in_from_ == in_.size()) {
     in_.clear(), in_from_ = 0;
@@ -159,11 +159,11 @@
   const auto got = receive(fd_.get(), room);
   const int why = errno;
   if (got > 0) in_.append(room.data(), static_cast<std::size_t>(got));
-  if (got > 0) return Came::bytes;
-  if (got < 0 && why == EAGAIN) return Came::nothing;
-  if (got < 0 && wants_memory(why)) return outbox_.ask_again(*this), Came::nothing;
+  if (got > 0) return ReadResult::bytes;
+  if (got < 0 && why == EAGAIN) return ReadResult::nothing;
+  if (got < 0 && wants_memory(why)) return outbox_.ask_again(*this), ReadResult::nothing;
   broken_ = got < 0;
-  return Came::end;
+  return ReadResult::end;
 }
 
 bool Stream::ended() const {
@@ -234,9 +234,9 @@
   if (!std::exchange(queued_, true)) outbox_.add(*this);
 }
 
-bool Stream::take_back(std::uint64_t from, std::uint64_t to) {
-  if (broken_ || from < handed_) return false;
-  out_.erase(out_from_ + (from - handed_), to - from);
+bool Stream::remove_unsent(std::uint64_t from, std::uint64_t to) {
+  if (broken_ || from < flushed_) return false;
+  out_.erase(out_from_ + (from - flushed_), to - from);
   written_ -= to - from;
   outbox_.hold(0, to - from);
   return true;
@@ -248,7 +248,7 @@
     const auto sent = ::send(fd_.get(), out_.data() + out_from_, out_.size() - out_from_, MSG_NOSIGNAL);
     if (sent >= 0) {
       out_from_ += static_cast<std::size_t>(sent);
-      handed_ += static_cast<std::size_t>(sent);
+      flushed_ += static_cast<std::size_t>(sent);
       outbox_.hold(0, static_cast<std::size_t>(sent));
     } else if (errno == EAGAIN) {
       blocked_ = true;
@@ -271,7 +271,7 @@
   }
 }
 
-void Stream::end_writing() { ::shutdown(fd_.get(), SHUT_WR); }
+void Stream::shutdown_write() { ::shutdown(fd_.get(), SHUT_WR); }
 
 void Stream::close() {
   broken_ = true;
--- a/src/io/stream.h
+++ b/src/io/stream.h
@@ -1,4 +1,4 @@
-// One TCP connection: what came in, what is to go out. Writes are gathered and handed to the kernel once a
+// One TCP connection: what came in, what is to go out. Writes are gathered and flushed to the kernel once a
 // turn.
 #pragma once
 
@@ -21,12 +21,12 @@
 Address parse_address(std::string_view text);  // a.b.c.d:port, else InputError
 std::string text_of(const Address& address);
 
-Fd listen_on(const Address& address);     // throws SystemError
-Fd datagrams_on(const Address& address);  // UDP, not waiting; throws SystemError
+Fd listen_on(const Address& address);  // throws SystemError
+Fd bind_udp(const Address& address);   // UDP, not waiting; throws SystemError
 // On its way; invalid with errno if refused at once, which closing the socket does not change.
 Fd dial(const Address& address);
 // Whether a call failed for want of this machine's own descriptors, memory, buffers or ports.
-bool is_own_want(int error);
+bool is_local_resource_error(int error);
 
 // The same by a path, for processes of this machine: mode 0600. A socket that a dead process left is
 // replaced, one that answers is not.
@@ -43,7 +43,7 @@
   // closed.
   Outbox(Scheduler& scheduler, std::size_t most_held)
       : scheduler_(scheduler), most_held_(most_held), room_(kRoom) {
-    scheduler.at_turns_end([this] { flush(); });
+    scheduler.call_at_turn_end([this] { flush(); });
   }
   void hold(std::size_t more, std::size_t less) { held_ += more - less; }
   bool full() const { return held_ > most_held_; }
@@ -76,8 +76,8 @@
   Stream& operator=(const Stream&) = delete;
   ~Stream();
 
-  enum class Came { bytes, nothing, end };
-  Came read();  // takes what the kernel holds, within a bound a call
+  enum class ReadResult { bytes, nothing, end };
+  ReadResult read();  // takes what the kernel holds, within a bound a call
   // The other side's end has come, whether read or not, also behind bytes that are unread.
   bool ended() const;
   bool has_unread() const;  // bytes that came and were not read yet
@@ -89,17 +89,17 @@
 
   void write(std::string_view bytes);
   std::uint64_t written() const { return written_; }  // bytes given to write() so far
-  std::uint64_t handed() const { return handed_; }    // of these, bytes that the kernel took
-  std::size_t unsent() const { return written_ - handed_; }
+  std::uint64_t flushed() const { return flushed_; }  // of these, bytes that the kernel took
+  std::size_t unsent() const { return written_ - flushed_; }
   // The bytes from place `from` to `to` of those written go out of what is still to be sent; false, and all
   // stays, if the kernel took some of them.
-  bool take_back(std::uint64_t from, std::uint64_t to);
+  bool remove_unsent(std::uint64_t from, std::uint64_t to);
   void flush();
-  void end_writing();
+  void shutdown_write();
   void wake() { readable_.set(); }  // its reader looks again
   void close();                     // as if the other side had closed: the reader wakes and sees the end
   bool broken() const { return broken_; }
-  bool writable_still() const { return !broken_ && !unwritable_; }
+  bool can_write() const { return !broken_ && !unwritable_; }
 
  private:
   void on_ready(std::uint32_t epoll_events) override;
@@ -110,7 +110,7 @@
   Event readable_, writable_;
   std::string in_, out_;
   std::size_t in_from_ = 0, out_from_ = 0;
-  std::uint64_t written_ = 0, handed_ = 0;
+  std::uint64_t written_ = 0, flushed_ = 0;
   bool queued_ = false, blocked_ = false, broken_ = false;
   bool unwritable_ = false;  // the other side takes nothing any more; what it sent may still be read
 };
--- a/src/net/attempt.cpp
+++ b/src/net/attempt.cpp
@@ -39,7 +39,7 @@
 void Attempt::send_over(UpstreamConnection& connection) {
   const Seconds now = scheduler_.now();
   // Down to whole milliseconds: never longer than the request has.
-  const Seconds time_left = spec_.timeout_at - scheduler_.now_exactly();
+  const Seconds time_left = spec_.timeout_at - scheduler_.now_uncached();
   const auto limit_ms = std::max(1L, static_cast<long>(std::floor(time_left * 1e3)));
   if (!guard_allows(connection, static_cast<Seconds>(limit_ms) / 1e3))
     return finish(AttemptOutcome::not_sent);
@@ -61,7 +61,7 @@
   const auto source_state = spec_.source >= 0 ? pool_.endpoint(spec_.source).state : EndpointState::ready;
   const guard::PlannedAttempt facts{.endpoint = endpoint().state,
                                     .source = source_state,
-                                    .connection_ended = !connection.stream().writable_still(),
+                                    .connection_ended = !connection.stream().can_write(),
                                     .deadline = time_left,
                                     .valid_since = spec_.copies_valid_since};
   passed_guard_ = pool_.guard_->may_begin(*spec_.record, facts, scheduler_.now()) == guard::Invariant::none;
@@ -76,7 +76,7 @@
 // ---- Waiting. ------------------------------------------------------------------------------------------
 
 bool Attempt::is_unsent() const {
-  return state_ == State::written && connection_->stream().handed() <= first_byte_;
+  return state_ == State::written && connection_->stream().flushed() <= first_byte_;
 }
 
 Seconds Attempt::next_deadline() const {
--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -76,11 +76,11 @@
       queued_since_ = std::min(queued_since_, scheduler_.now());
       log_("accept", "{}, {} clients connected", std::strerror(error), connections_.size());
       if (error == EMFILE || error == ENFILE) make_room();
-      co_await listener_.came.wait(scheduler_.now() + kPause);
+      co_await listener_.input_ready.wait(scheduler_.now() + kPause);
       continue;
     }
     queued_since_ = kNoTime;
-    co_await listener_.came.wait();
+    co_await listener_.input_ready.wait();
   }
 }
 
@@ -141,12 +141,12 @@
   client->connected();
   for (int reads = 0;;) {
     const auto came = stream.read();
-    if (came == Stream::Came::end) break;
-    if (came == Stream::Came::bytes) messages_.take(client);
-    if (came == Stream::Came::nothing) client->queued_for_ = 0;  // what had waited with it is read
+    if (came == Stream::ReadResult::end) break;
+    if (came == Stream::ReadResult::bytes) messages_.take(client);
+    if (came == Stream::ReadResult::nothing) client->queued_for_ = 0;  // what had waited with it is read
     messages_.serve_held(client);
     if (!client->is_open() && may_close(*client)) break;
-    if (came == Stream::Came::bytes) {
+    if (came == Stream::ReadResult::bytes) {
       ++reads;
       if (reads % kReadsPerTurn != 0) continue;
       Event turn(scheduler_);
@@ -192,7 +192,7 @@
   client.phase_ = ClientConnection::Phase::shut;
   ++leaving_;
   client.close_at_ = scheduler_.now() + kCrossingTime;
-  client.stream_.end_writing();
+  client.stream_.shutdown_write();
   client.stream_.wake();
 }
 
--- a/src/net/client_listener.h
+++ b/src/net/client_listener.h
@@ -41,7 +41,7 @@
   /// Closes the listening socket.
   void stop_accepting() { listener_.close(); }
   /// Hands the listening socket over to a successor: who comes meanwhile waits there.
-  Fd hand_over_listener() { return listener_.give(); }
+  Fd hand_over_listener() { return listener_.detach(); }
   /// Shuts each connection on which nothing is owed and nothing is unread.
   void close_idle();
   /// The program ends: one answer for each request that still waits, and for those to come.
--- a/src/net/client_messages.cpp
+++ b/src/net/client_messages.cpp
@@ -75,7 +75,7 @@
   if (client->has_tag(tag)) throw_bad_value("tag, open already", tag);
   if (client->requests() >= kMaxOpenRequests) throw_bad_value("number of open requests", tag);
   // The client's time runs since it sent the request, which may have waited for us.
-  const Seconds sent_at = scheduler_.now() - std::max(scheduler_.late(), client->queued_for_);
+  const Seconds sent_at = scheduler_.now() - std::max(scheduler_.max_input_delay(), client->queued_for_);
   Request request;
   try {
     request = parse_request(words, classes_, open_ids_, sent_at);
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -168,8 +168,8 @@
 DiscoveryClient::Input DiscoveryClient::read_frames(Stream& stream, Progress& progress) {
   constexpr std::size_t kLeastProgressBytes = 4096;
   const auto came = stream.read();
-  if (came == Stream::Came::end) return Input::end;
-  if (came == Stream::Came::nothing) return Input::none;
+  if (came == Stream::ReadResult::end) return Input::end;
+  if (came == Stream::ReadResult::nothing) return Input::none;
   const auto bytes_before = stream.in().size();
   if (!take_frames(stream)) {
     progress.why = "a frame that cannot be used";
--- a/src/net/request_dispatcher.cpp
+++ b/src/net/request_dispatcher.cpp
@@ -82,7 +82,7 @@
   config::apply_settings(settings, input());
   for (int n = 0; n < settings.whole("categories.count"); ++n)
     latency_objectives_.push_back(settings.ms("categories." + std::to_string(n) + ".aim"));
-  scheduler_.at_turns_end([this] { on_turn_end(); });
+  scheduler_.call_at_turn_end([this] { on_turn_end(); });
   scheduler_.start(run_timer());
   scheduler_.start(run_polls());
 }
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -30,7 +30,7 @@
     : scheduler_(scheduler), log_(log), endpoint_(endpoint), stream_(scheduler, outbox, std::move(socket)) {}
 
 bool UpstreamConnection::accepts(const Attempt& attempt, std::size_t max_live) const {
-  return usable() && stream_.writable_still() && live_ < max_live && !open_.contains(attempt.spec_.id);
+  return usable() && stream_.can_write() && live_ < max_live && !open_.contains(attempt.spec_.id);
 }
 
 void UpstreamConnection::came_up() {
@@ -64,7 +64,7 @@
 }
 
 bool UpstreamConnection::withdraw(Attempt& attempt) {
-  if (!stream_.take_back(attempt.first_byte_, attempt.last_byte_)) return false;
+  if (!stream_.remove_unsent(attempt.first_byte_, attempt.last_byte_)) return false;
   const auto bytes = attempt.last_byte_ - attempt.first_byte_;
   open_.erase(attempt.spec_.id);
   for (auto& [id, other] : open_) {
@@ -105,7 +105,7 @@
 
 void UpstreamConnection::end_attempts() {
   for (const auto& [id, attempt] : std::exchange(open_, {}))
-    if (attempt != nullptr) attempt->connection_ended(stream_.handed());
+    if (attempt != nullptr) attempt->connection_ended(stream_.flushed());
 }
 
 // ---- Answers. ------------------------------------------------------------------------------------------
@@ -114,8 +114,8 @@
   const bool had_begun = answer_begun();
   const auto answers_before = answers_;
   const auto came = stream_.read();
-  if (came == Stream::Came::end) return Input::end;
-  if (came == Stream::Came::nothing) return Input::none;
+  if (came == Stream::ReadResult::end) return Input::end;
+  if (came == Stream::ReadResult::nothing) return Input::none;
   heard_at_ = scheduler_.now();
   if (!take_answers(listener)) {
     end_as("an answer that cannot be read", guard::EndpointClose::answer_unusable);
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -184,7 +184,7 @@
   if (has_descriptor) socket = dial(endpoint.address);
   const int error = has_descriptor ? errno : EMFILE;
   if (socket) return DialStep::started;
-  if (!is_own_want(error)) {
+  if (!is_local_resource_error(error)) {
     endpoint.wants_descriptor = false;
     count.end_dial();
     dial_failed(endpoint, std::strerror(error), guard::EndpointClose::refused);
--- a/src/replication/datagram_transport.cpp
+++ b/src/replication/datagram_transport.cpp
@@ -20,7 +20,7 @@
       gossip_(gossip),
       peers_(std::move(peers)),
       after_input_(std::move(after_input)),
-      socket_(scheduler, datagrams_on(listen)),
+      socket_(scheduler, bind_udp(listen)),
       due_(scheduler) {
   scheduler_.start(receive_all());
   scheduler_.start(keep_time());
@@ -39,7 +39,7 @@
     }
     after_input_();
     if (drained)
-      co_await socket_.came.wait();
+      co_await socket_.input_ready.wait();
     else
       co_await next_turn.wait(scheduler_.now());
   }
--- a/src/replication/peer_links.cpp
+++ b/src/replication/peer_links.cpp
@@ -147,7 +147,7 @@
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
     const bool none_waits = errno == EAGAIN;
-    co_await listener_.came.wait(none_waits ? kNoTime : scheduler_.now() + kRetryPause);
+    co_await listener_.input_ready.wait(none_waits ? kNoTime : scheduler_.now() + kRetryPause);
   }
 }
 
@@ -172,8 +172,8 @@
   if (dialled_peer) stream.write(encode_hello(setup_.name));
   for (;;) {
     const auto came = stream.read();
-    if (came == Stream::Came::end) break;
-    if (came == Stream::Came::bytes) {
+    if (came == Stream::ReadResult::end) break;
+    if (came == Stream::ReadResult::bytes) {
       if (!session.read_messages()) break;
       continue;
     }
--- a/src/replication/purge_persister.cpp
+++ b/src/replication/purge_persister.cpp
@@ -68,7 +68,7 @@
   scheduler_.watch(store_.changed_fd(), *this);
 }
 
-PurgePersister::~PurgePersister() { scheduler_.forget(store_.changed_fd(), *this); }
+PurgePersister::~PurgePersister() { scheduler_.unwatch(store_.changed_fd(), *this); }
 
 void PurgePersister::restore() {
   const Seconds now = scheduler_.now();
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -72,7 +72,9 @@
  private:
   // Registers a call for the end of each turn where it stands among the members.
   struct TurnEndCall {
-    TurnEndCall(Scheduler& scheduler, std::function<void()> call) { scheduler.at_turns_end(std::move(call)); }
+    TurnEndCall(Scheduler& scheduler, std::function<void()> call) {
+      scheduler.call_at_turn_end(std::move(call));
+    }
   };
 
   void log_isolated_failures();
--- a/src/server/signals.cpp
+++ b/src/server/signals.cpp
@@ -35,7 +35,7 @@
   scheduler_.watch(fd_.get(), *this);
 }
 
-Signals::~Signals() { scheduler_.forget(fd_.get(), *this); }
+Signals::~Signals() { scheduler_.unwatch(fd_.get(), *this); }
 
 int Signals::take() {
   signalfd_siginfo info;
--- a/src/wirehost/main.cpp
+++ b/src/simulator/main.cpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "wirehost/host.h"
+#include "simulator/simulator_adapter.h"
 
 namespace {
 
@@ -21,7 +21,7 @@
 }  // namespace
 
 int main() {
-  walkpaddle::wirehost::Host host;
+  walkpaddle::simulator::SimulatorAdapter adapter;
   std::vector<char> buffer(1 << 20);
   std::size_t begin = 0;
   std::size_t end = 0;
@@ -40,7 +40,7 @@
         continue;
       }
       if (end != 0) return fail(line_no + 1, {buffer.data(), end}, "input ends within a line");
-      if (host.inside_batch()) return fail(line_no, "END", "input ends within a batch");
+      if (adapter.inside_batch()) return fail(line_no, "END", "input ends within a batch");
       return 0;
     }
     std::string_view line(start, static_cast<std::size_t>(eol - start));
@@ -48,8 +48,8 @@
     ++line_no;
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
     try {
-      if (host.line(line)) {
-        std::fwrite(host.reply().data(), 1, host.reply().size(), stdout);
+      if (adapter.line(line)) {
+        std::fwrite(adapter.reply().data(), 1, adapter.reply().size(), stdout);
         std::fflush(stdout);
       }
     } catch (const std::exception& e) {
--- a/src/wirehost/host.cpp
+++ b/src/simulator/simulator_adapter.cpp
@@ -1,11 +1,11 @@
-#include "wirehost/host.h"
+#include "simulator/simulator_adapter.h"
 
 #include <algorithm>
 #include <charconv>
 
 #include "config/settings.h"
 
-namespace walkpaddle::wirehost {
+namespace walkpaddle::simulator {
 
 namespace {
 
@@ -62,7 +62,7 @@
   return value == 1;
 }
 
-bool Host::line(std::string_view text) {
+bool SimulatorAdapter::line(std::string_view text) {
   Fields f(text);
   const auto name = f.text("message name");
   if (!inside_) {
@@ -101,7 +101,7 @@
 
 // An exception from the module ends the day by the wire's own word; one from the wire is the wire's fault.
 template <class F>
-void Host::guarded(int number, F&& call) {
+void SimulatorAdapter::guarded(int number, F&& call) {
   try {
     call();
   } catch (const InputError&) {
@@ -111,11 +111,11 @@
   }
 }
 
-void Host::touch(int number) {
+void SimulatorAdapter::touch(int number) {
   if (std::find(touched_.begin(), touched_.end(), number) == touched_.end()) touched_.push_back(number);
 }
 
-void Host::event(std::string_view name, Fields& f) {
+void SimulatorAdapter::event(std::string_view name, Fields& f) {
   if (name == "ROSTER") {
     bank_ = f.integer("bank");
     if (bank_ >= rosters_.size()) throw_bad_value("bank", std::to_string(bank_));
@@ -158,7 +158,7 @@
   });
 }
 
-void Host::enlist(Fields& f) {
+void SimulatorAdapter::enlist(Fields& f) {
   const int number = static_cast<int>(f.integer("i"));
   const auto seed = f.integer("entropy");
   const config::Settings s = settings_of(f.rest());
@@ -177,7 +177,7 @@
   });
 }
 
-void Host::server_entry(Fields& f) {
+void SimulatorAdapter::server_entry(Fields& f) {
   const auto server = f.text("server");
   Entry e{std::string(server), stable_hash(server), 0, 0, 0, EndpointState::ready, 1, 0};
   e.location = static_cast<int>(f.integer_or(0, "hall"));
@@ -191,7 +191,7 @@
   rosters_[bank_].push_back(std::move(e));
 }
 
-void Host::topology(Instance& in, Fields& f) {
+void SimulatorAdapter::topology(Instance& in, Fields& f) {
   const auto how = f.integer("how");
   if (how > 3) throw_bad_value("how", std::to_string(how));
   if (how == 3) return in.brain->endpoint_list_failed();
@@ -205,7 +205,7 @@
   in.brain->end_endpoint_list();
 }
 
-void Host::query(Instance& in, Fields& f) {
+void SimulatorAdapter::query(Instance& in, Fields& f) {
   const auto id = static_cast<std::uint32_t>(f.integer("msg_id"));
   const int rule = static_cast<int>(f.integer("profile"));
   if (rule < 0 || rule >= in.rules) throw_bad_value("profile", std::to_string(rule));
@@ -229,7 +229,7 @@
   in.brain->set_valid_since(slot, in.purges->valid_since(object, group, {}, clock_));
 }
 
-void Host::purged(Instance& in, std::string_view object, std::uint32_t group, Seconds from) {
+void SimulatorAdapter::purged(Instance& in, std::string_view object, std::uint32_t group, Seconds from) {
   in.purges->trim(clock_);
   if (object == "0")
     in.purges->add_group(group, from);
@@ -241,7 +241,7 @@
   }
 }
 
-void Host::completed(Instance& in, Fields& f) {
+void SimulatorAdapter::completed(Instance& in, Fields& f) {
   const auto id = static_cast<std::uint32_t>(f.integer("msg_id"));
   const bool over = f.flag("ended");
   const auto server = f.text("server");
@@ -266,31 +266,31 @@
   close_if_done(in, txn);
 }
 
-int Host::member(Instance& in, std::string_view server) {
+int SimulatorAdapter::member(Instance& in, std::string_view server) {
   const auto [it, fresh] = in.member_of.try_emplace(std::string(server), static_cast<int>(in.members.size()));
   if (fresh) in.members.emplace_back(server);
   return it->second;
 }
 
-void Host::close_if_done(Instance& in, int txn) {
+void SimulatorAdapter::close_if_done(Instance& in, int txn) {
   auto& t = in.txns[txn];
   if (!t.over || t.out > 0) return;
   in.txn_of.erase(t.id);
   in.free_txns.push_back(txn);
 }
 
-void Host::pull(int number, Instance& in) {
+void SimulatorAdapter::pull(int number, Instance& in) {
   while (const auto d = in.brain->next()) write(number, in, *d);
 }
 
-void Host::put_number(double value) {
+void SimulatorAdapter::put_number(double value) {
   char text[40];
   const auto end = std::to_chars(text, text + sizeof text, value, std::chars_format::fixed, 3).ptr;
   out_ += ' ';
   out_.append(text, end);
 }
 
-void Host::write(int number, Instance& in, const Decision& d) {
+void SimulatorAdapter::write(int number, Instance& in, const Decision& d) {
   using Kind = Decision::Kind;
   const auto head = [&](std::string_view name) {
     out_ += name;
@@ -344,4 +344,4 @@
   out_ += '\n';
 }
 
-}  // namespace walkpaddle::wirehost
+}  // namespace walkpaddle::simulator
--- a/src/wirehost/host.h
+++ b/src/simulator/simulator_adapter.h
@@ -14,7 +14,7 @@
 #include "purge/purge_index.h"
 #include "routing/policy.h"
 
-namespace walkpaddle::wirehost {
+namespace walkpaddle::simulator {
 
 // The fields of one line, taken from left to right. "-" and missing optional fields read as absent.
 class Fields {
@@ -35,7 +35,7 @@
   std::string_view rest_;
 };
 
-class Host {
+class SimulatorAdapter {
  public:
   // One line of input at a time; true when a batch is complete and reply() holds its answer.
   bool line(std::string_view text);
@@ -99,4 +99,4 @@
   bool inside_ = false;
 };
 
-}  // namespace walkpaddle::wirehost
+}  // namespace walkpaddle::simulator
--- a/tests/fleet_sockets.cpp
+++ b/tests/fleet_sockets.cpp
@@ -189,8 +189,8 @@
         int tag = 0;
         for (Seconds next = scheduler_.now(); !over_;) {
           const auto came = stream.read();
-          if (came == Stream::Came::end) break;
-          if (came == Stream::Came::bytes) {
+          if (came == Stream::ReadResult::end) break;
+          if (came == Stream::ReadResult::bytes) {
             take(stream, open);
             continue;
           }
@@ -383,7 +383,7 @@
       for (int r = at; !held;) {
         std::string line;
         while ((line = line_of(*sockets[r])).empty()) {
-          if (sockets[r]->read() == Stream::Came::nothing) co_await sockets[r]->readable();
+          if (sockets[r]->read() == Stream::ReadResult::nothing) co_await sockets[r]->readable();
         }
         const bool there = line.find("\"ok\":true") != std::string::npos;
         if (number.empty()) {
