--- a/src/io/fd.h
+++ b/src/io/fd.h
@@ -6,6 +6,7 @@
 
 namespace walkpaddle {
 
+/// Owns a file descriptor and closes it on destruction. A default-constructed or moved-from Fd is invalid.
 class Fd {
  public:
   Fd() = default;
--- a/src/io/listener.h
+++ b/src/io/listener.h
@@ -1,4 +1,3 @@
-// A listening socket and the word that somebody waits there.
 #pragma once
 
 #include <utility>
@@ -8,6 +7,8 @@
 
 namespace walkpaddle {
 
+/// A descriptor that is watched for input, such as a listening socket or a UDP socket. `scheduler` must
+/// outlive it.
 class Listener final : Scheduler::Watcher {
  public:
   Listener(Scheduler& scheduler, Fd fd) : input_ready(scheduler), scheduler_(scheduler), fd_(std::move(fd)) {
@@ -16,23 +17,28 @@
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
   ~Listener() { close(); }
+  /// Closes the socket and wakes the task that waits for input.
   void close() {
     if (!fd_) return;
     scheduler_.unwatch(fd_.get(), *this);
     fd_ = Fd();
     input_ready.set();
   }
-  Fd detach() {  // open still, watched no more
+  /// Stops watching the socket and returns it, still open; wakes the task that waits for input.
+  Fd detach() {
     if (fd_) scheduler_.unwatch(fd_.get(), *this);
     Fd fd = std::move(fd_);
     input_ready.set();
     return fd;
   }
+  /// Whether the descriptor is still owned.
   bool open() const { return static_cast<bool>(fd_); }
   int fd() const { return fd_.get(); }
-  Fd accept();  // the next that waits; invalid with errno if there is none or none can be had
+  /// Accepts the next connection, as a non-blocking socket. Returns an invalid Fd, with errno set, if none
+  /// waits (EAGAIN) or the call fails.
+  Fd accept();
 
-  Event input_ready;
+  Event input_ready;  ///< set on input, close() and detach()
 
  private:
   void on_ready(std::uint32_t) override { input_ready.set(); }
--- a/src/io/scheduler.cpp
+++ b/src/io/scheduler.cpp
@@ -28,14 +28,14 @@
   scheduler_.ready_.push_back(this);
 }
 
-void Event::wait_as(std::coroutine_handle<> task, Seconds until) {
+void Event::suspend(std::coroutine_handle<> task, Seconds until) {
   task_ = task;
   if (until >= kNoTime) return;
   timer_ = scheduler_.timers_.emplace(until, this);
   timed_ = true;
 }
 
-void Event::drop() {
+void Event::cancel_wait() {
   task_ = {};
   if (std::exchange(timed_, false)) scheduler_.timers_.erase(timer_);
   if (!std::exchange(ready_, false)) return;
@@ -44,8 +44,8 @@
 
 Scheduler::Scheduler() : epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
   if (!epoll_) throw SystemError("epoll_create1", errno);
-  // The steady clock moves the time on, so that a step of the system's clock moves no timer.
-  unix_less_steady_ = seconds_of<std::chrono::system_clock>() - seconds_of<std::chrono::steady_clock>();
+  // Time advances with the steady clock, so that a step of the system clock moves no timer.
+  unix_minus_steady_ = seconds_of<std::chrono::system_clock>() - seconds_of<std::chrono::steady_clock>();
   read_clock();
 }
 
@@ -54,7 +54,7 @@
 void Scheduler::drop_tasks() { std::exchange(tasks_, {}).clear(); }
 
 Seconds Scheduler::now_uncached() const {
-  return seconds_of<std::chrono::steady_clock>() + unix_less_steady_;
+  return seconds_of<std::chrono::steady_clock>() + unix_minus_steady_;
 }
 
 void Scheduler::read_clock() { now_ = now_uncached(); }
@@ -70,7 +70,7 @@
   start(std::move(task));
 }
 
-// A task that ends is dropped here, after it has given the control back.
+// A task that has ended is destroyed here, after its coroutine has returned control.
 void Scheduler::resume(std::coroutine_handle<> handle) {
   handle.resume();
   if (!handle.done()) return;
@@ -89,53 +89,54 @@
   e.data.ptr = &watcher;
   if (::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &e) == 0) return;
   if (errno != ENOSPC && errno != ENOMEM) throw SystemError("epoll_ctl", errno);
-  constexpr Seconds kPause = 0.01;  // until some descriptor or memory may be free
-  refused_.push_back({fd, &watcher});
-  turn_by(now_ + kPause);
+  constexpr Seconds kWatchRetryInterval = 0.01;  // by then a watch or memory may have been freed
+  pending_watches_.push_back({fd, &watcher});
+  request_turn_by(now_ + kWatchRetryInterval);
 }
 
-void Scheduler::watch_refused_again() {
-  for (const auto& r : std::exchange(refused_, {})) watch(r.fd, *r.watcher);
+void Scheduler::retry_pending_watches() {
+  for (const auto& pending : std::exchange(pending_watches_, {})) watch(pending.fd, *pending.watcher);
 }
 
 void Scheduler::unwatch(int fd, Watcher& watcher) {
   ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
-  std::replace(told_.begin(), told_.end(), &watcher, static_cast<Watcher*>(nullptr));
-  std::erase_if(refused_, [&](const Refused& r) { return r.watcher == &watcher; });
+  std::replace(notified_.begin(), notified_.end(), &watcher, static_cast<Watcher*>(nullptr));
+  std::erase_if(pending_watches_, [&](const PendingWatch& pending) { return pending.watcher == &watcher; });
 }
 
-void Scheduler::wait_for_edges() {
-  constexpr int kAtOnce = 256;  // more wait for the next turn, which comes at once
-  epoll_event events[kAtOnce];
+void Scheduler::wait_for_events() {
+  constexpr int kMaxEvents = 256;  // further events are reported in the next turn, which begins at once
+  epoll_event events[kMaxEvents];
   timespec wait{0, 0};
   timespec* until = nullptr;
   const Seconds turn_began = now_;
   read_clock();
-  const Seconds waits_from = now_;
-  const Seconds first = std::min(turn_by_, timers_.empty() ? kNoTime : timers_.begin()->first);
-  if (first < kNoTime) {
-    const Seconds left = std::clamp(first - now_, 0.0, 3600.0);
-    wait.tv_sec = static_cast<time_t>(left);
-    wait.tv_nsec = static_cast<long>((left - std::floor(left)) * 1e9);
+  const Seconds wait_began = now_;
+  const Seconds wake_at = std::min(turn_by_, timers_.empty() ? kNoTime : timers_.begin()->first);
+  if (wake_at < kNoTime) {
+    const Seconds timeout = std::clamp(wake_at - now_, 0.0, 3600.0);
+    wait.tv_sec = static_cast<time_t>(timeout);
+    wait.tv_nsec = static_cast<long>((timeout - std::floor(timeout)) * 1e9);
     until = &wait;
   }
-  const int got = ::epoll_pwait2(epoll_.get(), events, kAtOnce, until, nullptr);
+  const int got = ::epoll_pwait2(epoll_.get(), events, kMaxEvents, until, nullptr);
   if (got < 0 && errno != EINTR) throw SystemError("epoll_pwait2", errno);
   read_clock();
-  // A stop ends the wait, with an interruption or with the edge of a signal, before the edges of what comes
-  // while the process stands still: those of the next turn have waited as long.
-  const Seconds late = waits_from - turn_began + std::max(0.0, now_ - std::max(first, waits_from));
-  late_ = last_late_ + late;
-  last_late_ = got < 0 ? late_ : late;  // an interrupted wait told of no edges at all
+  // Stopping the process (SIGSTOP) interrupts the wait or ends it with the event of a signal. Input that
+  // arrives while the process is stopped is reported in the next turn only, so that turn counts this delay
+  // too.
+  const Seconds delay = wait_began - turn_began + std::max(0.0, now_ - std::max(wake_at, wait_began));
+  max_input_delay_ = previous_delay_ + delay;
+  previous_delay_ = got < 0 ? max_input_delay_ : delay;  // an interrupted wait reports no events at all
   if (now_ >= turn_by_) {
     turn_by_ = kNoTime;
-    watch_refused_again();
+    retry_pending_watches();
   }
-  told_.clear();
-  for (int n = 0; n < got; ++n) told_.push_back(static_cast<Watcher*>(events[n].data.ptr));
+  notified_.clear();
+  for (int n = 0; n < got; ++n) notified_.push_back(static_cast<Watcher*>(events[n].data.ptr));
   for (int n = 0; n < got; ++n)
-    if (auto* watcher = told_[n]) watcher->on_ready(events[n].events);
-  told_.clear();
+    if (auto* watcher = notified_[n]) watcher->on_ready(events[n].events);
+  notified_.clear();
   while (!timers_.empty() && timers_.begin()->first <= now_) {
     auto* event = timers_.begin()->second;
     timers_.erase(timers_.begin());
@@ -158,12 +159,12 @@
 void Scheduler::run() {
   while (!stopped_) {
     run_ready();
-    for (const auto& call : ends_) {
+    for (const auto& call : turn_end_calls_) {
       call();
       run_ready();
     }
     if (stopped_) return;
-    wait_for_edges();
+    wait_for_events();
   }
 }
 
--- a/src/io/scheduler.h
+++ b/src/io/scheduler.h
@@ -1,5 +1,6 @@
-// The scheduler: one thread, coroutines over epoll, timers finer than a millisecond. A turn reads the clock
-// once, wakes what became ready, runs the tasks until none is ready, and then calls the ends of the turn.
+// A single-threaded event loop: coroutines over edge-triggered epoll, timers finer than a millisecond. Each
+// iteration ("turn") waits for readiness events and timers, reads the clock once, wakes the tasks that became
+// ready, runs tasks until none is ready, and then makes the calls registered for the end of the turn.
 #pragma once
 
 #include <algorithm>
@@ -21,39 +22,44 @@
 
 class Scheduler;
 
+/// Stands for a time that is not set. Later than any time that occurs.
 constexpr Seconds kNoTime = 1e15;
 
-// What one task waits for, with or without a time. It can be set before; it stays set until taken. Whichever
-// is dropped first, the event or the waiting task, leaves its timer and its place among the ready.
+/// An event that one task at a time can wait for, optionally until a given time. It may be set before the
+/// wait, and stays set until a wait consumes it. Event and waiting task may be destroyed in either order: the
+/// first to go removes the timer and the entry in the ready queue.
 class Event {
  public:
   explicit Event(Scheduler& scheduler) : scheduler_(scheduler) {}
   Event(const Event&) = delete;
   Event& operator=(const Event&) = delete;
-  ~Event() { drop(); }
+  ~Event() { cancel_wait(); }
 
+  /// Sets the event and makes the task that waits for it ready to run.
   void set();
 
+  /// What wait() returns, for co_await: true if the event was set, false if the time was reached first.
   class Awaiter {
    public:
     Awaiter(Event& event, Seconds until) : event_(event), until_(until) {}
     Awaiter(const Awaiter&) = delete;
     Awaiter& operator=(const Awaiter&) = delete;
-    ~Awaiter() { event_.drop(); }
+    ~Awaiter() { event_.cancel_wait(); }
     bool await_ready() const { return event_.set_; }
-    void await_suspend(std::coroutine_handle<> task) { event_.wait_as(task, until_); }
-    bool await_resume() const { return std::exchange(event_.set_, false); }  // false: the time came first
+    void await_suspend(std::coroutine_handle<> task) { event_.suspend(task, until_); }
+    bool await_resume() const { return std::exchange(event_.set_, false); }
 
    private:
     Event& event_;
     Seconds until_;
   };
+  /// Waits until the event is set or the scheduler's clock reaches `until`.
   Awaiter wait(Seconds until = kNoTime) { return {*this, until}; }
 
  private:
   friend class Scheduler;
-  void wait_as(std::coroutine_handle<> task, Seconds until);
-  void drop();
+  void suspend(std::coroutine_handle<> task, Seconds until);
+  void cancel_wait();
 
   Scheduler& scheduler_;
   std::coroutine_handle<> task_;
@@ -61,11 +67,13 @@
   bool set_ = false, timed_ = false, ready_ = false;
 };
 
+/// Runs tasks on the thread that calls run(). Not thread-safe.
 class Scheduler {
  public:
-  // Told of a descriptor's edges; lives as long as its place in epoll.
+  /// Receives the readiness events of a descriptor. Must stay alive until unwatch().
   class Watcher {
    public:
+    /// `epoll_events`: the EPOLL* flags that became set.
     virtual void on_ready(std::uint32_t epoll_events) = 0;
 
    protected:
@@ -75,49 +83,62 @@
   Scheduler();
   ~Scheduler();
 
-  Seconds now() const { return now_; }  // Unix time, read once a turn
-  Seconds now_uncached() const;  // read now: where the turn may be long, or the process stood still within it
-  // What is read in this turn may have waited so long for this thread: it was busy with the turn before, or
-  // the process stood still.
-  Seconds max_input_delay() const { return late_; }
-  void start(Task task);  // runs it up to its first wait, then goes on with the caller
-  // The same for a task whose failure concerns it alone: an exception that leaves it ends it, not the
-  // program.
+  /// Unix time as read once per turn. It advances with the steady clock, so that a step of the system clock
+  /// moves no timer.
+  Seconds now() const { return now_; }
+  /// Like now(), but reads the clock. For code that may run late in a long turn, or after the process was
+  /// stopped within the turn.
+  Seconds now_uncached() const;
+  /// How long input that is read in this turn may have waited for this thread, because it was busy with the
+  /// turn before or because the process was stopped.
+  Seconds max_input_delay() const { return max_input_delay_; }
+  /// Runs the task up to its first wait, then returns. The scheduler owns the task until its end.
+  void start(Task task);
+  /// Like start(), but an exception that leaves the task goes to the failure handler instead of ending the
+  /// program.
   void start_isolated(Task task);
   using OnFailure = std::function<void(std::exception_ptr)>;
-  void on_failure(OnFailure call) { on_failure_ = std::move(call); }  // of an isolated task
-  // Edges of `fd` are told from now on, the present state first. While the kernel refuses for want of memory
-  // or of watches (ENOMEM, ENOSPC), it is asked again; other errors throw SystemError.
+  /// Sets the handler for exceptions of isolated tasks. Without one, run() rethrows them.
+  void on_failure(OnFailure call) { on_failure_ = std::move(call); }
+  /// Reports the readiness events of `fd` to `watcher` from now on, beginning with its present state. If the
+  /// kernel lacks memory or watches (ENOMEM, ENOSPC), retries until it succeeds; throws SystemError for other
+  /// errors.
   void watch(int fd, Watcher& watcher);
+  /// Ends watch(): `watcher` receives no more events.
   void unwatch(int fd, Watcher& watcher);
-  void call_at_turn_end(std::function<void()> call) { ends_.push_back(std::move(call)); }
-  void turn_by(Seconds time) { turn_by_ = std::min(turn_by_, time); }  // a turn begins by then, once
-  void run();  // until stop(); an exception of a task that is not isolated comes out here
+  /// Registers a function that is called at the end of every turn, in the order of registration.
+  void call_at_turn_end(std::function<void()> call) { turn_end_calls_.push_back(std::move(call)); }
+  /// Makes a turn begin by `time` at the latest, even without input or timers. Applies once.
+  void request_turn_by(Seconds time) { turn_by_ = std::min(turn_by_, time); }
+  /// Runs tasks until stop(). Rethrows an exception that leaves a task that is not isolated.
+  void run();
+  /// Makes run() return before the next wait for events.
   void stop() { stopped_ = true; }
+  /// Destroys all tasks, wherever they wait.
   void drop_tasks();
 
  private:
   friend class Event;
   void read_clock();
-  void wait_for_edges();
+  void wait_for_events();
   void run_ready();
   void resume(std::coroutine_handle<> task);
-  void watch_refused_again();
+  void retry_pending_watches();
 
-  struct Refused {
+  struct PendingWatch {
     int fd;
     Watcher* watcher;
   };
   Fd epoll_;
-  Seconds now_ = 0, unix_less_steady_ = 0;
+  Seconds now_ = 0, unix_minus_steady_ = 0;
   bool stopped_ = false;
   std::multimap<Seconds, Event*> timers_;
-  std::deque<Event*> ready_;               // null: dropped since
-  std::unordered_map<void*, Task> tasks_;  // by their frames
-  std::vector<std::function<void()>> ends_;
-  std::vector<Watcher*> told_;    // this turn's; null: forgotten since
-  std::vector<Refused> refused_;  // not watched yet: at most one for each open descriptor
-  Seconds turn_by_ = kNoTime, late_ = 0, last_late_ = 0;
+  std::deque<Event*> ready_;               // null: removed since
+  std::unordered_map<void*, Task> tasks_;  // by coroutine frame address
+  std::vector<std::function<void()>> turn_end_calls_;
+  std::vector<Watcher*> notified_;             // by this turn's events; null: unwatched since
+  std::vector<PendingWatch> pending_watches_;  // to be retried: at most one for each open descriptor
+  Seconds turn_by_ = kNoTime, max_input_delay_ = 0, previous_delay_ = 0;
   OnFailure on_failure_;
 };
 
--- a/src/io/stream.cpp
+++ b/src/io/stream.cpp
@@ -64,7 +64,7 @@
   Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const auto a = sockaddr_of(address);
   if (!fd || ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&a), sizeof a) != 0)
-    throw SystemError("datagrams on " + text_of(address), errno);
+    throw SystemError("bind UDP socket to " + text_of(address), errno);
   return fd;
 }
 
@@ -79,7 +79,7 @@
   Fd fd = new_socket();
   if (!fd) return fd;
   const auto a = sockaddr_of(address);
-  // An interrupted connect goes on as one that is in progress.
+  // An interrupted connect continues in the background, as with EINPROGRESS.
   if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&a), sizeof a) != 0 && errno != EINPROGRESS &&
       errno != EINTR)
     return Fd();
@@ -88,26 +88,26 @@
 
 namespace {
 
-// The kernel wants memory or buffers: nothing is wrong with the connection.
-bool wants_memory(int error) { return error == ENOBUFS || error == ENOMEM; }
+// The kernel lacks memory or buffers; the connection itself is intact.
+bool is_memory_error(int error) { return error == ENOBUFS || error == ENOMEM; }
 
 }  // namespace
 
 void Outbox::remove(Stream& stream) {
   std::replace(streams_.begin(), streams_.end(), &stream, static_cast<Stream*>(nullptr));
-  std::erase(again_, &stream);
+  std::erase(retries_, &stream);
 }
 
-void Outbox::ask_again(Stream& stream) {
-  if (std::ranges::find(again_, &stream) == again_.end()) again_.push_back(&stream);
-  ask_at_ = std::min(ask_at_, scheduler_.now() + kAskAgain);
-  scheduler_.turn_by(ask_at_);
+void Outbox::retry_later(Stream& stream) {
+  if (std::ranges::find(retries_, &stream) == retries_.end()) retries_.push_back(&stream);
+  retry_at_ = std::min(retry_at_, scheduler_.now() + kRetryInterval);
+  scheduler_.request_turn_by(retry_at_);
 }
 
 void Outbox::flush() {
-  if (scheduler_.now() >= ask_at_) {
-    ask_at_ = kNoTime;
-    for (auto* stream : std::exchange(again_, {})) stream->on_ready(EPOLLIN | EPOLLOUT);
+  if (scheduler_.now() >= retry_at_) {
+    retry_at_ = kNoTime;
+    for (auto* stream : std::exchange(retries_, {})) stream->on_ready(EPOLLIN | EPOLLOUT);
   }
   for (auto* stream : std::exchange(streams_, {}))
     if (stream != nullptr) stream->flush();
@@ -122,7 +122,7 @@
 
 Stream::~Stream() {
   outbox_.remove(*this);
-  outbox_.hold(0, unsent());
+  outbox_.adjust_unsent(0, unsent());
   scheduler_.unwatch(fd_.get(), *this);
 }
 
@@ -136,11 +136,12 @@
 
 namespace {
 
-// Edges are told once: an interrupted call is made again at once, or the bytes would never be asked for.
-ssize_t receive(int fd, std::vector<char>& room) {
+// An edge-triggered event is reported once, so an interrupted call is repeated at once: there may be no other
+// event for these bytes.
+ssize_t receive(int fd, std::vector<char>& buffer) {
   ssize_t got = 0;
   do {
-    got = ::recv(fd, room.data(), room.size(), 0);
+    got = ::recv(fd, buffer.data(), buffer.size(), 0);
   } while (got < 0 && errno == EINTR);
   return got;
 }
@@ -149,19 +150,19 @@
 
 Stream::ReadResult Stream::read() {
   if (broken_) return ReadResult::end;
-  auto& room = outbox_.room();
+  auto& buffer = outbox_.read_buffer();
   if (in_from_ == in_.size()) {
     in_.clear(), in_from_ = 0;
-    if (in_.capacity() > 4 * room.size()) in_.shrink_to_fit();  // grown for one large message
-  } else if (in_from_ > room.size()) {
+    if (in_.capacity() > 4 * buffer.size()) in_.shrink_to_fit();  // it had grown for a large message
+  } else if (in_from_ > buffer.size()) {
     in_.erase(0, std::exchange(in_from_, 0));
   }
-  const auto got = receive(fd_.get(), room);
+  const auto got = receive(fd_.get(), buffer);
   const int why = errno;
-  if (got > 0) in_.append(room.data(), static_cast<std::size_t>(got));
+  if (got > 0) in_.append(buffer.data(), static_cast<std::size_t>(got));
   if (got > 0) return ReadResult::bytes;
   if (got < 0 && why == EAGAIN) return ReadResult::nothing;
-  if (got < 0 && wants_memory(why)) return outbox_.ask_again(*this), ReadResult::nothing;
+  if (got < 0 && is_memory_error(why)) return outbox_.retry_later(*this), ReadResult::nothing;
   broken_ = got < 0;
   return ReadResult::end;
 }
@@ -230,7 +231,7 @@
   if (broken_ || unwritable_) return;
   out_ += bytes;
   written_ += bytes.size();
-  outbox_.hold(bytes.size(), 0);
+  outbox_.adjust_unsent(bytes.size(), 0);
   if (!std::exchange(queued_, true)) outbox_.add(*this);
 }
 
@@ -238,7 +239,7 @@
   if (broken_ || from < flushed_) return false;
   out_.erase(out_from_ + (from - flushed_), to - from);
   written_ -= to - from;
-  outbox_.hold(0, to - from);
+  outbox_.adjust_unsent(0, to - from);
   return true;
 }
 
@@ -249,24 +250,24 @@
     if (sent >= 0) {
       out_from_ += static_cast<std::size_t>(sent);
       flushed_ += static_cast<std::size_t>(sent);
-      outbox_.hold(0, static_cast<std::size_t>(sent));
+      outbox_.adjust_unsent(0, static_cast<std::size_t>(sent));
     } else if (errno == EAGAIN) {
       blocked_ = true;
-    } else if (wants_memory(errno)) {
+    } else if (is_memory_error(errno)) {
       blocked_ = true;
-      outbox_.ask_again(*this);
+      outbox_.retry_later(*this);
     } else if (errno != EINTR) {
       unwritable_ = true;
       readable_.set();
       writable_.set();
     }
   }
-  constexpr std::size_t kKept =
-      64 * 1024;  // an idle connection's buffer; what is sent is dropped in steps of it
+  // Capacity that an idle connection may keep, and the step in which sent bytes are removed from the buffer.
+  constexpr std::size_t kKeptBytes = 64 * 1024;
   if (out_from_ == out_.size()) {
     out_.clear(), out_from_ = 0;
-    if (out_.capacity() > kKept) out_.shrink_to_fit();
-  } else if (out_from_ > kKept) {
+    if (out_.capacity() > kKeptBytes) out_.shrink_to_fit();
+  } else if (out_from_ > kKeptBytes) {
     out_.erase(0, std::exchange(out_from_, 0));
   }
 }
--- a/src/io/stream.h
+++ b/src/io/stream.h
@@ -1,5 +1,5 @@
-// One TCP connection: what came in, what is to go out. Writes are gathered and flushed to the kernel once a
-// turn.
+// Stream sockets with buffered input and output. Output is collected and passed to the kernel once per turn
+// of the scheduler.
 #pragma once
 
 #include <cstddef>
@@ -13,60 +13,76 @@
 
 namespace walkpaddle {
 
+/// An IPv4 address and port.
 struct Address {
-  std::uint32_t ip = 0;  // host order
+  std::uint32_t ip = 0;  ///< in host byte order
   std::uint16_t port = 0;
   auto operator<=>(const Address&) const = default;
 };
-Address parse_address(std::string_view text);  // a.b.c.d:port, else InputError
+/// Parses "a.b.c.d:port". Throws InputError for anything else.
+Address parse_address(std::string_view text);
+/// The address as "a.b.c.d:port".
 std::string text_of(const Address& address);
 
-Fd listen_on(const Address& address);  // throws SystemError
-Fd bind_udp(const Address& address);   // UDP, not waiting; throws SystemError
-// On its way; invalid with errno if refused at once, which closing the socket does not change.
+/// Opens a non-blocking listening TCP socket. Throws SystemError.
+Fd listen_on(const Address& address);
+/// Opens a non-blocking UDP socket bound to `address`. Throws SystemError.
+Fd bind_udp(const Address& address);
+/// Starts a non-blocking TCP connect. Returns an invalid Fd if it fails at once; errno then still has the
+/// cause, as closing the socket does not change it.
 Fd dial(const Address& address);
-// Whether a call failed for want of this machine's own descriptors, memory, buffers or ports.
+/// Whether a call failed because this machine ran out of descriptors, memory, buffers or ports.
 bool is_local_resource_error(int error);
 
-// The same by a path, for processes of this machine: mode 0600. A socket that a dead process left is
-// replaced, one that answers is not.
+/// Opens a listening Unix socket at `path`, with mode 0600. Replaces a socket that a dead process left there;
+/// throws SystemError with EADDRINUSE if a live process answers.
 Fd listen_on(const std::string& path);
+/// Connects to the Unix socket at `path`. Returns an invalid Fd if that fails.
 Fd dial(const std::string& path);
 
 class Stream;
 
-// What the streams share: those that have something to send at the turn's end, and the room that they read
-// into.
+/// State shared by all streams of a scheduler: the streams with output to send at the end of the turn, the
+/// total of unsent output, and the buffer that they read into. `scheduler` must outlive it, and it must
+/// outlive its streams.
 class Outbox {
  public:
-  // most_held: bytes that may wait to be sent, of all streams together, before those that read slowly are
-  // closed.
-  Outbox(Scheduler& scheduler, std::size_t most_held)
-      : scheduler_(scheduler), most_held_(most_held), room_(kRoom) {
+  /// `max_unsent`: unsent bytes of all streams together above which full() is true and connections whose
+  /// clients read slowly are closed.
+  Outbox(Scheduler& scheduler, std::size_t max_unsent)
+      : scheduler_(scheduler), max_unsent_(max_unsent), read_buffer_(kReadBufferBytes) {
     scheduler.call_at_turn_end([this] { flush(); });
   }
-  void hold(std::size_t more, std::size_t less) { held_ += more - less; }
-  bool full() const { return held_ > most_held_; }
+  /// Adjusts the total of unsent bytes: `added` were written, `removed` were sent or discarded.
+  void adjust_unsent(std::size_t added, std::size_t removed) { unsent_ += added - removed; }
+  /// Whether more than `max_unsent` bytes wait to be sent.
+  bool full() const { return unsent_ > max_unsent_; }
+  /// Has the stream flushed at the end of the turn.
   void add(Stream& stream) { streams_.push_back(&stream); }
+  /// Removes a stream that is being destroyed.
   void remove(Stream& stream);
+  /// Flushes the streams that were added, and repeats the calls that are due for a retry.
   void flush();
-  // The kernel had no memory for a call of this stream: it is asked again a little later.
-  void ask_again(Stream& stream);
-  std::vector<char>& room() { return room_; }
+  /// Schedules a retry of a call of this stream for which the kernel had no memory.
+  void retry_later(Stream& stream);
+  /// The buffer for the next read of any stream.
+  std::vector<char>& read_buffer() { return read_buffer_; }
 
  private:
-  // What one read takes: some tens of small messages or part of a large one; others get their turn between.
-  static constexpr std::size_t kRoom = std::size_t{64} * 1024;
-  static constexpr Seconds kAskAgain = 0.005;
+  // Bytes that one read takes: tens of small messages or part of a large one, so that other streams are
+  // served in between.
+  static constexpr std::size_t kReadBufferBytes = std::size_t{64} * 1024;
+  static constexpr Seconds kRetryInterval = 0.005;
   Scheduler& scheduler_;
-  const std::size_t most_held_;
-  std::size_t held_ = 0;
-  std::vector<Stream*> streams_;  // null: dropped since
-  std::vector<Stream*> again_;    // the same, for those that ask again at ask_at_
-  Seconds ask_at_ = kNoTime;
-  std::vector<char> room_;
+  const std::size_t max_unsent_;
+  std::size_t unsent_ = 0;
+  std::vector<Stream*> streams_;  // to be flushed; null: destroyed since
+  std::vector<Stream*> retries_;  // to be retried at retry_at_
+  Seconds retry_at_ = kNoTime;
+  std::vector<char> read_buffer_;
 };
 
+/// A connected non-blocking stream socket. `scheduler` and `outbox` must outlive it.
 class Stream final : Scheduler::Watcher {
   friend class Outbox;
 
@@ -76,29 +92,48 @@
   Stream& operator=(const Stream&) = delete;
   ~Stream();
 
+  /// What a read found: bytes, nothing yet, or the end of the connection.
   enum class ReadResult { bytes, nothing, end };
-  ReadResult read();  // takes what the kernel holds, within a bound a call
-  // The other side's end has come, whether read or not, also behind bytes that are unread.
+  /// Appends what the kernel has received to in(), at most one read buffer per call. `end` if the peer has
+  /// closed its side or the connection is broken.
+  ReadResult read();
+  /// Whether the peer has closed its side, even if bytes from before are still unread.
   bool ended() const;
-  bool has_unread() const;  // bytes that came and were not read yet
+  /// Whether bytes were received that have not been consumed, here or in the kernel.
+  bool has_unread() const;
+  /// The bytes that were read and not consumed yet.
   std::string_view in() const { return {in_.data() + in_from_, in_.size() - in_from_}; }
+  /// Removes bytes from the front of in().
   void consume(std::size_t bytes);
+  /// Waits for input, the end of the connection or wake(), until a given time.
   Event::Awaiter readable(Seconds until = kNoTime) { return readable_.wait(until); }
+  /// Waits until the socket becomes writable or breaks, until a given time.
   Event::Awaiter writable(Seconds until = kNoTime) { return writable_.wait(until); }
-  int error() const;  // pending on the socket, 0 for none
+  /// The pending error of the socket (SO_ERROR), 0 for none.
+  int error() const;
 
+  /// Queues bytes to be sent at the end of the turn. They are discarded if the stream can no longer write.
   void write(std::string_view bytes);
-  std::uint64_t written() const { return written_; }  // bytes given to write() so far
-  std::uint64_t flushed() const { return flushed_; }  // of these, bytes that the kernel took
+  std::uint64_t written() const { return written_; }  ///< bytes given to write(), less those removed
+  std::uint64_t flushed() const { return flushed_; }  ///< of these, bytes that the kernel accepted
+  /// Bytes that were written and that the kernel has not accepted yet.
   std::size_t unsent() const { return written_ - flushed_; }
-  // The bytes from place `from` to `to` of those written go out of what is still to be sent; false, and all
-  // stays, if the kernel took some of them.
+  /// Removes bytes that were written but not sent: those from position `from` up to `to`, as counted by
+  /// written(). Returns false and removes nothing if some of them were passed to the kernel or the stream is
+  /// broken.
   bool remove_unsent(std::uint64_t from, std::uint64_t to);
+  /// Passes as much output to the kernel as it accepts.
   void flush();
+  /// Shuts down the sending side of the connection.
   void shutdown_write();
-  void wake() { readable_.set(); }  // its reader looks again
-  void close();                     // as if the other side had closed: the reader wakes and sees the end
+  /// Wakes the task that waits in readable().
+  void wake() { readable_.set(); }
+  /// Marks the stream as broken, as if the peer had closed it: waiting tasks wake and read() returns `end`.
+  /// The socket is closed on destruction.
+  void close();
+  /// Whether the connection failed or close() was called.
   bool broken() const { return broken_; }
+  /// Whether written bytes can still be sent.
   bool can_write() const { return !broken_ && !unwritable_; }
 
  private:
@@ -112,7 +147,7 @@
   std::size_t in_from_ = 0, out_from_ = 0;
   std::uint64_t written_ = 0, flushed_ = 0;
   bool queued_ = false, blocked_ = false, broken_ = false;
-  bool unwritable_ = false;  // the other side takes nothing any more; what it sent may still be read
+  bool unwritable_ = false;  // sending failed; what the peer sent may still be read
 };
 
 }  // namespace walkpaddle
--- a/src/io/task.h
+++ b/src/io/task.h
@@ -1,4 +1,3 @@
-// A task: a coroutine that the scheduler owns from its start to its end.
 #pragma once
 
 #include <coroutine>
@@ -7,6 +6,7 @@
 
 namespace walkpaddle {
 
+/// A coroutine that the scheduler owns from its start to its end.
 class Task {
  public:
   struct promise_type {  // NOLINT(readability-identifier-naming): the language asks for this name
@@ -28,11 +28,13 @@
   ~Task() {
     if (handle_) handle_.destroy();
   }
-  // GCC 12 leaves part of the frame unset where a condition awaits: a task names what an await gives first.
+  // GCC 12 leaves part of the coroutine frame uninitialised where a condition contains co_await, so tasks
+  // assign the result of co_await to a variable first.
   std::coroutine_handle<> handle() const { return handle_; }
-  // The exception that left it; null for none.
+  /// The exception that ended the coroutine; null if there was none.
   std::exception_ptr failure() const { return handle_.promise().failure; }
-  // Isolated, its failure is told and concerns no other; else it comes out of Scheduler::run.
+  /// Makes the scheduler report a failure of this task to its failure handler instead of rethrowing it from
+  /// Scheduler::run().
   void isolate() { handle_.promise().isolated = true; }
   bool isolated() const { return handle_.promise().isolated; }
 
