--- a/src/base/error.cpp
+++ b/src/base/error.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kLongestValue = 60;  // bytes of an offending value that a message repeats
+constexpr std::size_t kMaxValueBytes = 60;  // of an invalid value, as quoted in a message
 
 std::string place_text(const ConfigError::Location& where) {
   std::string text = where.file;
@@ -17,7 +17,7 @@
 
 std::string value_text(const ConfigError::Location& where, std::string_view value,
                        const std::string& allowed) {
-  return place_text(where) + where.key + " is '" + std::string(value.substr(0, kLongestValue)) +
+  return place_text(where) + where.key + " is '" + std::string(value.substr(0, kMaxValueBytes)) +
          "', expected " + allowed;
 }
 
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,11 +1,11 @@
 /// \file
-/// The exceptions that the program throws. Each says what went wrong, where, and the offending value; the
-/// class says who can do something about it.
+/// The exceptions of the program. The message says what went wrong and where, and quotes the invalid value;
+/// the class tells where the fault lies: in the input, in the store or in the system.
 ///
 ///     Error
-///       InputError       text or bytes from outside that cannot be used
-///         ConfigError    ... from a configuration file: file, line, key, value, what is allowed
-///         ProtocolError  ... from another process: who sent it, and where in what it sent
+///       InputError       invalid text or bytes from outside the program
+///         ConfigError    an invalid configuration file: file, line, key, value and allowed values
+///         ProtocolError  an invalid message of another process: its sender and the position of the fault
 ///       StoreError       the store on disk cannot be opened, read or written
 ///       SystemError      a system call failed, with its errno
 #pragma once
@@ -18,41 +18,41 @@
 
 namespace walkpaddle {
 
-/// What all exceptions of this program derive from.
+/// The base class of all exceptions of the program.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// Text or bytes from outside that cannot be used, where it is not known here whose they are.
+/// Invalid text or bytes from outside the program. Thrown directly where the origin is not known.
 class InputError : public Error {
  public:
   using Error::Error;
 };
 
-/// A configuration that cannot be used. The fields that do not apply are empty, `line` is then 0.
+/// An invalid configuration. Fields that do not apply are empty; `line` is then 0.
 class ConfigError : public InputError {
  public:
-  /// Where the error stands.
+  /// The place of an error in a configuration.
   struct Location {
-    /// Its path.
+    /// Path of the file.
     std::string file{};
-    int line = 0;  ///< from 1; 0 where the form of the file tells no lines
-    /// Within the file; empty where no key is at fault.
+    int line = 0;  ///< line number from 1; 0 if the format of the file provides none
+    /// The key within the file; empty if the error concerns no single key.
     std::string key{};
   };
-  /// An error that is no single value's: a section that is missing, two that contradict each other.
+  /// An error that concerns no single value, such as a missing section or two that contradict each other.
   ConfigError(Location where, const std::string& what);
-  /// A value that is not among those allowed. `allowed` names them as an operator reads it: "1 to 100".
+  /// A value that is not allowed. `allowed` describes the allowed ones for the operator, such as "1 to 100".
   ConfigError(Location where, std::string_view value, std::string allowed);
-  /// The same where the message has words of its own.
+  /// A value that is not allowed, with a message of its own.
   ConfigError(Location where, const std::string& what, std::string value, std::string allowed);
 
-  /// File, line and key.
+  /// File, line and key of the error.
   const Location& where() const { return where_; }
-  /// The offending value, all of it; empty where none is at fault.
+  /// The invalid value in full; empty if no single value is.
   const std::string& value() const { return value_; }
-  /// What would be allowed, as the message says it.
+  /// The allowed values, as described in the message.
   const std::string& allowed() const { return allowed_; }
 
  private:
@@ -61,18 +61,19 @@
   std::string allowed_;
 };
 
-/// Bytes of another process that are not what the protocol allows.
+/// A message of another process that violates the protocol.
 class ProtocolError : public InputError {
  public:
-  /// Where it is not known.
+  /// Stands for a position that is not known.
   static constexpr std::size_t kUnknownPosition = ~std::size_t{};
 
-  /// `position`: bytes from the beginning of the message.
+  /// `peer`: address or name of the sender, empty if not known. `position`: offset of the fault in bytes from
+  /// the beginning of the message.
   explicit ProtocolError(const std::string& what, std::string peer = {},
                          std::size_t position = kUnknownPosition);
 
-  const std::string& peer() const { return peer_; }  ///< its address or name; empty where it is not known
-  /// Bytes from the beginning of the message.
+  const std::string& peer() const { return peer_; }  ///< address or name of the sender; empty if not known
+  /// Offset of the fault in bytes from the beginning of the message.
   std::size_t position() const { return position_; }
 
  private:
@@ -80,7 +81,7 @@
   std::size_t position_;
 };
 
-/// The store on disk cannot be used: it is another's, damaged, full, or of a later version.
+/// The store on disk cannot be used: it belongs to another router, is damaged, full, or of a later version.
 class StoreError : public Error {
  public:
   using Error::Error;
@@ -89,9 +90,10 @@
 /// A system call failed.
 class SystemError : public Error {
  public:
-  /// `action`: what was tried, for the operator: "listen on 127.0.0.1:6565".
+  /// `action`: what was attempted, for the operator, such as "listen on 127.0.0.1:6565". `error_number`:
+  /// errno.
   SystemError(const std::string& action, int error_number);
-  int error_number() const { return error_number_; }  ///< errno, as the call left it
+  int error_number() const { return error_number_; }  ///< errno after the call
 
  private:
   int error_number_;
--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -1,6 +1,6 @@
 /// \file
-/// Hashes that are the same at every router and on every machine: they are compared between processes, and
-/// stored.
+/// Hashes that give the same value on every router and machine, since they are stored and compared between
+/// processes.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,11 @@
 
 namespace walkpaddle {
 
-/// FNV-1a with the finalizer of MurmurHash3 (first half): small, and stable between versions.
+/// FNV-1a hash with the first half of the finalizer of MurmurHash3. The value must not change between
+/// versions.
 std::uint64_t stable_hash(std::string_view text);
 
-/// The decision module's seed is 32 bits, hosts are handed 64.
+/// Folds a 64-bit seed into the 32 bits that the routing policy takes.
 constexpr std::uint32_t fold_seed(std::uint64_t seed) {
   return static_cast<std::uint32_t>(seed ^ (seed >> 32));
 }
--- a/src/base/text.h
+++ b/src/base/text.h
@@ -1,6 +1,5 @@
 /// \file
-/// Small readers of text that the parsers share: fields cut from the left, numbers that must fill their
-/// field.
+/// Helpers shared by the parsers: splitting text into fields and reading numbers.
 #pragma once
 
 #include <charconv>
@@ -17,13 +16,14 @@
 
 namespace walkpaddle {
 
-/// Throws InputError: `name` says what was read, `value` is what stood there.
+/// Throws InputError for an invalid value. `name`: what was parsed; `value`: the text that was found.
 [[noreturn]] inline void throw_bad_value(std::string_view name, std::string_view value) {
-  constexpr std::size_t kLongestValue = 60;  // bytes that a message repeats
-  throw InputError("bad " + std::string(name) + " '" + std::string(value.substr(0, kLongestValue)) + "'");
+  constexpr std::size_t kMaxValueBytes = 60;  // of the value, as quoted in the message
+  throw InputError("bad " + std::string(name) + " '" + std::string(value.substr(0, kMaxValueBytes)) + "'");
 }
 
-/// The number that fills all of `text`. Throws InputError for anything else, infinities and NaN included.
+/// Parses all of `text` as a number. Throws InputError for anything else, including infinities and NaN;
+/// `name` says in the message what was parsed.
 template <class Number>
 Number parse(std::string_view text, std::string_view name, int base = 10) {
   Number value{};
@@ -40,7 +40,7 @@
   return value;
 }
 
-/// The same for what only informs: text that is no number reads as `absent`.
+/// Like parse(), but returns `absent` for text that is not a number. For values that are only informative.
 template <class Number>
 Number parse_or(std::string_view text, Number absent) try {
   return parse<Number>(text, "");
@@ -48,7 +48,8 @@
   return absent;
 }
 
-/// Takes the field before the next `separator` off the front of `rest`, and the separator too.
+/// Removes the text up to and including the next `separator` from the front of `rest` and returns it without
+/// the separator; all of `rest` if there is none.
 inline std::string_view take_field(std::string_view& rest, char separator) {
   const auto at = rest.find(separator);
   const auto head = rest.substr(0, at);
@@ -56,7 +57,7 @@
   return head;
 }
 
-/// The value that `name` has among `known`, or `otherwise`.
+/// Looks up `name` among the known names and returns its value, or `otherwise` if it is not one of them.
 template <class Value>
 Value value_of_name(std::string_view name, std::initializer_list<std::pair<std::string_view, Value>> known,
                     Value otherwise) {
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,15 +1,15 @@
 /// \file
-/// Times as every part of the program holds them.
+/// The representation of times in all parts of the program.
 #pragma once
 
 namespace walkpaddle {
 
-/// A span of time or a point on the monotonic clock, in seconds with fractions.
+/// A duration or a point in time, in seconds with fractions.
 using Seconds = double;
 
-/// Later than any time that occurs, and earlier. Finite, so that differences of them stay ordinary numbers.
+/// Later than any time that occurs. Finite, so that differences of times stay ordinary numbers.
 constexpr Seconds kNever = 1e15;
-/// Earlier than any time that occurs.
+/// Earlier than any time that occurs; finite as well.
 constexpr Seconds kLongAgo = -kNever;
 
 }  // namespace walkpaddle
