--- a/src/dns/dns_server.cpp
+++ b/src/dns/dns_server.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t kMostOpen = 4096;       // a seat and a task each, some hundred bytes
-constexpr std::size_t kMostConnections = 16;  // RFC 7766 asks for several at once
-constexpr std::size_t kLongest = 4096;        // of a query; none of ours needs a tenth
+constexpr std::size_t kMaxOpenLookups = 4096;  // each takes a request slot and a task, some hundred bytes
+constexpr std::size_t kMaxConnections = 16;    // RFC 7766 asks for several at a time
+constexpr std::size_t kMaxQueryBytes = 4096;   // queries for names of the zone take less than a tenth of it
 
 }  // namespace
 
@@ -24,162 +24,175 @@
 DnsServer::Socket::~Socket() { scheduler.unwatch(fd.get(), *this); }
 
 DnsServer::DnsServer(Scheduler& scheduler, Outbox& outbox, Log& log, net::RequestDispatcher& dispatcher,
-                     net::UpstreamPool& caches, Zone zone, const Address& listen)
+                     net::UpstreamPool& upstream, Zone zone, const Address& listen)
     : scheduler_(scheduler),
       outbox_(outbox),
       log_(log),
       dispatcher_(dispatcher),
-      upstream_(caches),
+      upstream_(upstream),
       zone_(std::move(zone)),
       socket_(scheduler, bind_udp(listen)),
       listener_(scheduler, listen_on(listen)) {
-  scheduler_.start(datagrams());
-  scheduler_.start(accept_all());
+  scheduler_.start(serve_datagrams());
+  scheduler_.start(accept_connections());
 }
 
-Task DnsServer::datagrams() {
-  constexpr int kATurn = 64;  // then others get theirs; what the kernel cannot hold is asked again
-  char room[kLongest];
+Task DnsServer::serve_datagrams() {
+  // Other tasks run after so many datagrams. If the buffer of the kernel overflows, resolvers repeat the
+  // query.
+  constexpr int kDatagramsPerTurn = 64;
+  char buffer[kMaxQueryBytes];
   Event next(scheduler_);
   for (;;) {
-    for (int n = 0; n < kATurn; ++n) {
+    for (int n = 0; n < kDatagramsPerTurn; ++n) {
       sockaddr_in a{};
       socklen_t size = sizeof a;
       const auto got =
-          ::recvfrom(socket_.fd.get(), room, sizeof room, 0, reinterpret_cast<sockaddr*>(&a), &size);
+          ::recvfrom(socket_.fd.get(), buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&a), &size);
       if (got < 0 && errno == EAGAIN) {
         co_await socket_.input_ready.wait();
         break;
       }
       if (got > 0)
-        take({room, static_cast<std::size_t>(got)},
-             {{ntohl(a.sin_addr.s_addr), ntohs(a.sin_port)}, nullptr, 512});
+        handle_query({buffer, static_cast<std::size_t>(got)},
+                     {{ntohl(a.sin_addr.s_addr), ntohs(a.sin_port)}, nullptr, 512});
     }
     co_await next.wait(scheduler_.now());
   }
 }
 
-Task DnsServer::accept_all() {
-  constexpr Seconds kPause = 0.1;
+Task DnsServer::accept_connections() {
+  constexpr Seconds kAcceptRetryInterval = 0.1;
   while (listener_.open()) {
     Fd fd = listener_.accept();
     if (fd) {
-      if (connections_ < kMostConnections) scheduler_.start(connection(std::move(fd)));
+      if (connections_ < kMaxConnections) scheduler_.start(serve_connection(std::move(fd)));
       continue;
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
-    const Seconds until = errno == EAGAIN ? kNoTime : scheduler_.now() + kPause;
+    const Seconds until = errno == EAGAIN ? kNoTime : scheduler_.now() + kAcceptRetryInterval;
     co_await listener_.input_ready.wait(until);
   }
 }
 
-// Many queries on one connection, answered as they are decided. One that trickles or idles is closed; one
-// that does not read what it asked for too.
-Task DnsServer::connection(Fd fd) {
-  constexpr Seconds kIdle = 5;
-  constexpr std::size_t kUnread = 256 * 1024;
+// Serves any number of queries on one connection; replies are sent in the order in which they are decided.
+// Closes the connection if no complete query arrives for a while, or if the client does not read its replies.
+Task DnsServer::serve_connection(Fd fd) {
+  constexpr Seconds kQueryTimeout = 5;
+  constexpr std::size_t kMaxUnsentBytes = 256 * 1024;
   struct Count {
     std::size_t& count;
     ~Count() { --count; }
   } count{++connections_};
   auto stream = std::make_shared<Stream>(scheduler_, outbox_, std::move(fd));
-  for (Seconds whole_at = scheduler_.now();;) {
+  for (Seconds last_query_at = scheduler_.now();;) {
     const auto came = stream->read();
-    if (came == Stream::ReadResult::end || stream->unsent() > kUnread) break;
+    if (came == Stream::ReadResult::end || stream->unsent() > kMaxUnsentBytes) break;
     if (came == Stream::ReadResult::bytes) {
-      bool good = true;
-      while (good && stream->in().size() >= 2) {
+      bool valid = true;
+      while (valid && stream->in().size() >= 2) {
         const auto in = stream->in();
         const std::size_t size = static_cast<unsigned char>(in[0]) << 8 | static_cast<unsigned char>(in[1]);
-        good = size > 0 && size <= kLongest;
-        if (!good || in.size() < 2 + size) break;
-        take(in.substr(2, size), {{}, stream, 65535});
+        valid = size > 0 && size <= kMaxQueryBytes;
+        if (!valid || in.size() < 2 + size) break;
+        handle_query(in.substr(2, size), {{}, stream, 65535});
         stream->consume(2 + size);
-        whole_at = scheduler_.now();
+        last_query_at = scheduler_.now();
       }
-      if (!good) break;
+      if (!valid) break;
       continue;
     }
-    co_await stream->readable(whole_at + kIdle);
-    if (scheduler_.now() >= whole_at + kIdle) break;
+    co_await stream->readable(last_query_at + kQueryTimeout);
+    if (scheduler_.now() >= last_query_at + kQueryTimeout) break;
   }
   stream->close();
 }
 
-void DnsServer::give(const Asker& asker, const std::string& reply) {
+void DnsServer::send_reply(const Client& client, const std::string& reply) {
   if (reply.empty()) return;
-  if (asker.stream) {
-    if (asker.stream->broken()) return;
-    const char head[] = {static_cast<char>(reply.size() >> 8), static_cast<char>(reply.size() & 255)};
-    return asker.stream->write(std::string(head, 2) + reply);
+  if (client.stream) {
+    if (client.stream->broken()) return;
+    const char length[] = {static_cast<char>(reply.size() >> 8), static_cast<char>(reply.size() & 255)};
+    return client.stream->write(std::string(length, 2) + reply);
   }
   sockaddr_in a{};
   a.sin_family = AF_INET;
-  a.sin_addr.s_addr = htonl(asker.from.ip);
-  a.sin_port = htons(asker.from.port);
+  a.sin_addr.s_addr = htonl(client.from.ip);
+  a.sin_port = htons(client.from.port);
   if (::sendto(socket_.fd.get(), reply.data(), reply.size(), 0, reinterpret_cast<const sockaddr*>(&a),
                sizeof a) < 0)
-    log_("dns", "an answer to {} could not be sent", text_of(asker.from));
+    log_("dns", "failed to send the reply to {}", text_of(client.from));
 }
 
-void DnsServer::take(std::string_view bytes, Asker asker) {
-  auto [question, reply] = read_query(bytes);
-  if (!question) return give(asker, reply);
+void DnsServer::handle_query(std::string_view bytes, Client client) {
+  auto [question, reply] = parse_query(bytes);
+  if (!question) return send_reply(client, reply);
   const auto& q = *question;
-  if (!asker.stream) asker.size = q.size;
-  const auto say = [&](const Reply& r) { give(asker, reply_bytes(q, r, asker.size)); };
-  if (!q.internet || !zone_.holds(q.name)) return say({Code::refused, {}, {}, {}});
-  auto meaning = zone_.meaning(q.name);
-  using Stands = Zone::Stands;
-  if (meaning.stands == Stands::nothing) return say(zone_.none(Code::no_name));
-  if (meaning.stands == Stands::above) return say(zone_.none(Code::good));
-  if (meaning.stands == Stands::apex) return say(zone_.apex(q.type));
-  if (meaning.stands == Stands::member) {
-    // A member's own name lives while it takes work.
-    const int m = upstream_.find_endpoint(meaning.text);
-    if (m < 0 || !upstream_.is_ready(m)) return say(zone_.none(Code::no_name));
-    return say(zone_.member(q, meaning.text, upstream_.address(m).ip, upstream_.address(m).port));
+  if (!client.stream) client.max_reply_bytes = q.max_reply_bytes;
+  const auto answer = [&](const Reply& r) {
+    send_reply(client, serialize_reply(q, r, client.max_reply_bytes));
+  };
+  if (!q.internet_class || !zone_.contains(q.name)) return answer({ResponseCode::refused, {}, {}, {}});
+  auto name = zone_.resolve(q.name);
+  using NameKind = Zone::NameKind;
+  if (name.kind == NameKind::none) return answer(zone_.negative_reply(ResponseCode::name_error));
+  if (name.kind == NameKind::empty_non_terminal) return answer(zone_.negative_reply(ResponseCode::no_error));
+  if (name.kind == NameKind::apex) return answer(zone_.apex_reply(q.type));
+  if (name.kind == NameKind::endpoint) {
+    // The name of an endpoint exists only while the endpoint is ready.
+    const int endpoint = upstream_.find_endpoint(name.id);
+    if (endpoint < 0 || !upstream_.is_ready(endpoint))
+      return answer(zone_.negative_reply(ResponseCode::name_error));
+    return answer(
+        zone_.endpoint_reply(q, name.id, upstream_.address(endpoint).ip, upstream_.address(endpoint).port));
   }
-  if (q.type != Type::a && q.type != Type::srv) return say(zone_.member(q, "", 0, 0));
-  if (open_ >= kMostOpen) return say({Code::refused, {}, {}, {}});
-  scheduler_.start(lookup(q, std::move(meaning), std::move(asker)));
+  if (q.type != RecordType::a && q.type != RecordType::srv) return answer(zone_.endpoint_reply(q, "", 0, 0));
+  if (open_lookups_ >= kMaxOpenLookups) return answer({ResponseCode::refused, {}, {}, {}});
+  scheduler_.start(run_lookup(q, std::move(name), std::move(client)));
 }
 
-Task DnsServer::lookup(Question question, Zone::Meaning meaning, Asker asker) {
-  constexpr Seconds kPatience = 1;  // resolvers ask again after one to five seconds
+Task DnsServer::run_lookup(Question question, Zone::ResolvedName resolved, Client client) {
+  constexpr Seconds kDecisionTimeout = 1;  // resolvers repeat a query after one to five seconds
   struct Count {
     std::size_t& count;
     ~Count() { --count; }
-  } count{++open_};
-  const auto& name = meaning.text.empty() ? question.name : meaning.text;
+  } count{++open_lookups_};
+  const auto& name = resolved.id.empty() ? question.name : resolved.id;
   const auto object = stable_hash(name);
   const auto& setup = zone_.setup();
-  net::RequestHandle handle(dispatcher_, meaning.rule, object, name, 0, 0, scheduler_.now() + kPatience);
-  // In flight: as many at a time as follow within the use, each for a good part of it at most.
-  handle.set_represented_requests(std::max(1.0, setup.txns / std::max(1.0, setup.use)), setup.txns);
+  net::RequestHandle handle(dispatcher_, resolved.request_class, object, name, 0, 0,
+                            scheduler_.now() + kDecisionTimeout);
+  // In flight at a time: the requests that follow within one second, or all of them if the use time is
+  // shorter. Each is expected to last for a good part of the use time at most.
+  handle.set_represented_requests(std::max(1.0, setup.requests_per_answer / std::max(1.0, setup.use_time)),
+                                  setup.requests_per_answer);
   for (;;) {
     co_await handle.decision_made();
-    const auto d = handle.take_decision();
-    if (!d) continue;
-    if (d->kind == Decision::Kind::fail || d->kind == Decision::Kind::reject) {
-      const auto code = d->kind == Decision::Kind::fail ? Code::failed : Code::refused;
-      give(asker, reply_bytes(question, {code, {}, {}, {}}, asker.size));
+    const auto decision = handle.take_decision();
+    if (!decision) continue;
+    if (decision->kind == Decision::Kind::fail || decision->kind == Decision::Kind::reject) {
+      const auto code =
+          decision->kind == Decision::Kind::fail ? ResponseCode::server_failure : ResponseCode::refused;
+      send_reply(client, serialize_reply(question, {code, {}, {}, {}}, client.max_reply_bytes));
       co_return;
     }
-    // A client brings no age bound: a member that has not confirmed what covers the object is not named.
+    // DNS clients send no maximum age, so an endpoint that has not confirmed the purges of the object is not
+    // named.
     const bool purged = handle.valid_since() > 0 && dispatcher_.purges().replication() != nullptr;
-    if (!upstream_.is_ready(d->endpoint) ||
-        (purged && !dispatcher_.purges().delivered_to(d->endpoint, handle.valid_since()))) {
+    if (!upstream_.is_ready(decision->endpoint) ||
+        (purged && !dispatcher_.purges().delivered_to(decision->endpoint, handle.valid_since()))) {
       handle.attempt_ended(AttemptOutcome::not_cached, FillOutcome::none, 0, 0, 0, false);
       continue;
     }
-    const auto& at = upstream_.address(d->endpoint);
-    give(asker, reply_bytes(question, zone_.member(question, upstream_.id(d->endpoint), at.ip, at.port),
-                            asker.size));
+    const auto& address = upstream_.address(decision->endpoint);
+    send_reply(client, serialize_reply(question,
+                                       zone_.endpoint_reply(question, upstream_.id(decision->endpoint),
+                                                            address.ip, address.port),
+                                       client.max_reply_bytes));
     break;
   }
-  Event used(scheduler_);
-  co_await used.wait(scheduler_.now() + setup.use);
+  Event use_ended(scheduler_);
+  co_await use_ended.wait(scheduler_.now() + setup.use_time);
 }
 
 }  // namespace walkpaddle::dns
--- a/src/dns/dns_server.h
+++ b/src/dns/dns_server.h
@@ -1,5 +1,6 @@
-// Lookups over UDP and TCP: each is a txn that the module decides, answered once, in time. What follows an
-// answer is unseen; its seat is held for the zone's `use`, so that limits and cold budgets count it.
+// Answers DNS lookups over UDP and TCP with endpoints that the routing policy chooses. The router does not
+// see the requests that follow an answer, so the lookup stays in flight for the use time of the zone, and the
+// concurrency limits and slow start count it.
 #pragma once
 
 #include <cstddef>
@@ -15,18 +16,19 @@
 
 namespace walkpaddle::dns {
 
+/// The DNS server of the router. All arguments that are references must outlive it.
 class DnsServer {
  public:
-  // Throws SystemError if the address cannot be had.
+  /// Listens on `listen` over UDP and TCP. Throws SystemError if the address is not available.
   DnsServer(Scheduler& scheduler, Outbox& outbox, Log& log, net::RequestDispatcher& dispatcher,
-            net::UpstreamPool& caches, Zone zone, const Address& listen);
+            net::UpstreamPool& upstream, Zone zone, const Address& listen);
 
  private:
-  // Where a reply goes: a datagram's sender, or a connection while it stands.
-  struct Asker {
+  // Where a reply goes: to the sender of a datagram, or to a TCP connection (null for a datagram).
+  struct Client {
     Address from;
     std::shared_ptr<Stream> stream;
-    std::size_t size = 512;
+    std::size_t max_reply_bytes = 512;
   };
   struct Socket final : Scheduler::Watcher {
     Socket(Scheduler& scheduler, Fd fd);
@@ -36,12 +38,12 @@
     Fd fd;
     Event input_ready;
   };
-  Task datagrams();
-  Task accept_all();
-  Task connection(Fd fd);
-  void take(std::string_view bytes, Asker asker);
-  Task lookup(Question question, Zone::Meaning meaning, Asker asker);
-  void give(const Asker& asker, const std::string& reply);
+  Task serve_datagrams();
+  Task accept_connections();
+  Task serve_connection(Fd fd);
+  void handle_query(std::string_view bytes, Client client);
+  Task run_lookup(Question question, Zone::ResolvedName name, Client client);
+  void send_reply(const Client& client, const std::string& reply);
 
   Scheduler& scheduler_;
   Outbox& outbox_;
@@ -51,7 +53,8 @@
   const Zone zone_;
   Socket socket_;
   Listener listener_;
-  std::size_t open_ = 0, connections_ = 0;  // open_: lookups undecided or held for what follows them
+  // open_lookups_: lookups that are undecided, or in flight for the requests that follow the answer.
+  std::size_t open_lookups_ = 0, connections_ = 0;
 };
 
 }  // namespace walkpaddle::dns
--- a/src/dns/message.h
+++ b/src/dns/message.h
@@ -1,5 +1,5 @@
-// DNS messages by ldns: queries read with every length checked first, answers written. No I/O.
-// Sources: RFC 1035, 2181, 2308, 6891, 8482.
+// Parses DNS queries and serialises replies, through ldns. All lengths in a query are checked before ldns
+// sees it. No I/O. References: RFC 1035, 2181, 2308, 6891, 8482.
 #pragma once
 
 #include <cstdint>
@@ -10,38 +10,45 @@
 
 namespace walkpaddle::dns {
 
-enum class Type { a, aaaa, srv, soa, ns, any, other };
-enum class Code {
-  good = 0,
-  malformed = 1,
-  failed = 2,
-  no_name = 3,
-  unknown = 4,
+/// The record types that matter here.
+enum class RecordType { a, aaaa, srv, soa, ns, any, other };
+/// Response codes, with their numbers in the protocol.
+enum class ResponseCode {
+  no_error = 0,
+  format_error = 1,
+  server_failure = 2,
+  name_error = 3,
+  not_implemented = 4,
   refused = 5,
   bad_version = 16
 };
 
+/// The question of a query, with what the reply has to repeat.
 struct Question {
   std::uint16_t id = 0;
-  bool recursion = false, edns = false, internet = true;
-  std::size_t size = 512;  // that an answer over UDP may have
-  std::string name;        // lower case, without the last dot
-  Type type = Type::other;
+  bool recursion_desired = false, edns = false, internet_class = true;
+  std::size_t max_reply_bytes = 512;  ///< over UDP
+  std::string name;                   ///< in lower case, without the final dot
+  RecordType type = RecordType::other;
   std::uint16_t type_number = 0, class_number = 1;
 };
 
-// What came of a message: a question, or what is to be answered at once; neither: it is dropped.
-struct Read {
+/// The result of parsing a message: its question, or the reply to send at once, or neither if the message is
+/// to be ignored.
+struct ParsedQuery {
   std::optional<Question> question;
   std::string reply;
 };
-Read read_query(std::string_view bytes);
+/// Parses a message. A malformed or unsupported query gives the error reply; what is no query gives neither.
+ParsedQuery parse_query(std::string_view bytes);
 
-// Records as text in the form of a zone file; what does not fit `size` goes out empty and marked as cut.
+/// The content of a reply; the records are text in zone file format.
 struct Reply {
-  Code code = Code::good;
-  std::vector<std::string> answers, authority, more;
+  ResponseCode code = ResponseCode::no_error;
+  std::vector<std::string> answers, authority, additional;
 };
-std::string reply_bytes(const Question& question, const Reply& reply, std::size_t size);
+/// Serialises a reply of at most `max_bytes`. If it does not fit, the additional records are left out, and
+/// then all records, with the truncation flag set. Empty if it cannot be serialised.
+std::string serialize_reply(const Question& question, const Reply& reply, std::size_t max_bytes);
 
 }  // namespace walkpaddle::dns
--- a/src/dns/zone.h
+++ b/src/dns/zone.h
@@ -1,6 +1,7 @@
-// Names of a zone: what each stands for, and the records that every answer shares. No I/O.
-//   OBJECT.RULE.ZONE   one object        RULE.ZONE   a rule as a whole
-//   ID.boxes.ZONE      one member's own name, as an SRV record names it
+// The names of a zone and the records of the replies. No I/O.
+//   OBJECT.CLASS.ZONE  an object of a request class
+//   CLASS.ZONE         a request class as a whole
+//   ID.boxes.ZONE      an endpoint, as named by the target of an SRV record
 #pragma once
 
 #include <optional>
@@ -13,42 +14,48 @@
 
 namespace walkpaddle::dns {
 
+/// The zone that the router is authoritative for.
 class Zone {
  public:
+  /// Settings of the zone.
   struct Setup {
-    std::string name;    // lower case, without the last dot
-    std::string server;  // of names, for NS and SOA
-    Seconds use = 1;     // how long a client uses what it was told
-    double txns = 1;     // that one answer leads to in that time
+    std::string name;                ///< in lower case, without the final dot
+    std::string server;              ///< name server, for the NS and SOA records
+    Seconds use_time = 1;            ///< how long a client uses an answer
+    double requests_per_answer = 1;  ///< that one answer leads to in that time
   };
-  enum class Stands {
-    apex,
-    rule,
-    object,
-    member,
-    above,
-    nothing
-  };  // above: between, without records of its own
-  struct Meaning {
-    Stands stands = Stands::nothing;
-    int rule = -1;
-    std::string text;  // object or member
+  /// What a name stands for. `empty_non_terminal`: a name above others, without records of its own.
+  enum class NameKind { apex, request_class, object, endpoint, empty_non_terminal, none };
+  /// A name of the zone, resolved.
+  struct ResolvedName {
+    NameKind kind = NameKind::none;
+    int request_class = -1;  ///< index; -1 for names of other kinds
+    std::string id;          ///< object name or endpoint id; empty for names of other kinds
   };
 
-  Zone(const Setup& setup, std::vector<std::string> rules) : setup_(setup), rules_(std::move(rules)) {}
+  /// `request_classes`: their names, by index.
+  Zone(const Setup& setup, std::vector<std::string> request_classes)
+      : setup_(setup), request_classes_(std::move(request_classes)) {}
   const Setup& setup() const { return setup_; }
-  bool holds(std::string_view name) const;
-  Meaning meaning(std::string_view name) const;
-
-  Reply none(Code code) const;  // nothing of that name or type, with what bounds how long that is believed
-  Reply apex(Type type) const;
-  // Answers for one member: an address, or an SRV record with the address beside it. The time to live is 0.
-  Reply member(const Question& question, std::string_view id, std::uint32_t ip, std::uint16_t port) const;
+  /// Whether `name` is the zone or a name in it.
+  bool contains(std::string_view name) const;
+  /// What a name that contains() accepts stands for.
+  ResolvedName resolve(std::string_view name) const;
+
+  /// A reply without records for a name or type that does not exist, with the SOA record that limits for how
+  /// long it may be cached.
+  Reply negative_reply(ResponseCode code) const;
+  /// The reply for the name of the zone itself.
+  Reply apex_reply(RecordType type) const;
+  /// A reply that names one endpoint: an A record, or an SRV record with the A record of its target. The time
+  /// to live is 0.
+  Reply endpoint_reply(const Question& question, std::string_view id, std::uint32_t ip,
+                       std::uint16_t port) const;
 
  private:
   std::string soa() const;
   const Setup setup_;
-  const std::vector<std::string> rules_;
+  const std::vector<std::string> request_classes_;
 };
 
 }  // namespace walkpaddle::dns
