--- a/src/warm_start/snapshot_file.cpp
+++ b/src/warm_start/snapshot_file.cpp
@@ -16,47 +16,49 @@
 constexpr int kVersion = 1;
 constexpr std::size_t kMaxNameBytes = 64;
 constexpr Seconds kMaxServiceTime = 600;
-constexpr double kMaxCount = 1e9;    // answers, and KB a second
+constexpr double kMaxCount = 1e9;    // number of answers, and bandwidth in KB/s
 constexpr double kMaxTimeMs = 1e15;  // Unix time
 
-// Over all but itself; keys stand in the order of their names.
-std::uint64_t seal_of(json document) {
+// The checksum of a document without its "seal". The keys are serialised in alphabetical order.
+std::uint64_t checksum_of(json document) {
   document.erase("seal");
   return stable_hash(document.dump());
 }
 
-double number_in_range(const json& object, const char* key, double least, double most) {
+double number_in_range(const json& object, const char* key, double min, double max) {
   const auto value = object.at(key).get<double>();
-  if (!(value >= least && value <= most)) throw InputError(std::string("nonsense under ") + key);
+  if (!(value >= min && value <= max)) throw InputError(std::string("value out of range: ") + key);
   return value;
 }
 
-std::string name_under(const json& object, const char* key) {
+std::string name_at(const json& object, const char* key) {
   auto name = object.at(key).get<std::string>();
-  if (name.empty() || name.size() > kMaxNameBytes) throw InputError(std::string("nonsense under ") + key);
+  if (name.empty() || name.size() > kMaxNameBytes)
+    throw InputError(std::string("value out of range: ") + key);
   return name;
 }
 
-// The document, if it is whole and of this form and version.
+// Parses the text and checks its format, version and checksum.
 json parse_document(std::string_view text) {
   if (text.size() > kMaxSnapshotBytes) throw InputError("larger than 64 KB");
   auto document = json::parse(text);
   if (!document.is_object() || document.value("walkpaddle", "") != "learnt") throw InputError("foreign");
   const auto version = document.at("version").get<int>();
-  if (version != kVersion) throw InputError("version " + std::to_string(version) + ", known is 1");
-  if (document.at("seal").get<std::uint64_t>() != seal_of(document)) throw InputError("torn or changed");
+  if (version != kVersion) throw InputError("version " + std::to_string(version) + ", supported is 1");
+  if (document.at("seal").get<std::uint64_t>() != checksum_of(document))
+    throw InputError("checksum mismatch");
   return document;
 }
 
 void check_applies(const SnapshotFile& snapshot, std::string_view family, double client_kb_per_s,
                    Seconds now) {
-  // A move takes minutes; what was measured an hour ago is of other objects and other endpoints.
+  // The next start follows within minutes; estimates from an hour ago are of other objects and endpoints.
   constexpr Seconds kMaxAge = 3600;
   constexpr Seconds kMaxClockAhead = 5;
   constexpr double kRounding = 1e-9;  // relative
-  if (snapshot.family != family) throw InputError("foreign: of another kind of service");
+  if (snapshot.family != family) throw InputError("foreign: written for another kind of service");
   if (std::abs(snapshot.client_kb_per_s - client_kb_per_s) > kRounding * std::max(1.0, client_kb_per_s))
-    throw InputError("foreign: at another pace to clients");
+    throw InputError("foreign: written for another client bandwidth");
   if (snapshot.written_at > now + kMaxClockAhead) throw InputError("written in the future");
   if (snapshot.written_at < now - kMaxAge) throw InputError("older than an hour");
 }
@@ -81,7 +83,7 @@
     document["unreached"].push_back(
         {{"member", endpoint.id}, {"at_ms", std::round(endpoint.failed_at * 1e3)}});
   }
-  document["seal"] = seal_of(document);
+  document["seal"] = checksum_of(document);
   return document.dump(1) + "\n";
 }
 
@@ -96,15 +98,15 @@
   if (document.at("rules").size() > kMaxServiceTimes || document.at("unreached").size() > kMaxUnreachable)
     throw InputError("more entries than a router writes");
   for (const auto& rule : document.at("rules"))
-    snapshot.service_times.push_back({name_under(rule, "name"),
+    snapshot.service_times.push_back({name_at(rule, "name"),
                                       number_in_range(rule, "sending", 0, kMaxServiceTime),
                                       static_cast<int>(number_in_range(rule, "answers", 0, kMaxCount))});
   for (const auto& endpoint : document.at("unreached"))
     snapshot.unreachable.push_back(
-        {name_under(endpoint, "member"), number_in_range(endpoint, "at_ms", 0, kMaxTimeMs) / 1e3});
+        {name_at(endpoint, "member"), number_in_range(endpoint, "at_ms", 0, kMaxTimeMs) / 1e3});
   return snapshot;
 } catch (const json::exception&) {
-  throw InputError("torn, or not of this form");
+  throw InputError("truncated or not a snapshot");
 }
 
 }  // namespace walkpaddle::warm_start
