--- a/tests/unit/error_test.cpp
+++ b/tests/unit/error_test.cpp
@@ -1,4 +1,4 @@
-// The error types: what each says, and what each is caught as.
+// The exception types: their messages, their fields and the class that each is caught as.
 #include "base/error.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,7 @@
 
 using namespace walkpaddle;
 
-TEST_CASE("a configuration error names file, line, key, value and what is allowed") {
+TEST_CASE("a configuration error names file, line, key, value and the allowed values") {
   const ConfigError error({"walkpaddle.conf", 7, "lease"}, "0.01", "0.2 to 600 seconds");
   CHECK(std::string(error.what()) == "walkpaddle.conf:7: lease is '0.01', expected 0.2 to 600 seconds");
   CHECK(error.where().file == "walkpaddle.conf");
@@ -19,20 +19,20 @@
   CHECK(error.allowed() == "0.2 to 600 seconds");
 }
 
-TEST_CASE("a configuration error without a line leaves it out") {
+TEST_CASE("a configuration error without a line number omits it") {
   const ConfigError error({"config.json", 0, ""}, "settings without categories");
   CHECK(std::string(error.what()) == "config.json: settings without categories");
   CHECK(error.value().empty());
 }
 
-TEST_CASE("a value in a message is cut to 60 bytes, the error has all of it") {
+TEST_CASE("a message quotes at most 60 bytes of a value, the error holds all of it") {
   const std::string value(1000, 'x');
   const ConfigError error({"f", 1, "k"}, value, "less");
   CHECK(std::string(error.what()) == "f:1: k is '" + std::string(60, 'x') + "', expected less");
   CHECK(error.value() == value);
 }
 
-TEST_CASE("a protocol error names the peer and the position") {
+TEST_CASE("a protocol error has the peer and the position") {
   const ProtocolError error("bad frame kind '9'", "127.0.0.1:7000", 12);
   CHECK(std::string(error.what()) == "127.0.0.1:7000: bad frame kind '9'");
   CHECK(error.peer() == "127.0.0.1:7000");
@@ -40,13 +40,13 @@
   CHECK(ProtocolError("x").position() == ProtocolError::kUnknownPosition);
 }
 
-TEST_CASE("a system error says what was tried, why it failed, and the errno") {
+TEST_CASE("a system error has the action, the reason and the errno") {
   const SystemError error("listen on 127.0.0.1:1", EACCES);
   CHECK(std::string(error.what()) == "listen on 127.0.0.1:1: Permission denied");
   CHECK(error.error_number() == EACCES);
 }
 
-TEST_CASE("input errors are caught as such, the others are not") {
+TEST_CASE("configuration and protocol errors are input errors, store and system errors are not") {
   CHECK_THROWS_AS(throw ConfigError({}, "x"), InputError);
   CHECK_THROWS_AS(throw ProtocolError("x"), InputError);
   CHECK_THROWS_AS(throw StoreError("x"), Error);
@@ -56,7 +56,7 @@
   CHECK_FALSE(is_input(SystemError("x", EIO)));
 }
 
-TEST_CASE("numbers fill their field, or an input error names it") {
+TEST_CASE("a number that does not fill its field is an input error that names the field") {
   CHECK(parse<int>("17", "number") == 17);
   CHECK(parse<double>("0.5", "number") == 0.5);
   for (const auto* text : {"", "17x", " 17", "1e999", "nan"}) {
--- a/tests/unit/main.cpp
+++ b/tests/unit/main.cpp
@@ -1,3 +1,3 @@
-// The runner of the unit tests.
+// Main function of the unit tests.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/tests/unit/stored_data_test.cpp
+++ b/tests/unit/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// What landing 5 (commit 9913cd0) stored is found whole: purges, freeze windows, rollouts, the warm-start
-// snapshot. The fixture was written by that program, see tests/fixtures/write.sh.
+// Data stored by release landing-5 (commit 9913cd0) is read completely: purges, freeze windows, rollouts and
+// the warm-start snapshot. The fixture was written by that release, see tests/fixtures/write.sh.
 #include <unistd.h>
 
 #include <algorithm>
@@ -25,7 +25,7 @@
 
 namespace {
 
-// A copy of the fixture's store, since opening one writes its lock.
+// The entries of the fixture's store, read from a copy, since opening a store writes its lock file.
 class StoredData {
  public:
   StoredData()
@@ -50,24 +50,24 @@
 
 }  // namespace
 
-TEST_CASE("purges that landing 5 stored are read") {
+TEST_CASE("purges stored by landing-5 are read") {
   const StoredData stored;
-  std::vector<std::string> found;
+  std::vector<std::string> purges;
   for (const auto& [key, value] : stored.entries) {
     if (!key.starts_with('e')) continue;
     const auto entry = replication::decode_stored_purge(value);
-    found.push_back(std::to_string(entry.stamp.number) + " " + std::string(purge::to_string(entry.kind)) +
-                    " " + entry.target);
+    purges.push_back(std::to_string(entry.stamp.number) + " " + std::string(purge::to_string(entry.kind)) +
+                     " " + entry.target);
     CHECK(entry.stamp.issued_at > 0);
     CHECK(entry.position > 0);
   }
-  std::ranges::sort(found);
-  CHECK(found == std::vector<std::string>{"1 tag spring", "2 object 00000000000000aa", "3 group 12",
-                                          "4 pattern 0*1."});
+  std::ranges::sort(purges);
+  CHECK(purges == std::vector<std::string>{"1 tag spring", "2 object 00000000000000aa", "3 group 12",
+                                           "4 pattern 0*1."});
 }
 
-TEST_CASE("freeze windows and rollouts that landing 5 stored are found") {
-  constexpr Seconds kWritten = 1796236620;  // in 2026
+TEST_CASE("freeze windows and rollouts stored by landing-5 are restored") {
+  constexpr Seconds kWrittenAt = 1796236620;  // Unix time, in 2026
   const StoredData stored;
   const auto self = stable_hash("r1");
   const auto peer = stable_hash("r2");
@@ -79,10 +79,10 @@
                                 .durable = true,
                                 .alive = [](int) { return false; },
                                 .refusal = [](const rollout::RolloutPlan&) { return std::string(); }};
-  rollout::Rollout rollouts(setup, calendar, {}, kWritten);
+  rollout::Rollout rollouts(setup, calendar, {}, kWrittenAt);
   rollout::PersistedState persisted({&calendar, &rollouts});
   for (const auto& [key, value] : stored.entries)
-    if (rollout::PersistedState::owns(key)) persisted.restore(key, value, kWritten);
+    if (rollout::PersistedState::owns(key)) persisted.restore(key, value, kWrittenAt);
 
   const auto windows = calendar.status();
   REQUIRE(windows.size() == 1);
@@ -92,21 +92,21 @@
   CHECK(freeze::to_string(windows[0].window.until) == "12-31 09:00");
   CHECK(windows[0].window.author == "bo");
 
-  const auto known = rollouts.status(kWritten);
-  REQUIRE(known.size() == 1);
-  CHECK(known[0].plan.name == "cancel-off");
-  CHECK(known[0].plan.before == "g1");
-  CHECK(known[0].plan.after == "g2");
-  CHECK(known[0].plan.author == "ana");
-  CHECK(known[0].plan.body == "allowed.cancel=false");
-  CHECK_FALSE(known[0].stopped);
+  const auto restored = rollouts.status(kWrittenAt);
+  REQUIRE(restored.size() == 1);
+  CHECK(restored[0].plan.name == "cancel-off");
+  CHECK(restored[0].plan.before == "g1");
+  CHECK(restored[0].plan.after == "g2");
+  CHECK(restored[0].plan.author == "ana");
+  CHECK(restored[0].plan.body == "allowed.cancel=false");
+  CHECK_FALSE(restored[0].stopped);
 }
 
-TEST_CASE("the warm-start snapshot that landing 5 left is read") {
-  constexpr Seconds kLater = 1796236630;
+TEST_CASE("the warm-start snapshot written by landing-5 is read") {
+  constexpr Seconds kReadAt = 1796236630;
   std::ifstream in(std::filesystem::path(WALKPADDLE_FIXTURES) / "landing-5" / "learnt.json");
   const std::string text{std::istreambuf_iterator<char>(in), {}};
-  const auto snapshot = warm_start::parse_snapshot(text, "fixture", 6000, kLater);
+  const auto snapshot = warm_start::parse_snapshot(text, "fixture", 6000, kReadAt);
   CHECK(snapshot.written_at == Approx(1796236620.5));
   REQUIRE(snapshot.service_times.size() == 2);
   CHECK(snapshot.service_times[0].request_class == "page");
@@ -116,7 +116,7 @@
   REQUIRE(snapshot.unreachable.size() == 1);
   CHECK(snapshot.unreachable[0].id == "s-00000002");
   CHECK(snapshot.unreachable[0].failed_at == Approx(1796236600.25));
-  SECTION("an hour later it is of no use") {
-    CHECK_THROWS_AS(warm_start::parse_snapshot(text, "fixture", 6000, kLater + 3600), InputError);
+  SECTION("it is refused an hour later") {
+    CHECK_THROWS_AS(warm_start::parse_snapshot(text, "fixture", 6000, kReadAt + 3600), InputError);
   }
 }
