--- a/src/dns/dns_server.cpp
+++ b/src/dns/dns_server.cpp
@@ -86,9 +86,9 @@
   } count{++connections_};
   auto stream = std::make_shared<Stream>(scheduler_, outbox_, std::move(fd));
   for (Seconds last_query_at = scheduler_.now();;) {
-    const auto came = stream->read();
-    if (came == Stream::ReadResult::end || stream->unsent() > kMaxUnsentBytes) break;
-    if (came == Stream::ReadResult::bytes) {
+    const auto result = stream->read();
+    if (result == Stream::ReadResult::end || stream->unsent() > kMaxUnsentBytes) break;
+    if (result == Stream::ReadResult::bytes) {
       bool valid = true;
       while (valid && stream->in().size() >= 2) {
         const auto in = stream->in();
--- a/src/dns/zone.h
+++ b/src/dns/zone.h
@@ -28,9 +28,9 @@
   enum class NameKind { apex, request_class, object, endpoint, empty_non_terminal, none };
   /// A name of the zone, resolved.
   struct ResolvedName {
-    NameKind kind = NameKind::none;
-    int request_class = -1;  ///< index; -1 for names of other kinds
-    std::string id;          ///< object name or endpoint id; empty for names of other kinds
+    NameKind kind = NameKind::none;  ///< what the name stands for
+    int request_class = -1;          ///< index; -1 for names of other kinds
+    std::string id;                  ///< object name or endpoint id; empty for names of other kinds
   };
 
   /// `request_classes`: their names, by index.
--- a/src/io/fd.h
+++ b/src/io/fd.h
@@ -10,6 +10,7 @@
 class Fd {
  public:
   Fd() = default;
+  /// Takes ownership of `fd`; -1 gives an invalid Fd.
   explicit Fd(int fd) : fd_(fd) {}
   Fd(Fd&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
   Fd& operator=(Fd&& other) noexcept {
--- a/src/io/listener.h
+++ b/src/io/listener.h
@@ -11,6 +11,7 @@
 /// outlive it.
 class Listener final : Scheduler::Watcher {
  public:
+  /// Takes ownership of a non-blocking descriptor and watches it.
   Listener(Scheduler& scheduler, Fd fd) : input_ready(scheduler), scheduler_(scheduler), fd_(std::move(fd)) {
     scheduler_.watch(fd_.get(), *this);
   }
@@ -33,6 +34,7 @@
   }
   /// Whether the descriptor is still owned.
   bool open() const { return static_cast<bool>(fd_); }
+  /// The descriptor; -1 after close() or detach().
   int fd() const { return fd_.get(); }
   /// Accepts the next connection, as a non-blocking socket. Returns an invalid Fd, with errno set, if none
   /// waits (EAGAIN) or the call fails.
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -22,6 +22,7 @@
 /// reports the count.
 class Log {
  public:
+  /// The format of a line.
   enum class Format { text, json };
   /// `name`: the logger's name, part of every line.
   explicit Log(std::string name, Format format = Format::text);
--- a/src/io/scheduler.h
+++ b/src/io/scheduler.h
@@ -97,6 +97,7 @@
   /// Like start(), but an exception that leaves the task goes to the failure handler instead of ending the
   /// program.
   void start_isolated(Task task);
+  /// Receives the exception that ended an isolated task.
   using OnFailure = std::function<void(std::exception_ptr)>;
   /// Sets the handler for exceptions of isolated tasks. Without one, run() rethrows them.
   void on_failure(OnFailure call) { on_failure_ = std::move(call); }
--- a/src/io/stream.cpp
+++ b/src/io/stream.cpp
@@ -158,11 +158,11 @@
     in_.erase(0, std::exchange(in_from_, 0));
   }
   const auto got = receive(fd_.get(), buffer);
-  const int why = errno;
+  const int error_number = errno;
   if (got > 0) in_.append(buffer.data(), static_cast<std::size_t>(got));
   if (got > 0) return ReadResult::bytes;
-  if (got < 0 && why == EAGAIN) return ReadResult::nothing;
-  if (got < 0 && is_memory_error(why)) return outbox_.retry_later(*this), ReadResult::nothing;
+  if (got < 0 && error_number == EAGAIN) return ReadResult::nothing;
+  if (got < 0 && is_memory_error(error_number)) return outbox_.retry_later(*this), ReadResult::nothing;
   broken_ = got < 0;
   return ReadResult::end;
 }
@@ -211,12 +211,12 @@
   struct stat s {};
   if (::stat(path.c_str(), &s) == 0 && S_ISSOCK(s.st_mode)) ::unlink(path.c_str());
   Fd fd = new_local_socket();
-  const auto before = ::umask(0177);
-  const bool good = fd && ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0 &&
-                    ::listen(fd.get(), 16) == 0;
-  const int why = errno;
-  ::umask(before);
-  if (!good) throw SystemError("listen on " + path, why);
+  const auto old_mask = ::umask(0177);
+  const bool listening = fd && ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0 &&
+                         ::listen(fd.get(), 16) == 0;
+  const int error_number = errno;
+  ::umask(old_mask);
+  if (!listening) throw SystemError("listen on " + path, error_number);
   return fd;
 }
 
--- a/src/io/stream.h
+++ b/src/io/stream.h
@@ -82,11 +82,12 @@
   std::vector<char> read_buffer_;
 };
 
-/// A connected non-blocking stream socket. `scheduler` and `outbox` must outlive it.
+/// A connection over a non-blocking stream socket. `scheduler` and `outbox` must outlive it.
 class Stream final : Scheduler::Watcher {
   friend class Outbox;
 
  public:
+  /// Takes ownership of a non-blocking socket that is connected or connecting, and watches it.
   Stream(Scheduler& scheduler, Outbox& outbox, Fd fd);
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
--- a/src/io/task.h
+++ b/src/io/task.h
@@ -9,7 +9,7 @@
 /// A coroutine that the scheduler owns from its start to its end.
 class Task {
  public:
-  struct promise_type {  // NOLINT(readability-identifier-naming): the language asks for this name
+  struct promise_type {  // NOLINT(readability-identifier-naming): name required by the language
     Task get_return_object() { return Task(std::coroutine_handle<promise_type>::from_promise(*this)); }
     std::suspend_always initial_suspend() noexcept { return {}; }
     std::suspend_always final_suspend() noexcept { return {}; }
@@ -19,6 +19,7 @@
     bool isolated = false;
   };
 
+  /// Takes ownership of the coroutine.
   explicit Task(std::coroutine_handle<promise_type> handle) : handle_(handle) {}
   Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, {})) {}
   Task& operator=(Task&& other) noexcept {
--- a/src/simulator/simulator_adapter.h
+++ b/src/simulator/simulator_adapter.h
@@ -22,6 +22,7 @@
 class Fields {
  public:
   explicit Fields(std::string_view line) : rest_(line) {}
+  /// A field as text, which must not be empty.
   std::string_view text(const char* name);
   std::string_view text_or(std::string_view absent);
   std::uint64_t integer(const char* name);
