--- a/src/simulator/simulator_adapter.cpp
+++ b/src/simulator/simulator_adapter.cpp
@@ -172,8 +172,8 @@
     config::apply_settings(settings, *instance.policy);
     // One second more than the settling time, for differences between the servers' clocks and transmission.
     instance.purges = std::make_unique<purge::PurgeIndex>(purge::PurgeIndex::Limits{
-        .max_age = settings.ms("specifics.purge_settles") + 1, .entries_per_kind = 4096, .objects = 4});
-    instance.request_classes = settings.whole("categories.count");
+        .max_age = settings.duration("specifics.purge_settles") + 1, .entries_per_kind = 4096, .objects = 4});
+    instance.request_classes = settings.integer("categories.count");
     for (int n = 0; n < 4 && instance.utilization_field < 0; ++n)
       if (settings.item("report.names", n) == "util" && settings.text("report.source") == "answers")
         instance.utilization_field = n;
