--- a/lab/switch.cpp
+++ b/lab/switch.cpp
@@ -45,7 +45,7 @@
 
 Task Switch::end() {
   std::uint64_t count = 0;
-  while (::read(end_->fd(), &count, sizeof count) != sizeof count) co_await end_->came.wait();
+  while (::read(end_->fd(), &count, sizeof count) != sizeof count) co_await end_->input_ready.wait();
   scheduler_.stop();
 }
 
--- a/soak/endpoint.cpp
+++ b/soak/endpoint.cpp
@@ -105,7 +105,7 @@
     if (std::exchange(queue_is_short_, false)) ::listen(listener->fd(), SOMAXCONN);
     Fd fd = listener->accept();
     if (!fd) {
-      co_await listener->came.wait(scheduler_.now() + kPause);
+      co_await listener->input_ready.wait(scheduler_.now() + kPause);
       continue;
     }
     ++accepted_;
--- a/src/cli/optional_listeners.cpp
+++ b/src/cli/optional_listeners.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "config/platform_config.h"
-#include "dns/front.h"
+#include "dns/dns_server.h"
 
 namespace walkpaddle::cli {
 
--- /dev/null
+++ b/src/dns/dns_server.cpp
@@ -0,0 +1,198 @@
+#include "dns/dns_server.h"
+
+#include <netinet/in.h>
+#include <sys/socket.h>
+
+#include <cerrno>
+
+#include "config/settings.h"
+
+namespace walkpaddle::dns {
+
+namespace {
+
+constexpr std::size_t kMaxOpenLookups = 4096;  // each takes a request slot and a task, some hundred bytes
+constexpr std::size_t kMaxConnections = 16;    // RFC 7766 asks for several at a time
+constexpr std::size_t kMaxQueryBytes = 4096;   // queries for names of the zone take less than a tenth of it
+
+}  // namespace
+
+DnsServer::Socket::Socket(Scheduler& s, Fd f) : scheduler(s), fd(std::move(f)), input_ready(s) {
+  scheduler.watch(fd.get(), *this);
+}
+
+DnsServer::Socket::~Socket() { scheduler.unwatch(fd.get(), *this); }
+
+DnsServer::DnsServer(Scheduler& scheduler, Outbox& outbox, Log& log, net::RequestDispatcher& dispatcher,
+                     net::UpstreamPool& upstream, Zone zone, const Address& listen)
+    : scheduler_(scheduler),
+      outbox_(outbox),
+      log_(log),
+      dispatcher_(dispatcher),
+      upstream_(upstream),
+      zone_(std::move(zone)),
+      socket_(scheduler, bind_udp(listen)),
+      listener_(scheduler, listen_on(listen)) {
+  scheduler_.start(serve_datagrams());
+  scheduler_.start(accept_connections());
+}
+
+Task DnsServer::serve_datagrams() {
+  // Other tasks run after so many datagrams. If the buffer of the kernel overflows, resolvers repeat the
+  // query.
+  constexpr int kDatagramsPerTurn = 64;
+  char buffer[kMaxQueryBytes];
+  Event next(scheduler_);
+  for (;;) {
+    for (int n = 0; n < kDatagramsPerTurn; ++n) {
+      sockaddr_in a{};
+      socklen_t size = sizeof a;
+      const auto got =
+          ::recvfrom(socket_.fd.get(), buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&a), &size);
+      if (got < 0 && errno == EAGAIN) {
+        co_await socket_.input_ready.wait();
+        break;
+      }
+      if (got > 0)
+        handle_query({buffer, static_cast<std::size_t>(got)},
+                     {{ntohl(a.sin_addr.s_addr), ntohs(a.sin_port)}, nullptr, 512});
+    }
+    co_await next.wait(scheduler_.now());
+  }
+}
+
+Task DnsServer::accept_connections() {
+  constexpr Seconds kAcceptRetryInterval = 0.1;
+  while (listener_.open()) {
+    Fd fd = listener_.accept();
+    if (fd) {
+      if (connections_ < kMaxConnections) scheduler_.start(serve_connection(std::move(fd)));
+      continue;
+    }
+    if (errno == EINTR || errno == ECONNABORTED) continue;
+    const Seconds until = errno == EAGAIN ? kNoTime : scheduler_.now() + kAcceptRetryInterval;
+    co_await listener_.input_ready.wait(until);
+  }
+}
+
+// Serves any number of queries on one connection; replies are sent in the order in which they are decided.
+// Closes the connection if no complete query arrives for a while, or if the client does not read its replies.
+Task DnsServer::serve_connection(Fd fd) {
+  constexpr Seconds kQueryTimeout = 5;
+  constexpr std::size_t kMaxUnsentBytes = 256 * 1024;
+  struct Count {
+    std::size_t& count;
+    ~Count() { --count; }
+  } count{++connections_};
+  auto stream = std::make_shared<Stream>(scheduler_, outbox_, std::move(fd));
+  for (Seconds last_query_at = scheduler_.now();;) {
+    const auto result = stream->read();
+    if (result == Stream::ReadResult::end || stream->unsent() > kMaxUnsentBytes) break;
+    if (result == Stream::ReadResult::bytes) {
+      bool valid = true;
+      while (valid && stream->in().size() >= 2) {
+        const auto in = stream->in();
+        const std::size_t size = static_cast<unsigned char>(in[0]) << 8 | static_cast<unsigned char>(in[1]);
+        valid = size > 0 && size <= kMaxQueryBytes;
+        if (!valid || in.size() < 2 + size) break;
+        handle_query(in.substr(2, size), {{}, stream, 65535});
+        stream->consume(2 + size);
+        last_query_at = scheduler_.now();
+      }
+      if (!valid) break;
+      continue;
+    }
+    co_await stream->readable(last_query_at + kQueryTimeout);
+    if (scheduler_.now() >= last_query_at + kQueryTimeout) break;
+  }
+  stream->close();
+}
+
+void DnsServer::send_reply(const Client& client, const std::string& reply) {
+  if (reply.empty()) return;
+  if (client.stream) {
+    if (client.stream->broken()) return;
+    const char length[] = {static_cast<char>(reply.size() >> 8), static_cast<char>(reply.size() & 255)};
+    return client.stream->write(std::string(length, 2) + reply);
+  }
+  sockaddr_in a{};
+  a.sin_family = AF_INET;
+  a.sin_addr.s_addr = htonl(client.from.ip);
+  a.sin_port = htons(client.from.port);
+  if (::sendto(socket_.fd.get(), reply.data(), reply.size(), 0, reinterpret_cast<const sockaddr*>(&a),
+               sizeof a) < 0)
+    log_("dns", "failed to send the reply to {}", text_of(client.from));
+}
+
+void DnsServer::handle_query(std::string_view bytes, Client client) {
+  auto [question, reply] = parse_query(bytes);
+  if (!question) return send_reply(client, reply);
+  const auto& q = *question;
+  if (!client.stream) client.max_reply_bytes = q.max_reply_bytes;
+  const auto answer = [&](const Reply& r) {
+    send_reply(client, serialize_reply(q, r, client.max_reply_bytes));
+  };
+  if (!q.internet_class || !zone_.contains(q.name)) return answer({ResponseCode::refused, {}, {}, {}});
+  auto name = zone_.resolve(q.name);
+  using NameKind = Zone::NameKind;
+  if (name.kind == NameKind::none) return answer(zone_.negative_reply(ResponseCode::name_error));
+  if (name.kind == NameKind::empty_non_terminal) return answer(zone_.negative_reply(ResponseCode::no_error));
+  if (name.kind == NameKind::apex) return answer(zone_.apex_reply(q.type));
+  if (name.kind == NameKind::endpoint) {
+    // The name of an endpoint exists only while the endpoint is ready.
+    const int endpoint = upstream_.find_endpoint(name.id);
+    if (endpoint < 0 || !upstream_.is_ready(endpoint))
+      return answer(zone_.negative_reply(ResponseCode::name_error));
+    return answer(
+        zone_.endpoint_reply(q, name.id, upstream_.address(endpoint).ip, upstream_.address(endpoint).port));
+  }
+  if (q.type != RecordType::a && q.type != RecordType::srv) return answer(zone_.endpoint_reply(q, "", 0, 0));
+  if (open_lookups_ >= kMaxOpenLookups) return answer({ResponseCode::refused, {}, {}, {}});
+  scheduler_.start(run_lookup(q, std::move(name), std::move(client)));
+}
+
+Task DnsServer::run_lookup(Question question, Zone::ResolvedName resolved, Client client) {
+  constexpr Seconds kDecisionTimeout = 1;  // resolvers repeat a query after one to five seconds
+  struct Count {
+    std::size_t& count;
+    ~Count() { --count; }
+  } count{++open_lookups_};
+  const auto& name = resolved.id.empty() ? question.name : resolved.id;
+  const auto object = stable_hash(name);
+  const auto& setup = zone_.setup();
+  net::RequestHandle handle(dispatcher_, resolved.request_class, object, name, 0, 0,
+                            scheduler_.now() + kDecisionTimeout);
+  // In flight at a time: the requests that follow within one second, or all of them if the use time is
+  // shorter. Each is expected to last for a good part of the use time at most.
+  handle.set_represented_requests(std::max(1.0, setup.requests_per_answer / std::max(1.0, setup.use_time)),
+                                  setup.requests_per_answer);
+  for (;;) {
+    co_await handle.decision_made();
+    const auto decision = handle.take_decision();
+    if (!decision) continue;
+    if (decision->kind == Decision::Kind::fail || decision->kind == Decision::Kind::reject) {
+      const auto code =
+          decision->kind == Decision::Kind::fail ? ResponseCode::server_failure : ResponseCode::refused;
+      send_reply(client, serialize_reply(question, {code, {}, {}, {}}, client.max_reply_bytes));
+      co_return;
+    }
+    // DNS clients send no maximum age, so an endpoint that has not confirmed the purges of the object is not
+    // named.
+    const bool purged = handle.valid_since() > 0 && dispatcher_.purges().replication() != nullptr;
+    if (!upstream_.is_ready(decision->endpoint) ||
+        (purged && !dispatcher_.purges().delivered_to(decision->endpoint, handle.valid_since()))) {
+      handle.attempt_ended(AttemptOutcome::not_cached, FillOutcome::none, 0, 0, 0, false);
+      continue;
+    }
+    const auto& address = upstream_.address(decision->endpoint);
+    send_reply(client, serialize_reply(question,
+                                       zone_.endpoint_reply(question, upstream_.id(decision->endpoint),
+                                                            address.ip, address.port),
+                                       client.max_reply_bytes));
+    break;
+  }
+  Event use_ended(scheduler_);
+  co_await use_ended.wait(scheduler_.now() + setup.use_time);
+}
+
+}  // namespace walkpaddle::dns
--- a/src/io/fd.h
+++ b/src/io/fd.h
@@ -6,9 +6,11 @@
 
 namespace walkpaddle {
 
+/// Owns a file descriptor and closes it on destruction. A default-constructed or moved-from Fd is invalid.
 class Fd {
  public:
   Fd() = default;
+  /// Takes ownership of `fd`; -1 gives an invalid Fd.
   explicit Fd(int fd) : fd_(fd) {}
   Fd(Fd&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
   Fd& operator=(Fd&& other) noexcept {
--- a/src/io/task.h
+++ b/src/io/task.h
@@ -1,4 +1,3 @@
-// A task: a coroutine that the scheduler owns from its start to its end.
 #pragma once
 
 #include <coroutine>
@@ -7,9 +6,10 @@
 
 namespace walkpaddle {
 
+/// A coroutine that the scheduler owns from its start to its end.
 class Task {
  public:
-  struct promise_type {  // NOLINT(readability-identifier-naming): the language asks for this name
+  struct promise_type {  // NOLINT(readability-identifier-naming): name required by the language
     Task get_return_object() { return Task(std::coroutine_handle<promise_type>::from_promise(*this)); }
     std::suspend_always initial_suspend() noexcept { return {}; }
     std::suspend_always final_suspend() noexcept { return {}; }
@@ -19,6 +19,7 @@
     bool isolated = false;
   };
 
+  /// Takes ownership of the coroutine.
   explicit Task(std::coroutine_handle<promise_type> handle) : handle_(handle) {}
   Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, {})) {}
   Task& operator=(Task&& other) noexcept {
@@ -28,11 +29,13 @@
   ~Task() {
     if (handle_) handle_.destroy();
   }
-  // GCC 12 leaves part of the frame unset where a condition awaits: a task names what an await gives first.
+  // GCC 12 leaves part of the coroutine frame uninitialised where a condition contains co_await, so tasks
+  // assign the result of co_await to a variable first.
   std::coroutine_handle<> handle() const { return handle_; }
-  // The exception that left it; null for none.
+  /// The exception that ended the coroutine; null if there was none.
   std::exception_ptr failure() const { return handle_.promise().failure; }
-  // Isolated, its failure is told and concerns no other; else it comes out of Scheduler::run.
+  /// Makes the scheduler report a failure of this task to its failure handler instead of rethrowing it from
+  /// Scheduler::run().
   void isolate() { handle_.promise().isolated = true; }
   bool isolated() const { return handle_.promise().isolated; }
 
