--- a/src/rollout/stage_runner.cpp
+++ b/src/rollout/stage_runner.cpp
@@ -148,7 +148,7 @@
   const auto& plan = record.plan;
   const Seconds max_duration = plan.max_stage_time + max_rollback_duration(plan, context_.fleet.size());
   const auto permission =
-      context_.calendar.decide(Action::go_on, planned_change(plan, max_duration, now), now);
+      context_.calendar.decide(Action::next_stage, planned_change(plan, max_duration, now), now);
   if (!permission.allowed()) {
     wait_reason_ = permission.why;
     return {};
