--- a/src/compat/channel_comparison.cpp
+++ b/src/compat/channel_comparison.cpp
@@ -8,7 +8,7 @@
 
 /// No value makes its reader refuse the message.
 bool accepts_any(const Field& field) {
-  return !field.min && !field.max && field.words == 0 && !field.required;
+  return !field.min && !field.max && field.enum_value_count == 0 && !field.required;
 }
 
 std::string unit_of(const Field& field) { return field.unit.empty() ? "none" : field.unit; }
@@ -132,12 +132,13 @@
     if (is_wider(now, was))
       conditional(path, "its bounds are wider than its reader takes, which refuses the rest", &now);
     if (is_wider(was, now)) breaks(path, "its bounds are narrower than what is written there");
-    if (now.words > was.words && !was.skips_unknown)
-      conditional(
-          path,
-          "it has " + std::to_string(now.words) + " words, its reader knows " + std::to_string(was.words),
-          &now);
-    if (now.words < was.words) breaks(path, "it knows fewer words than are written there");
+    if (now.enum_value_count > was.enum_value_count && !was.skips_unknown)
+      conditional(path,
+                  "it has " + std::to_string(now.enum_value_count) + " words, its reader knows " +
+                      std::to_string(was.enum_value_count),
+                  &now);
+    if (now.enum_value_count < was.enum_value_count)
+      breaks(path, "it knows fewer words than are written there");
     if (was.required && !now.required) conditional(path, "it may be absent, and its reader needs it", &now);
     if (now.required && !was.required) breaks(path, "it must be there, and its writer may leave it out");
   }
--- a/src/compat/compatibility.cpp
+++ b/src/compat/compatibility.cpp
@@ -63,14 +63,14 @@
       report.findings.push_back(release_finding(router, "it runs a release whose schemas are not kept here"));
       continue;
     }
-    const auto given_up = next.given_up.find(router.runs->name);
-    if (given_up == next.given_up.end()) {
+    const auto unsupported = next.unsupported_releases.find(router.runs->name);
+    if (unsupported == next.unsupported_releases.end()) {
       compare_releases(next, router, report);
       continue;
     }
     report.findings.push_back(release_finding(
         router,
-        "it runs " + router.runs->name + ", with which this release need not agree: " + given_up->second));
+        "it runs " + router.runs->name + ", with which this release need not agree: " + unsupported->second));
   }
   for (const auto& finding : report.findings)
     report.compatibility = std::max(report.compatibility, finding.compatibility);
--- a/src/compat/release.h
+++ b/src/compat/release.h
@@ -26,7 +26,7 @@
   std::string alters{};         ///< another field that who does not read this one misreads
   std::optional<double> min{};  ///< under it a reader refuses the message
   std::optional<double> max{};  ///< over it a reader refuses the message
-  int words = 0;                ///< the number stands for one of so many words; 0: it does not
+  int enum_value_count = 0;     ///< the number stands for one of so many words; 0: it does not
   bool skips_unknown = false;   ///< a reader passes over a word that it does not know; else it refuses it
   bool required = false;        ///< a reader refuses a message without it
   bool retired = false;         ///< nobody writes it any more; its number is not taken again
@@ -47,10 +47,11 @@
 
 /// A release.
 struct Release {
-  std::string name;                             ///< as its rules say
-  std::map<std::string, Channel> channels;      ///< by name
-  std::map<std::string, Fields> structs;        ///< by "file.Struct"
-  std::map<std::string, std::string> given_up;  ///< earlier releases with which it need not agree: why
+  std::string name;                         ///< as its rules say
+  std::map<std::string, Channel> channels;  ///< by name
+  std::map<std::string, Fields> structs;    ///< by "file.Struct"
+  std::map<std::string, std::string>
+      unsupported_releases;  ///< earlier releases with which it need not agree: why
 
   /// The structs that a channel's messages consist of.
   std::vector<std::string> reachable_structs(const std::string& root) const;
--- a/src/compat/rules.cpp
+++ b/src/compat/rules.cpp
@@ -56,7 +56,7 @@
   field.alters = rule.value("alters", "");
   if (rule.contains("least")) field.min = rule["least"].get<double>();
   if (rule.contains("most")) field.max = rule["most"].get<double>();
-  field.words = rule.value("values", 0);
+  field.enum_value_count = rule.value("values", 0);
   field.skips_unknown = skips_unknown(rule);
   field.required = rule.value("absent", std::string()) == "must";
   field.retired = rule.value("retired", false);
@@ -73,7 +73,7 @@
       read_field(path, rule, find_field(path, release));
   if (rules.contains("given_up"))
     for (const auto& [earlier, why] : rules["given_up"].items())
-      release.given_up[earlier] = why.get<std::string>();
+      release.unsupported_releases[earlier] = why.get<std::string>();
 }
 
 }  // namespace
--- a/src/freeze/calendar.cpp
+++ b/src/freeze/calendar.cpp
@@ -9,7 +9,7 @@
 
 /// Which of two exceptions for one change and window stands: also at equal versions and ends it is the same
 /// one at every router.
-bool stands_over(const Exception& a, const Exception& b) {
+bool supersedes(const Exception& a, const Exception& b) {
   if (a.version != b.version) return a.version > b.version;
   if (a.until != b.until) return a.until < b.until;
   return a < b;
@@ -95,7 +95,7 @@
   const std::pair key(exception.change, exception.window);
   const auto earlier = exceptions_.find(key);
   const bool is_new = earlier == exceptions_.end();
-  if (!is_new && !stands_over(exception, earlier->second)) return false;
+  if (!is_new && !supersedes(exception, earlier->second)) return false;
   if (is_new && exceptions_.size() >= limits_.exceptions) return false;
   const auto item = encode(exception);
   if (item.size() > kMaxItemBytes) return false;
--- a/src/freeze/calendar.h
+++ b/src/freeze/calendar.h
@@ -32,7 +32,7 @@
 namespace walkpaddle::freeze {
 
 /// What somebody wants to do with a change.
-enum class Action : std::uint8_t { propose, start_stage, go_on, stop, roll_back };
+enum class Action : std::uint8_t { propose, start_stage, next_stage, stop, roll_back };
 
 /// Whether it may be done, and when.
 struct Permission {
--- a/src/rollout/stage_runner.cpp
+++ b/src/rollout/stage_runner.cpp
@@ -141,7 +141,7 @@
 StageAction StageRunner::ask_to_go_on(const RolloutRecord& record, Seconds now) {
   const auto& plan = record.plan;
   const Seconds worst = plan.max_stage_time + max_rollback_duration(plan, context_.fleet.size());
-  const auto permission = context_.calendar.decide(Action::go_on, planned_change(plan, worst, now), now);
+  const auto permission = context_.calendar.decide(Action::next_stage, planned_change(plan, worst, now), now);
   if (!permission.allowed()) {
     waits_ = permission.why;
     return {};
--- a/tests/compat_kept.cpp
+++ b/tests/compat_kept.cpp
@@ -43,15 +43,15 @@
   for (int n = 2; n < argc; ++n) {
     const auto kept = release_in(argv[n]);
     const auto v = check_compatibility(now, {{"a router of " + kept.name, &kept, false}});
-    const bool given_up = now.given_up.contains(kept.name);
+    const bool unsupported = now.unsupported_releases.contains(kept.name);
     std::printf("%s beside %s: %s\n", now.name.c_str(), kept.name.c_str(),
-                given_up                                 ? "given up, as its rules say"
+                unsupported                              ? "given up, as its rules say"
                 : v.compatibility == Compatibility::safe ? "safe"
                 : v.may_start()                          ? "safe, as the new is written only once all read it"
                 : v.compatibility == Compatibility::conditional ? "NOT SAFE YET"
                                                                 : "BREAKS");
     for (const auto& r : v.findings) std::printf("  %s\n", r.text().c_str());
-    good = good && (given_up || v.may_start());
+    good = good && (unsupported || v.may_start());
   }
   return good ? 0 : 1;
 }
--- a/tests/compat_parts.cpp
+++ b/tests/compat_parts.cpp
@@ -207,7 +207,7 @@
     old.alters.clear();
     auto next = old;
     for (int n = draw(1, 3); n > 0; --n) change(next);
-    ParsedText old_text(old.text()), next_text(next.text());
+    SchemaText old_text(old.text()), next_text(next.text());
     const auto old_release = old_text.release(old.rules("v1", 1, nullptr));
     const auto next_release = next_text.release(next.rules("v2", 2, &old));
     const auto v = check_compatibility(next_release, {{"r", &old_release, false}});
--- a/tests/schema_text.h
+++ b/tests/schema_text.h
@@ -12,8 +12,8 @@
 
 namespace walkpaddle {
 
-struct ParsedText {
-  explicit ParsedText(const std::string& text) : directory(kj::newInMemoryDirectory(kj::nullClock())) {
+struct SchemaText {
+  explicit SchemaText(const std::string& text) : directory(kj::newInMemoryDirectory(kj::nullClock())) {
     directory->openFile(kj::Path("msg.capnp"), kj::WriteMode::CREATE)->writeAll(text.c_str());
     file = parser.parseFromDirectory(*directory, kj::Path("msg.capnp"), nullptr);
   }
--- a/tests/stories/compat.cpp
+++ b/tests/stories/compat.cpp
@@ -15,7 +15,7 @@
 
 Release release(const std::string& body, const std::string& fields, const std::string& name = "v1",
                 int version = 1, const std::string& channel_more = "", int largest = 1024) {
-  ParsedText text(kHead + body);
+  SchemaText text(kHead + body);
   return text.release(R"({"release":")" + name + R"(","channels":{"gossip":{"version":)" +
                       std::to_string(version) + R"(,"root":"msg.Fact","largest":)" + std::to_string(largest) +
                       channel_more + R"(}},"fields":{)" + fields + "}}");
@@ -117,7 +117,7 @@
     CHECK(v.compatibility == Compatibility::breaking);
   }
   GIVEN("a channel that is given up") {
-    ParsedText text(kHead + kFact);
+    SchemaText text(kHead + kFact);
     const auto next = text.release(R"({"release":"v2","channels":{}})");
     CHECK(first(beside(next, old)) ==
           "channel gossip: the channel is given up while its reader lives (r2 reads version 1)");
@@ -218,7 +218,7 @@
 }
 
 SCENARIO("rules that say nothing of any schema are refused") {
-  ParsedText text(kHead + kFact);
+  SchemaText text(kHead + kFact);
   const auto why = [&](const std::string& rules) {
     try {
       text.release(rules);
--- a/tests/stories/freeze.cpp
+++ b/tests/stories/freeze.cpp
@@ -62,7 +62,7 @@
     memory.pace = 0.02;
   }
   Calendar& operator[](int n) { return static_cast<Calendar&>(*memory[n].kinds[0]); }
-  Permission ask(int n, Action action = Action::go_on) {
+  Permission ask(int n, Action action = Action::next_stage) {
     return (*this)[n].decide(action, kTenMinutes, memory.now + memory[n].skew);
   }
   template <class F>
@@ -104,7 +104,7 @@
         const auto lead = c.decide(Action::start_stage, kTenMinutes, utc(2026, 12, 24, 12));
         CHECK(lead.outcome == Outcome::not_before);
         CHECK(lead.why.find("nothing starts from 2026-12-23 17:59 UTC on") != std::string::npos);
-        const auto within = c.decide(Action::go_on, kTenMinutes, utc(2026, 12, 28));
+        const auto within = c.decide(Action::next_stage, kTenMinutes, utc(2026, 12, 28));
         CHECK(within.outcome == Outcome::not_before);
         CHECK(within.why.find("it is within the freeze window festive until 2027-01-02 09:01 UTC") !=
               std::string::npos);
@@ -274,23 +274,23 @@
     REQUIRE_FALSE(refusal(e, now));
     REQUIRE(c.add_exception(e));
     THEN("that change goes on, another does not") {
-      CHECK(c.decide(Action::go_on, kTenMinutes, now).outcome == Outcome::allowed);
+      CHECK(c.decide(Action::next_stage, kTenMinutes, now).outcome == Outcome::allowed);
       auto other = kTenMinutes;
       other.change = "another";
-      CHECK(c.decide(Action::go_on, other, now).outcome == Outcome::not_before);
+      CHECK(c.decide(Action::next_stage, other, now).outcome == Outcome::not_before);
     }
     THEN("it does not where it would last past the exception's end") {
-      CHECK(c.decide(Action::go_on, kTenMinutes, now + kHour - 300).outcome == Outcome::not_before);
+      CHECK(c.decide(Action::next_stage, kTenMinutes, now + kHour - 300).outcome == Outcome::not_before);
     }
     THEN("of two the one that ends earlier stands, and a later version over both") {
       auto earlier = e;
       earlier.until = now + 60;
       CHECK(c.add_exception(earlier));
       CHECK_FALSE(c.add_exception(e));
-      CHECK(c.decide(Action::go_on, kTenMinutes, now).outcome == Outcome::not_before);
+      CHECK(c.decide(Action::next_stage, kTenMinutes, now).outcome == Outcome::not_before);
       e.version = 2;
       CHECK(c.add_exception(e));
-      CHECK(c.decide(Action::go_on, kTenMinutes, now).outcome == Outcome::allowed);
+      CHECK(c.decide(Action::next_stage, kTenMinutes, now).outcome == Outcome::allowed);
     }
   }
   GIVEN("ones that are not in order") {
@@ -501,11 +501,11 @@
   c.majority_contacted(now);
   c.declare(window("a", "2027-06-01 00:00", "2027-06-02 00:00"));
   c.declare(window("b", "2027-06-01 00:00", "2027-06-02 00:00"));
-  REQUIRE(c.decide(Action::go_on, kTenMinutes, now).outcome == Outcome::allowed);
+  REQUIRE(c.decide(Action::next_stage, kTenMinutes, now).outcome == Outcome::allowed);
   WHEN("a third window has no room") {
     CHECK_FALSE(c.declare(window("c", "2027-07-01 00:00", "2027-07-02 00:00")));
     THEN("it says so and goes on with nothing") {
-      CHECK(c.decide(Action::go_on, kTenMinutes, now).why ==
+      CHECK(c.decide(Action::next_stage, kTenMinutes, now).why ==
             "a window is not heeded here: past 256, a fifth copy of one version, or without sense; withdraw "
             "some, restart");
     }
