--- a/src/compat/channel_comparison.h
+++ b/src/compat/channel_comparison.h
@@ -1,5 +1,5 @@
 /// \file
-/// The comparison of one channel of a release with the same of one that runs. No I/O.
+/// Compares one channel of a new release with the same channel of a running release. No I/O.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace walkpaddle::compat {
 
-/// What does not fit on one channel, without the router's name.
+/// Returns the incompatibilities of one channel. Finding::router is left empty.
 std::vector<Finding> compare_channel(const Release& next, const Release& running, const std::string& channel);
 
 }  // namespace walkpaddle::compat
--- a/src/compat/compatibility.cpp
+++ b/src/compat/compatibility.cpp
@@ -30,9 +30,9 @@
 }
 
 void compare_releases(const Release& next, const FleetRouter& router, CompatibilityReport& report) {
-  for (const auto& channel : channels_of(next, *router.runs))
-    for (auto& finding : compare_channel(next, *router.runs, channel)) {
-      finding.router = router.name + (router.away ? ", away and expected back," : "");
+  for (const auto& channel : channels_of(next, *router.release))
+    for (auto& finding : compare_channel(next, *router.release, channel)) {
+      finding.router = router.name + (router.away ? ", which is away and may return," : "");
       report.compatibility = std::max(report.compatibility, finding.compatibility);
       if (report.findings.size() < kMaxFindings) report.findings.push_back(std::move(finding));
     }
@@ -44,7 +44,7 @@
   const std::string place = field.empty() ? "" : ", " + field;
   std::string condition;
   if (compatibility == Compatibility::conditional)
-    condition = ", safe once all read version " + std::to_string(needed_version);
+    condition = ", safe once all routers read version " + std::to_string(needed_version);
   return "channel " + channel + place + ": " + why + " (" + router + " reads version " +
          std::to_string(version) + condition + ")";
 }
@@ -59,18 +59,19 @@
 CompatibilityReport check_compatibility(const Release& next, const std::vector<FleetRouter>& fleet) {
   CompatibilityReport report;
   for (const auto& router : fleet) {
-    if (router.runs == nullptr) {
-      report.findings.push_back(release_finding(router, "it runs a release whose schemas are not kept here"));
+    if (router.release == nullptr) {
+      report.findings.push_back(
+          release_finding(router, "the schemas of the router's release are not available here"));
       continue;
     }
-    const auto unsupported = next.unsupported_releases.find(router.runs->name);
+    const auto unsupported = next.unsupported_releases.find(router.release->name);
     if (unsupported == next.unsupported_releases.end()) {
       compare_releases(next, router, report);
       continue;
     }
     report.findings.push_back(release_finding(
         router,
-        "it runs " + router.runs->name + ", with which this release need not agree: " + unsupported->second));
+        "it runs " + router.release->name + ", which this release does not support: " + unsupported->second));
   }
   for (const auto& finding : report.findings)
     report.compatibility = std::max(report.compatibility, finding.compatibility);
--- a/src/compat/release.cpp
+++ b/src/compat/release.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view kListPrefix = "List(";
 
-/// What a list, or a list of lists, consists of.
+/// The element type of a list, also of nested lists; any other type is returned as it is.
 std::string_view element_type(std::string_view type) {
   while (type.starts_with(kListPrefix)) {
     type.remove_prefix(kListPrefix.size());
--- a/src/compat/rules.cpp
+++ b/src/compat/rules.cpp
@@ -25,13 +25,14 @@
                   .max_bytes = rule.at("largest").get<std::size_t>(),
                   .skips_unknown = skips_unknown(rule)};
   if (channel.version < 1 || channel.version > kMaxChannelVersion)
-    throw InputError("channel " + name + ": a version past 255");
+    throw InputError("channel " + name + ": version is out of range, 1 to 255");
   if (!release.structs.contains(channel.root))
-    throw InputError("channel " + name + ": no schema has its root " + channel.root);
+    throw InputError("channel " + name + ": no schema defines its root " + channel.root);
   return channel;
 }
 
-/// The field of "FILE.Struct.field"; where a group repeats a name, the one with the greatest number.
+/// Finds the field at "FILE.Struct.field". If a group repeats the name, the field with the greatest number is
+/// meant.
 Field& find_field(const std::string& path, Release& release) {
   const auto dot = path.rfind('.');
   const auto fields =
@@ -40,7 +41,7 @@
   if (fields != release.structs.end())
     for (auto& [number, field] : fields->second)
       if (field.name == path.substr(dot + 1)) found = &field;
-  if (found == nullptr) throw InputError("rule for " + path + ": no schema has that field");
+  if (found == nullptr) throw InputError("rule for " + path + ": no schema defines this field");
   return *found;
 }
 
@@ -48,7 +49,7 @@
   for (const auto& [key, value] : rule.items()) {
     if (std::ranges::find(kFieldKeys, key) != kFieldKeys.end()) continue;
     std::string message = "rule for " + path;
-    message += ": unknown word " + key;
+    message += ": unknown key " + key;
     throw InputError(message);
   }
   field.unit = rule.value("unit", "");
@@ -81,7 +82,7 @@
 void read_rules(std::string_view text, Release& release) try {
   read_all(json::parse(text), release);
 } catch (const json::exception& error) {
-  throw InputError(std::string("rules that cannot be read: ") + error.what());
+  throw InputError(std::string("cannot parse the rules: ") + error.what());
 }
 
 }  // namespace walkpaddle::compat
--- a/src/compat/rules.h
+++ b/src/compat/rules.h
@@ -1,19 +1,18 @@
 /// \file
-/// The rules that a schema cannot say, JSON: {"release": NAME, "channels": {NAME: {"version", "root",
-/// "largest", "unknown"}}, "fields": {"FILE.Struct.field": {...}}, "given_up": {RELEASE: REASON}}. Of a
-/// field:
+/// The rules of a release that its schemas cannot express, as JSON: {"release": NAME, "channels": {NAME:
+/// {"version", "root", "largest", "unknown"}}, "fields": {"FILE.Struct.field": {...}}, "given_up": {RELEASE:
+/// REASON}}. The keys of a field:
 ///
-/// | key | meaning |
-/// | --- | --- |
-/// | unit | what a number counts ("s", "ms", "bytes"); a decision reads it so |
-/// | least, most | outside them a reader refuses the message as spoilt |
-/// | values | a number that stands for one of so many words, from 0 |
-/// | unknown | what a reader does with a word past `values`: "refused" (also if nothing is said), "passed
-/// over" | | absent | "must": a reader refuses a message without it; else it may be absent | | retired |
-/// nobody writes it any more, its number is not to be taken again | | was | the name that it had before | |
-/// alters | another field whose meaning depends on this one: who does not read this one misreads that one |
-/// | gated | it is written only once every live router reads its channel in this version |
-/// | plain | no decision uses it |
+/// - `unit`: what a number counts ("s", "ms", "bytes"), as decisions interpret it.
+/// - `least`, `most`: a reader refuses a message with a value outside these bounds.
+/// - `values`: the number of values of a number that is used as an enum, counted from 0.
+/// - `unknown`: what a reader does with a value past `values`: "refused" (the default) or "passed over".
+/// - `absent`: "must" if a reader refuses a message without the field; otherwise it may be absent.
+/// - `retired`: the field is no longer written, and its number must not be reused.
+/// - `was`: the field's name in an earlier release.
+/// - `alters`: another field, which a reader misreads if it does not know this one.
+/// - `gated`: it is written only once every live router reads this version of its channel.
+/// - `plain`: no decision uses it.
 #pragma once
 
 #include <string_view>
@@ -22,7 +21,8 @@
 
 namespace walkpaddle::compat {
 
-/// Adds what the rules say to a release that has its structs. Throws InputError with what is wrong.
+/// Parses the rules in `text` and adds them to `release`, whose structs are already read. Throws InputError
+/// if the rules are invalid or name a field or root that no schema has.
 void read_rules(std::string_view text, Release& release);
 
 }  // namespace walkpaddle::compat
--- a/src/compat/schema_reader.cpp
+++ b/src/compat/schema_reader.cpp
@@ -19,14 +19,14 @@
 namespace schema = capnp::schema;
 using schema::Type, schema::Value;
 
-/// A hundred times what the program's schemas take.
+/// The program's own schemas take about a hundredth of this.
 constexpr std::size_t kMaxRequestBytes = 4 << 20;
 
 InputError unreadable(const kj::Exception& error) {
-  return InputError(std::string("a schema that cannot be read: ") + error.getDescription().cStr());
+  return InputError(std::string("cannot read a schema: ") + error.getDescription().cStr());
 }
 
-/// "src/fleet/fleet.capnp:Fact" is fleet.Fact.
+/// Shortens a display name: "src/fleet/fleet.capnp:Fact" becomes "fleet.Fact".
 std::string short_name(std::string_view display_name) {
   const auto colon = display_name.rfind(':');
   if (colon == std::string_view::npos) return std::string(display_name);
@@ -36,21 +36,21 @@
   return std::string(file) + "." + std::string(display_name.substr(colon + 1));
 }
 
-/// The types that are told by their name alone.
-constexpr std::array<std::pair<Type::Which, const char*>, 14> kPlainTypes{{{Type::VOID, "Void"},
-                                                                           {Type::BOOL, "Bool"},
-                                                                           {Type::INT8, "Int8"},
-                                                                           {Type::INT16, "Int16"},
-                                                                           {Type::INT32, "Int32"},
-                                                                           {Type::INT64, "Int64"},
-                                                                           {Type::UINT8, "UInt8"},
-                                                                           {Type::UINT16, "UInt16"},
-                                                                           {Type::UINT32, "UInt32"},
-                                                                           {Type::UINT64, "UInt64"},
-                                                                           {Type::FLOAT32, "Float32"},
-                                                                           {Type::FLOAT64, "Float64"},
-                                                                           {Type::TEXT, "Text"},
-                                                                           {Type::DATA, "Data"}}};
+/// The names of the built-in types.
+constexpr std::array<std::pair<Type::Which, const char*>, 14> kBuiltInTypes{{{Type::VOID, "Void"},
+                                                                             {Type::BOOL, "Bool"},
+                                                                             {Type::INT8, "Int8"},
+                                                                             {Type::INT16, "Int16"},
+                                                                             {Type::INT32, "Int32"},
+                                                                             {Type::INT64, "Int64"},
+                                                                             {Type::UINT8, "UInt8"},
+                                                                             {Type::UINT16, "UInt16"},
+                                                                             {Type::UINT32, "UInt32"},
+                                                                             {Type::UINT64, "UInt64"},
+                                                                             {Type::FLOAT32, "Float32"},
+                                                                             {Type::FLOAT64, "Float64"},
+                                                                             {Type::TEXT, "Text"},
+                                                                             {Type::DATA, "Data"}}};
 
 std::string value_text(const Value::Reader& value) {
   switch (value.which()) {
@@ -85,7 +85,7 @@
   }
 }
 
-/// Reads the structs of some nodes, which refer to each other by id.
+/// Reads the structs among nodes that refer to each other by id.
 class StructReader {
  public:
   explicit StructReader(const std::vector<schema::Node::Reader>& nodes) : nodes_(nodes) {
@@ -104,7 +104,7 @@
   }
 
  private:
-  /// Fields of the struct and of the groups in it, all by their own numbers.
+  /// Adds the fields of a struct and of the groups in it, each by its own number.
   void add_fields(const schema::Node::Reader& node, bool in_union, Fields& fields) const {
     for (const auto field : node.getStruct().getFields()) {
       const bool is_member = in_union || field.getDiscriminantValue() != schema::Field::NO_DISCRIMINANT;
@@ -123,7 +123,7 @@
   }
 
   std::string type_name(const Type::Reader& type) const {
-    for (const auto& [which, name] : kPlainTypes)
+    for (const auto& [which, name] : kBuiltInTypes)
       if (type.which() == which) return name;
     if (type.isList()) return "List(" + type_name(type.getList().getElementType()) + ")";
     if (type.isEnum()) return "enum " + node_name(type.getEnum().getTypeId());
@@ -152,12 +152,12 @@
 void SchemaRequests::read(const std::string& request) {
   if (request.size() > kMaxRequestBytes || request.size() % sizeof(capnp::word) != 0 || request.empty())
     throw_bad_value("schema of length", std::to_string(request.size()));
-  // An aligned copy: the library reads words in place.
+  // The library reads words in place, so the copy has to be aligned.
   auto& words = words_.emplace_back(request.size() / sizeof(capnp::word));
   std::memcpy(static_cast<void*>(words.data()), request.data(), request.size());
   const kj::ArrayPtr<const capnp::word> view(words.data(), words.size());
   messages_.push_back(std::make_unique<capnp::FlatArrayMessageReader>(view));
-  // The loader refuses what is no schema.
+  // The loader throws on an invalid schema.
   capnp::SchemaLoader loader;
   for (const auto node : messages_.back()->getRoot<schema::CodeGeneratorRequest>().getNodes()) {
     loader.load(node);
--- a/src/compat/schema_reader.h
+++ b/src/compat/schema_reader.h
@@ -1,5 +1,6 @@
 /// \file
-/// Cap'n Proto schemas as fields by struct: what the library's compiler hands to its code generators. No I/O.
+/// Reads the fields of each struct from Cap'n Proto schemas, in the form in which the schema compiler passes
+/// them to its code generators. No I/O.
 #pragma once
 
 #include <capnp/schema.capnp.h>
@@ -14,12 +15,12 @@
 
 namespace walkpaddle::compat {
 
-/// The compiler's requests (CodeGeneratorRequest), read.
+/// Parsed CodeGeneratorRequest messages of the schema compiler.
 class SchemaRequests {
  public:
-  /// Throws InputError where one is no schema.
+  /// Parses the requests, one for each schema file. Throws InputError if one is not a valid schema.
   explicit SchemaRequests(const std::vector<std::string>& requests);
-  /// The nodes of all; they live as long as this.
+  /// The nodes of all requests. They stay valid as long as this object.
   const std::vector<capnp::schema::Node::Reader>& nodes() const { return nodes_; }
 
  private:
@@ -30,8 +31,8 @@
   std::vector<capnp::schema::Node::Reader> nodes_;
 };
 
-/// The fields of each struct, its groups' among them, by "file.Struct". Throws InputError where a node cannot
-/// be read.
+/// Returns the fields of each struct, including those in its groups, by "file.Struct". Throws InputError if a
+/// node cannot be read.
 std::map<std::string, Fields> read_structs(const std::vector<capnp::schema::Node::Reader>& nodes);
 
 }  // namespace walkpaddle::compat
--- a/tests/compat_kept.cpp
+++ b/tests/compat_kept.cpp
@@ -1,7 +1,8 @@
-// What routers publish now beside what they published at earlier landings: a commit that breaks a router of
-// one of them fails here. A line for each, and its reasons.
-//   compat_kept FOLDER FOLDER...    the present first; each with *.bin (requests of the schema compiler),
-//   rules.json
+// Checks the present release against the releases that are kept from earlier: a commit that is incompatible
+// with a router of one of them fails here. Prints a line for each kept release, followed by the findings.
+//   compat_kept FOLDER FOLDER...
+// The first folder is the present release. Each folder holds *.bin (requests of the schema compiler) and
+// rules.json.
 #include <algorithm>
 #include <cstdio>
 #include <filesystem>
@@ -15,43 +16,44 @@
 
 namespace {
 
-std::string text_of(const std::filesystem::path& path) {
+std::string read_file(const std::filesystem::path& path) {
   std::ifstream in(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-Release release_in(const std::filesystem::path& folder) {
+Release read_release_folder(const std::filesystem::path& folder) {
   std::vector<std::string> requests;
   for (const auto& entry : std::filesystem::directory_iterator(folder))
-    if (entry.path().extension() == ".bin") requests.push_back(text_of(entry.path()));
-  return read_release(requests, text_of(folder / "rules.json"));
+    if (entry.path().extension() == ".bin") requests.push_back(read_file(entry.path()));
+  return read_release(requests, read_file(folder / "rules.json"));
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   if (argc < 3) return 2;
-  const auto now = release_in(argv[1]);
-  // What this program announces to read is what its rules say.
+  const auto present = read_release_folder(argv[1]);
+  // The versions that this program announces have to be those in its rules.
   const char* names[] = {"links", "gossip", "calendar", "changes", "store.purges"};
   bool good = true;
   for (int n = 0; n < kAnnouncedChannels; ++n) {
-    const int says = walkpaddle::gossip::kChannelVersions[n], is = now.channels.at(names[n]).version;
-    std::printf("%s: announced %d, by its rules %d\n", names[n], says, is);
-    good = good && says == is;
+    const int announced = walkpaddle::gossip::kChannelVersions[n],
+              in_rules = present.channels.at(names[n]).version;
+    std::printf("%s: announced %d, in its rules %d\n", names[n], announced, in_rules);
+    good = good && announced == in_rules;
   }
   for (int n = 2; n < argc; ++n) {
-    const auto kept = release_in(argv[n]);
-    const auto v = check_compatibility(now, {{"a router of " + kept.name, &kept, false}});
-    const bool unsupported = now.unsupported_releases.contains(kept.name);
-    std::printf("%s beside %s: %s\n", now.name.c_str(), kept.name.c_str(),
-                unsupported                              ? "given up, as its rules say"
-                : v.compatibility == Compatibility::safe ? "safe"
-                : v.may_start()                          ? "safe, as the new is written only once all read it"
-                : v.compatibility == Compatibility::conditional ? "NOT SAFE YET"
-                                                                : "BREAKS");
-    for (const auto& r : v.findings) std::printf("  %s\n", r.text().c_str());
-    good = good && (unsupported || v.may_start());
+    const auto kept = read_release_folder(argv[n]);
+    const auto report = check_compatibility(present, {{"a router of " + kept.name, &kept, false}});
+    const bool unsupported = present.unsupported_releases.contains(kept.name);
+    std::printf("%s with %s: %s\n", present.name.c_str(), kept.name.c_str(),
+                unsupported                                   ? "not supported, by its rules"
+                : report.compatibility == Compatibility::safe ? "safe"
+                : report.may_start() ? "safe, as the new form is written only once all routers read it"
+                : report.compatibility == Compatibility::conditional ? "NOT SAFE YET"
+                                                                     : "BREAKS");
+    for (const auto& finding : report.findings) std::printf("  %s\n", finding.text().c_str());
+    good = good && (unsupported || report.may_start());
   }
   return good ? 0 : 1;
 }
--- a/tests/schema_text.h
+++ b/tests/schema_text.h
@@ -1,4 +1,5 @@
-// A release from the text of its schema, for tests: the library's own parser, in memory.
+// Builds a release from the text of a schema, for tests. Cap'n Proto's own parser reads it, without files on
+// disk.
 #pragma once
 
 #include <capnp/schema-parser.h>
@@ -12,6 +13,7 @@
 
 namespace walkpaddle {
 
+// A parsed schema file, msg.capnp.
 struct SchemaText {
   explicit SchemaText(const std::string& text) : directory(kj::newInMemoryDirectory(kj::nullClock())) {
     directory->openFile(kj::Path("msg.capnp"), kj::WriteMode::CREATE)->writeAll(text.c_str());
@@ -22,7 +24,7 @@
     for (const auto nested : file.getAllNested()) nodes.push_back(nested.getProto());
     return compat::read_release(nodes, rules);
   }
-  capnp::StructSchema of(const char* name) { return file.getNested(name).asStruct(); }
+  capnp::StructSchema struct_schema(const char* name) { return file.getNested(name).asStruct(); }
 
   kj::Own<kj::Directory> directory;
   capnp::SchemaParser parser;
