--- a/src/freeze/calendar.cpp
+++ b/src/freeze/calendar.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Which of two exceptions for one change and window stands: also at equal versions and ends it is the same
-/// one at every router.
+/// Whether `a` supersedes `b`, of two exceptions for the same change and window. The order is total, so that
+/// all routers keep the same one.
 bool supersedes(const Exception& a, const Exception& b) {
   if (a.version != b.version) return a.version > b.version;
   if (a.until != b.until) return a.until < b.until;
@@ -22,7 +22,7 @@
 Calendar::Calendar(std::uint64_t self, const std::vector<std::uint64_t>& fleet, const Limits& limits)
     : self_(self), fleet_(fleet.begin(), fleet.end()), limits_(limits) {}
 
-// ---- the join ----------------------------------------------------------------------------------
+// ---- joining copies ----------------------------------------------------------------------------
 
 bool Calendar::declare(const Window& window) {
   if (refusal(window) || encode(window).size() > kMaxItemBytes) {
@@ -46,14 +46,15 @@
   copies.insert(at, window);
   add_item(encode(window));
   if (copies.size() <= limits_.copies) return true;
-  // The first of them in order, which is the same at all: more than that is no disagreement but a fault.
+  // All routers keep the same copies, the first in order. More differing copies are not a disagreement but a
+  // fault.
   remove_item(id_of(encode(copies.back())));
   copies.pop_back();
   ++refused_windows_;
   return true;
 }
 
-/// Drops what earlier versions said; what is withdrawn of them says nothing of this one.
+/// Drops the copies of earlier versions, and their withdrawals, which do not apply to this version.
 void Calendar::begin_version(Versions& versions, const Window& window) {
   for (const auto& old : std::exchange(versions.copies, {})) remove_item(id_of(encode(old)));
   versions.version = window.version;
@@ -69,7 +70,7 @@
   return join(Withdrawal{window, version, self_});
 }
 
-/// What is refused here would only loosen.
+/// A withdrawal only permits more changes, so that it is safe to refuse one.
 bool Calendar::join(const Withdrawal& withdrawal) {
   const auto& [window, version, holder] = withdrawal;
   if (!fleet_.contains(holder) || window.empty() || window.size() > kMaxTextBytes || version < 1)
@@ -83,12 +84,12 @@
   return true;
 }
 
-/// Who holds the withdrawal of a later version holds that of this one.
+/// A router that holds the withdrawal of a later version counts for the current version, too.
 bool Calendar::is_withdrawn(const Versions& versions) const {
-  std::set<std::uint64_t> all;
+  std::set<std::uint64_t> holding;
   for (const auto& [version, holders] : versions.holders)
-    if (version >= versions.version) all.insert(holders.begin(), holders.end());
-  return static_cast<int>(all.size()) >= majority();
+    if (version >= versions.version) holding.insert(holders.begin(), holders.end());
+  return static_cast<int>(holding.size()) >= majority();
 }
 
 bool Calendar::add_exception(const Exception& exception) {
@@ -105,7 +106,8 @@
   return true;
 }
 
-/// What others say is checked as if people had written it here; a withdrawal that is heard is held here too.
+/// Items of other routers are validated like documents. A withdrawal that another router holds is held here,
+/// too.
 bool Calendar::join(std::string_view bytes, Seconds now) {
   const auto item = decode_item(bytes);
   if (!item) return false;
@@ -116,7 +118,7 @@
     return true;
   }
   const auto& exception = std::get<Exception>(*item);
-  // One clock may be a little ahead of the other.
+  // The other router's clock may be ahead of this one's.
   return !refusal(exception, now + limits_.clock_slack) && add_exception(exception);
 }
 
@@ -124,12 +126,13 @@
 
 std::optional<std::string> Calendar::why_not_current(Seconds now) const {
   if (std::abs(clock_offset_) > limits_.clock_slack)
-    return "this router's clock is " + rounded(std::abs(clock_offset_)) + " s apart from the others'";
+    return "this router's clock differs from the others' by " + rounded(std::abs(clock_offset_)) + " s";
   if (refused_windows_ > 0)
-    return "a window is not heeded here: past 256, a fifth copy of one version, or without sense; withdraw "
-           "some, restart";
+    return "this router refused a freeze window, which was invalid, the 257th, or the fifth differing copy "
+           "of one "
+           "version; withdraw some and restart";
   if (contacted_at_ == 0 || now - contacted_at_ > limits_.max_silence)
-    return "this router's calendar may lack a window: no contact with a majority for over " +
+    return "this router's calendar may lack a freeze window: no contact with a majority for over " +
            rounded(limits_.max_silence) + " s";
   return std::nullopt;
 }
@@ -141,7 +144,7 @@
   const auto conflict = first_conflict(change, now, now + change.max_duration);
   if (!conflict) return {};
   const auto why = reason(change, *conflict, now);
-  // Each step passes a span; a bounded number of them lies within the horizon.
+  // Each step passes one span, and the horizon contains a bounded number of them.
   for (Seconds at = conflict->span.until; at < now + limits_.horizon;) {
     const auto next = first_conflict(change, at, at + change.max_duration);
     if (!next) return {Outcome::not_before, at, conflict->window, why};
@@ -149,20 +152,19 @@
   }
   constexpr Seconds kDay = 86400;
   return {Outcome::never, 0, conflict->window,
-          why + "; no time is free for it in " + rounded(limits_.horizon / kDay) + " days"};
+          why + "; there is no free time in the next " + rounded(limits_.horizon / kDay) + " days"};
 }
 
 std::string Calendar::reason(const PlannedChange& change, const Conflict& conflict, Seconds now) const {
   constexpr Seconds kMinute = 60;
   const auto& [window, span] = conflict;
-  if (now >= span.from)
-    return "it is within the freeze window " + window + " until " + format_utc(span.until);
-  if (now >= span.lead)
+  if (now >= span.from) return "the freeze window " + window + " lasts until " + format_utc(span.until);
+  if (now >= span.lead_start)
     return "the freeze window " + window + " begins at " + format_utc(span.from) +
-           ", and nothing starts from " + format_utc(span.lead) + " on";
-  return "its longest time of " + rounded(change.max_duration / kMinute) +
-         " minutes, the way back included, would run into the freeze window " + window +
-         ", before which nothing starts from " + format_utc(span.lead) + " on";
+           ", and no change may start from " + format_utc(span.lead_start) + " on";
+  return "its longest duration of " + rounded(change.max_duration / kMinute) +
+         " minutes, including a rollback, would run into the freeze window " + window +
+         ", before which no change may start from " + format_utc(span.lead_start) + " on";
 }
 
 LateWindowEffect Calendar::late_window_effect(const PlannedChange& change, Seconds rollback_duration,
@@ -174,11 +176,12 @@
 }
 
 bool Calendar::is_site_frozen(std::string_view site, Work work, Seconds now) const {
-  const PlannedChange anything{.change = {}, .work = work, .sites = {std::string(site)}};
-  return first_conflict(anything, now, now).has_value();
+  const PlannedChange any_change{.change = {}, .work = work, .sites = {std::string(site)}};
+  return first_conflict(any_change, now, now).has_value();
 }
 
-/// The first span, its lead included, that [from, until] meets, of windows that block the change.
+/// Finds the first occurrence, including its lead time, that overlaps [from, until], among the windows that
+/// block the change.
 std::optional<Calendar::Conflict> Calendar::first_conflict(const PlannedChange& change, Seconds from,
                                                            Seconds until) const {
   std::optional<Conflict> first;
@@ -187,9 +190,9 @@
     for (const auto& window : versions.copies) {
       if (!is_blocked_by(window, change)) continue;
       for (const auto& span : spans(window, from, until, limits_.clock_slack)) {
-        const bool meets = span.lead <= until && span.until > from;
-        if (!meets || is_excepted(change, name, from, std::min(until, span.until))) continue;
-        if (!first || span.lead < first->span.lead) first = Conflict{name, span};
+        const bool overlaps = span.lead_start <= until && span.until > from;
+        if (!overlaps || is_excepted(change, name, from, std::min(until, span.until))) continue;
+        if (!first || span.lead_start < first->span.lead_start) first = Conflict{name, span};
       }
     }
   }
@@ -209,15 +212,16 @@
          from <= exception->second.until;
 }
 
-// ---- for people --------------------------------------------------------------------------------
+// ---- status for people -------------------------------------------------------------------------
 
 std::vector<Calendar::WindowStatus> Calendar::status() const {
   std::vector<WindowStatus> all;
   for (const auto& [name, versions] : windows_) {
-    std::set<std::uint64_t> everybody;
-    for (const auto& [version, holders] : versions.holders) everybody.insert(holders.begin(), holders.end());
+    std::set<std::uint64_t> all_holders;
+    for (const auto& [version, holders] : versions.holders)
+      all_holders.insert(holders.begin(), holders.end());
     for (const auto& window : versions.copies)
-      all.push_back({window, is_withdrawn(versions), static_cast<int>(everybody.size())});
+      all.push_back({window, is_withdrawn(versions), static_cast<int>(all_holders.size())});
   }
   return all;
 }
--- a/src/freeze/calendar.h
+++ b/src/freeze/calendar.h
@@ -1,16 +1,16 @@
 /// \file
-/// One router's calendar of freeze windows, as one replicated state, and what it decides for those who want
-/// to change the fleet. Without I/O. Nothing here loosens: what blocks is heeded by whoever hears it, and is
-/// given up only by a later version, by a withdrawal that a majority of the fleet holds, or past its end.
+/// One router's copy of the replicated calendar of freeze windows, which decides whether a change to the
+/// fleet may proceed. No I/O. A router applies a window as soon as it receives it. The window blocks changes
+/// until its end, unless it is replaced by a later version or a majority of the fleet holds its withdrawal.
 ///
-/// The join, window by window (a state-based CRDT: Shapiro et al., 2011): a later version drops the earlier
-/// ones; copies of one version that differ are all heeded, which is the strictest of them. Withdrawals are
-/// sets of the routers that hold them. Of two exceptions for one change and window the later version stands,
-/// at equal versions the one that ends earlier.
+/// Copies of the calendar are joined for each window (a state-based CRDT: Shapiro et al., 2011). A later
+/// version replaces earlier ones. Copies of one version that differ all apply, so that the strictest one
+/// decides. A withdrawal is the set of the routers that hold it. Of two exceptions for the same change and
+/// window the later version applies, and at equal versions the one that ends earlier.
 ///
-/// A router whose calendar may lack something goes on with nothing: one that has just started or was cut off,
-/// that is not in contact with a majority, or whose clock is apart from the others'. Stopping and rolling
-/// back are never blocked.
+/// A router whose calendar may be incomplete lets no change proceed: one that has just started or was
+/// partitioned, is not in contact with a majority, or whose clock differs from the others'. Stopping and
+/// rolling back are never blocked.
 #pragma once
 
 #include <algorithm>
@@ -31,108 +31,112 @@
 
 namespace walkpaddle::freeze {
 
-/// What somebody wants to do with a change.
+/// The next step of a change, for which permission is asked.
 enum class Action : std::uint8_t { propose, start_stage, next_stage, stop, roll_back };
 
-/// Whether it may be done, and when.
+/// Whether an action is permitted, and from when on.
 struct Permission {
-  /// In short.
+  /// The kinds of answer.
   enum class Outcome : std::uint8_t {
     allowed,
-    not_before,  ///< see `at`
-    never,       ///< no time is free for it within the horizon
+    not_before,  ///< not now, see `at`
+    never,       ///< not at any time within the horizon
   };
-  Outcome outcome = Outcome::allowed;  ///< in short
-  Seconds at = 0;                      ///< of not_before: the first time; 0: it is not known yet
-  std::string window{};                ///< the name of the window that blocks it; empty for allowed
-  std::string why{};                   ///< for people; empty for allowed
-  /// Field by field.
+  Outcome outcome = Outcome::allowed;  ///< the kind of answer
+  Seconds at = 0;                      ///< for not_before: the first permitted time; 0: not known yet
+  std::string window{};                ///< name of the blocking window; empty if none blocks
+  std::string why{};                   ///< the reason, for people; empty for allowed
+  /// Compares field by field.
   bool operator==(const Permission&) const = default;
-  /// Whether it may be done now.
+  /// Whether the action is permitted now.
   bool allowed() const { return outcome == Outcome::allowed; }
 };
 
-/// What a late window does to a change that is under way: it stays where it stands, or goes back while the
-/// lead leaves it the time. A mixed fleet through the days of trade is the lesser evil only where the way
-/// back would itself be a change within them.
+/// The effect of a window that is declared while a change is under way and conflicts with it. The change
+/// rolls back if that can end before the window begins. Otherwise it holds: the fleet stays mixed during the
+/// window, since the rollback would itself be a change within it.
 enum class LateWindowEffect : std::uint8_t { none, holds, rolls_back };
 
-/// A change that somebody wants to carry out.
+/// A change for which permission is asked.
 struct PlannedChange {
   std::string change;                ///< its name
-  Work work = kSettings;             ///< what it changes
-  std::vector<std::string> sites{};  ///< whose routers it concerns; empty: all
-  Seconds max_duration = 0;          ///< its longest time from here on, the way back included
+  Work work = kSettings;             ///< the kinds of change that it makes
+  std::vector<std::string> sites{};  ///< the sites whose routers it changes; empty: all
+  Seconds max_duration = 0;          ///< the longest time that it can still take, including a rollback
 };
 
-/// The calendar as one router knows it.
+/// One router's copy of the calendar.
 class Calendar : public replica::ReplicatedState {
  public:
-  /// Bounds; the same at all routers.
+  /// Bounds. They have to be the same at all routers.
   struct Limits {
-    std::size_t windows = 256;    ///< by name
-    std::size_t copies = 4;       ///< of one version that differ; versions that are withdrawn
-    std::size_t exceptions = 64;  ///< by change and window
-    /// A calendar without contact with a majority for so long may lack a window: some rounds of comparison (2
-    /// s each), so that a lost one does not matter, and far under any lead.
+    std::size_t windows = 256;    ///< number of windows, by name
+    std::size_t copies = 4;       ///< differing copies of one version; withdrawn versions of one window
+    std::size_t exceptions = 64;  ///< number of exceptions, by change and window
+    /// A calendar without contact with a majority for this long, in seconds, may lack a window. It is many
+    /// rounds of anti-entropy (2 s each), so that a lost round does not matter, and far below a usual lead.
     Seconds max_silence = 30;
-    /// Clocks of routers that are apart by less are covered by widening every window by as much. NTP keeps
-    /// them within some milliseconds; half a minute is a clock that nobody tends, an hour a wrong zone.
+    /// The accepted difference between the routers' clocks, in seconds; every window is widened by as much on
+    /// both sides. NTP keeps clocks within some milliseconds. A difference of half a minute means a clock
+    /// that is not synchronized, and one of an hour a wrong time zone.
     Seconds clock_slack = 60;
-    Seconds horizon = 800 * 86400.0;  ///< in which a time is looked for: each yearly window comes twice
+    Seconds horizon = 800 * 86400.0;  ///< search range for a free time; a yearly window occurs in it twice
   };
 
-  /// A window and what is known of its withdrawal.
+  /// A window and the state of its withdrawal.
   struct WindowStatus {
-    Window window;           ///< one copy of its present version
-    bool withdrawn = false;  ///< a majority holds the withdrawal
-    int withdrawn_by = 0;    ///< routers that hold it
+    Window window;           ///< one copy of its current version
+    bool withdrawn = false;  ///< whether a majority holds the withdrawal
+    int withdrawn_by = 0;    ///< number of routers that hold the withdrawal
   };
 
-  /// `self`, `fleet`: stable hashes of routers' names; the fleet includes this one.
+  /// `self` and `fleet` are stable hashes of the routers' names. The fleet includes this router.
   Calendar(std::uint64_t self, const std::vector<std::uint64_t>& fleet, const Limits& limits);
 
-  /// Takes a window from this router's own documents, or heard. False: it changed nothing, or is refused
-  /// (counted).
+  /// Adds a window from this router's own documents or from another router. Returns false if that changes
+  /// nothing or the window is refused, which is counted.
   bool declare(const Window& window);
-  /// This router holds the withdrawal of the window's versions up to `version` from now on. False: it did.
+  /// Makes this router hold the withdrawal of the window's versions up to `version`. Returns false if that
+  /// changes nothing or there is no room.
   bool withdraw(const std::string& window, std::uint32_t version);
-  /// Takes an exception that refusal() let pass. False: another stands over it, or there are too many.
+  /// Adds a valid exception, see refusal(). Returns false if an existing one supersedes it or there is no
+  /// room.
   bool add_exception(const Exception& exception);
-  /// This router is in contact with a majority, and has caught up.
+  /// Tells the calendar that this router is in contact with a majority and has caught up.
   void majority_contacted(Seconds now) { contacted_at_ = std::max(contacted_at_, now); }
-  /// By how much this router's clock is apart from the middle of the others'.
+  /// Sets the difference between this router's clock and the median of the others', in seconds.
   void set_clock_offset(Seconds offset) { clock_offset_ = offset; }
 
-  /// Whether the change may do so now; else when.
+  /// Decides whether the action is permitted at the time `now`, and if not, from when on.
   Permission decide(Action action, const PlannedChange& change, Seconds now) const;
-  /// What a window that came late does to a change under way whose rollback takes so long.
+  /// The effect on a change under way, whose rollback takes up to `rollback_duration`, of windows declared
+  /// meanwhile.
   LateWindowEffect late_window_effect(const PlannedChange& change, Seconds rollback_duration,
                                       Seconds now) const;
-  /// Whether a window or its lead holds the site now, exceptions aside.
+  /// Whether a window or its lead time blocks such a change at the site now. Exceptions are not considered.
   bool is_site_frozen(std::string_view site, Work work, Seconds now) const;
-  /// Why this calendar cannot be relied on; nullopt: it can.
+  /// Why this calendar may be incomplete or wrong, for people; nullopt if it is current.
   std::optional<std::string> why_not_current(Seconds now) const;
 
-  /// All windows, each copy of the present version.
+  /// All windows, with an entry for each copy of the current version.
   std::vector<WindowStatus> status() const;
-  /// All that stand.
+  /// All exceptions that are not superseded.
   std::vector<Exception> exceptions() const;
-  /// How many routers are a majority of the fleet.
+  /// The number of routers that are a majority of the fleet.
   int majority() const { return static_cast<int>(fleet_.size()) / 2 + 1; }
-  /// Windows that were heard or read and are not heeded here, for want of room or sense: then nothing goes
-  /// on.
+  /// How many windows were refused because they were invalid or there was no room. If any were, no change may
+  /// proceed.
   std::uint64_t refused_windows() const { return refused_windows_; }
 
-  // As replicated state; see replica::ReplicatedState.
-  std::uint8_t number() const override { return 0; }        ///< on the wire
-  bool join(std::string_view bytes, Seconds now) override;  ///< joins an item
+  // Implements replica::ReplicatedState.
+  std::uint8_t number() const override { return 0; }        ///< the kind's number on the wire
+  bool join(std::string_view bytes, Seconds now) override;  ///< joins an encoded item
 
  private:
   struct Versions {
-    std::uint32_t version = 0;                                 // the present one
-    std::vector<Window> copies;                                // of that version; sorted, bounded
-    std::map<std::uint32_t, std::set<std::uint64_t>> holders;  // of withdrawals, by version
+    std::uint32_t version = 0;                                 // the current version
+    std::vector<Window> copies;                                // copies of that version; sorted, bounded
+    std::map<std::uint32_t, std::set<std::uint64_t>> holders;  // routers that hold a withdrawal, by version
   };
   struct Conflict {
     std::string window;
--- a/src/freeze/freeze.capnp
+++ b/src/freeze/freeze.capnp
@@ -1,5 +1,5 @@
-# The calendar of freeze windows as routers tell it to each other, and as it stands in the store. One item is one
-# of these. What Cap'n Proto cannot say of the fields stands in schemas/rules.json; see src/freeze/calendar.h.
+# The items of the calendar of freeze windows, as routers send them to each other and store them. The rules of
+# the fields that Cap'n Proto cannot express are in schemas/rules.json; see src/freeze/calendar.h.
 @0xd3a94f0b6c1e7258;
 
 using Cxx = import "/capnp/c++.capnp";
@@ -24,11 +24,11 @@
 struct Window {
   name @0 :Text;
   version @1 :UInt32;
-  sites @2 :List(Text);   # in order; none: all
+  sites @2 :List(Text);   # sorted; empty: all
   zone @3 :Text;
   from @4 :Local;
   until @5 :Local;
-  blocks @6 :UInt8;       # bits: settings, releases
+  blocks @6 :UInt8;       # kinds of change, as bits: 1 settings, 2 releases
   leadS @7 :Float64;
   by @8 :Text;
 }
@@ -43,8 +43,8 @@
   change @0 :Text;
   window @1 :Text;
   reason @2 :Text;
-  first @3 :Text;         # who approves
-  second @4 :Text;        # another
+  first @3 :Text;         # name of one approver
+  second @4 :Text;        # name of the other approver
   version @5 :UInt32;
   untilS @6 :Float64;     # Unix time
 }
--- a/src/freeze/items.cpp
+++ b/src/freeze/items.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// A week: more is no exception, the window is wrong.
-constexpr Seconds kMaxException = 7 * 86400.0;
+/// If a window needs an exception of more than a week, the window itself should be changed.
+constexpr Seconds kMaxExceptionDuration = 7 * 86400.0;
 
 void write_local_time(schema::Local::Builder to, const LocalTime& local) {
   to.setYear(static_cast<std::uint16_t>(local.year));
@@ -59,14 +59,14 @@
           .until = from.getUntilS()};
 }
 
-/// "Ana" and "ana " are one person.
+/// Removes spaces and case, so that "Ana" and "ana " are the same person.
 std::string normalized(std::string_view name) {
-  std::string plain;
+  std::string letters;
   for (const char c : name) {
     const auto byte = static_cast<unsigned char>(c);
-    if (!std::isspace(byte)) plain += static_cast<char>(std::tolower(byte));
+    if (!std::isspace(byte)) letters += static_cast<char>(std::tolower(byte));
   }
-  return plain;
+  return letters;
 }
 
 bool is_text(const std::string& text) { return !text.empty() && text.size() <= kMaxTextBytes; }
@@ -74,17 +74,17 @@
 }  // namespace
 
 std::optional<std::string> refusal(const Exception& exception, Seconds now) {
-  if (!is_text(exception.change)) return "change is missing: which one may go on";
-  if (!is_text(exception.window)) return "window is missing: in which one";
+  if (!is_text(exception.change)) return "change has to name the change that it permits, in 1 to 200 bytes";
+  if (!is_text(exception.window)) return "window has to name the window that it is for, in 1 to 200 bytes";
   if (exception.version < 1) return "version counts from 1";
   if (!is_text(exception.reason)) return "a reason of 1 to 200 bytes is needed";
   for (const auto& approver : exception.approvers)
     if (normalized(approver).empty() || approver.size() > kMaxTextBytes)
-      return "two people have to approve it";
+      return "two people have to approve it, with names of 1 to 200 bytes";
   if (normalized(exception.approvers[0]) == normalized(exception.approvers[1]))
-    return "the two who approve it are one person";
-  if (!std::isfinite(exception.until) || exception.until > now + kMaxException)
-    return "it has to end, within seven days from now";
+    return "its two approvers are the same person";
+  if (!std::isfinite(exception.until) || exception.until > now + kMaxExceptionDuration)
+    return "it has to end within seven days from now";
   return std::nullopt;
 }
 
--- a/src/freeze/items.h
+++ b/src/freeze/items.h
@@ -1,6 +1,6 @@
 /// \file
-/// The items of the replicated calendar, and their Cap'n Proto form (freeze.capnp), in which they go over the
-/// wire and into the store. No I/O.
+/// The items of the replicated calendar, and their Cap'n Proto form (freeze.capnp), in which they are sent to
+/// other routers and stored. No I/O.
 #pragma once
 
 #include <array>
@@ -16,44 +16,47 @@
 
 namespace walkpaddle::freeze {
 
-/// Texts of exceptions and withdrawals are at most so long.
+/// The maximum length of a text in an exception or withdrawal, in bytes.
 constexpr std::size_t kMaxTextBytes = 200;
 
-/// A router holds a window's withdrawal; it is in force once a majority of the fleet does.
+/// States that one router holds the withdrawal of a window. The withdrawal is in force once a majority of the
+/// fleet holds it.
 struct Withdrawal {
-  std::string window;         ///< its name
+  std::string window;         ///< name of the window
   std::uint32_t version = 0;  ///< this version and the earlier ones are withdrawn
   std::uint64_t holder = 0;   ///< stable hash of the router's name
-  /// Field by field, in the order of the declarations.
+  /// Compares field by field, in the order of their declaration.
   auto operator<=>(const Withdrawal&) const = default;
 };
 
-/// One change may go on in one window until it ends: by two people, with a reason.
+/// Permits one change during one window until the exception ends. Two people have to approve it and give a
+/// reason.
 struct Exception {
   std::string change;                      ///< name of the rollout
   std::string window;                      ///< name of the window
   std::string reason;                      ///< for people
-  std::array<std::string, 2> approvers{};  ///< two people
-  std::uint32_t version = 1;               ///< a later one replaces an earlier one
-  Seconds until = 0;                       ///< Unix time
-  /// Field by field, in the order of the declarations.
+  std::array<std::string, 2> approvers{};  ///< names of the two people who approve it
+  std::uint32_t version = 1;               ///< a later version replaces an earlier one
+  Seconds until = 0;                       ///< end of the exception, Unix time
+  /// Compares field by field, in the order of their declaration.
   auto operator<=>(const Exception&) const = default;
 };
 
-/// What is wrong with an exception, in words for its author; nullopt: nothing.
+/// Why the exception is invalid, as a message for its author; nullopt if it is valid.
 std::optional<std::string> refusal(const Exception& exception, Seconds now);
 
-/// What an item says.
+/// A decoded item.
 using CalendarItem = std::variant<Window, Withdrawal, Exception>;
 
-/// The bytes of an item; equal values have equal bytes.
+/// Encodes an item; equal values have equal bytes.
 std::string encode(const Window& window);
-/// As above.
+/// Encodes an item; see above.
 std::string encode(const Withdrawal& withdrawal);
-/// As above.
+/// Encodes an item; see above.
 std::string encode(const Exception& exception);
 
-/// Reads an item, unchecked; throws InputError where it cannot be read. nullopt: an item of a newer router.
+/// Decodes an item without validating it. Throws InputError if it cannot be read; nullopt if it is of a kind
+/// that only newer routers know.
 std::optional<CalendarItem> decode_item(std::string_view bytes);
 
 }  // namespace walkpaddle::freeze
--- a/src/freeze/window.cpp
+++ b/src/freeze/window.cpp
@@ -19,11 +19,11 @@
 constexpr std::size_t kMaxSites = 64;
 constexpr Seconds kDay = 86400;
 constexpr Seconds kMaxLead = 30 * kDay;
-/// Most of a year, so that a yearly window has an outside.
+/// Less than a year, so that a yearly window leaves some time for changes.
 constexpr Seconds kMaxDuration = 330 * kDay;
 constexpr int kLeapYear = 2024;
 
-/// Which end of a window a local time is.
+/// Which edge of a window a local time marks.
 enum class Edge : std::uint8_t { begin, end };
 
 date::year_month_day calendar_day(const LocalTime& local, int year) {
@@ -34,13 +34,13 @@
 date::year_month_day day_in_year(const LocalTime& local, int year, Edge edge) {
   const auto day = calendar_day(local, year);
   if (day.ok()) return day;
-  // Only 29 February is refused by some years and not by others.
+  // 29 February is the only valid day that some years lack.
   if (edge == Edge::end) return day.year() / date::March / 1;
   return day.year() / date::February / 28;
 }
 
-/// The stricter of the moments that a local time may be.
-Seconds moment(const LocalTime& local, int year, const date::time_zone& zone, Edge edge) {
+/// Converts a local time to Unix time. If it is ambiguous or does not exist, the stricter moment is returned.
+Seconds to_unix_time(const LocalTime& local, int year, const date::time_zone& zone, Edge edge) {
   const auto day = date::local_days(day_in_year(local, year, edge)).time_since_epoch();
   const auto time = duration_cast<seconds>(day + hours(local.hour) + minutes(local.minute));
   const auto info = zone.get_info(date::local_seconds(time));
@@ -62,14 +62,14 @@
          local.year >= 0 && local.year < 10000;
 }
 
-/// nullptr: the database names none so.
+/// Returns nullptr if the time-zone database has no such zone.
 const date::time_zone* find_zone(const std::string& name) try {
   return date::locate_zone(name);
 } catch (const std::runtime_error&) {
   return nullptr;
 }
 
-/// Over new year a yearly window ends in the next one.
+/// The year in which a window ends. A yearly window over new year ends in the year after `year`.
 int end_year(const Window& window, int year) {
   if (window.from.year != 0) return window.until.year;
   auto from = window.from;
@@ -79,36 +79,38 @@
   return until <= from ? year + 1 : year;
 }
 
-/// The span of a window, of a yearly one that which begins in `year`.
+/// The occurrence of a window; of a yearly window, the one that begins in `year`.
 Span span_in_year(const Window& window, int year, const date::time_zone& zone, Seconds slack) {
   const int begin_year = window.from.year == 0 ? year : window.from.year;
-  const Seconds from = moment(window.from, begin_year, zone, Edge::begin) - slack;
-  const Seconds until = moment(window.until, end_year(window, year), zone, Edge::end) + slack;
+  const Seconds from = to_unix_time(window.from, begin_year, zone, Edge::begin) - slack;
+  const Seconds until = to_unix_time(window.until, end_year(window, year), zone, Edge::end) + slack;
   return {from - window.lead, from, until};
 }
 
-std::optional<std::string> refusal_of_names(const Window& window) {
+std::optional<std::string> check_names(const Window& window) {
   if (window.name.empty() || window.name.size() > kMaxNameBytes) return "a name of 1 to 64 bytes is needed";
   if (window.version < 1) return "version counts from 1";
-  if (window.sites.size() > kMaxSites) return "more than 64 sites";
-  if (!std::ranges::is_sorted(window.sites)) return "sites that are not in order";
+  if (window.sites.size() > kMaxSites) return "it names more than 64 sites";
+  if (!std::ranges::is_sorted(window.sites)) return "its sites are not sorted";
   for (const auto& site : window.sites)
     if (site.empty() || site.size() > kMaxNameBytes) return "a site's name of 1 to 64 bytes is needed";
-  if (window.author.empty() || window.author.size() > kMaxNameBytes) return "by is missing: who declares it";
+  if (window.author.empty() || window.author.size() > kMaxNameBytes)
+    return "by has to name its author in 1 to 64 bytes";
   return std::nullopt;
 }
 
-std::optional<std::string> refusal_of_times(const Window& window) {
-  if (!is_valid(window.from) || !is_valid(window.until)) return "a day or time that no calendar has";
-  if ((window.from.year == 0) != (window.until.year == 0)) return "one end has a year and the other has none";
+std::optional<std::string> check_times(const Window& window) {
+  if (!is_valid(window.from) || !is_valid(window.until)) return "it has a day or time that does not exist";
+  if ((window.from.year == 0) != (window.until.year == 0))
+    return "either both from and until have a year, or neither has one";
   const bool lead_in_range = window.lead >= 0 && window.lead <= kMaxLead;
-  if (!lead_in_range) return "lead is over 30 days";
+  if (!lead_in_range) return "lead is out of range, 0 to 30 days";
   const auto* zone = window.zone.empty() ? nullptr : find_zone(window.zone);
-  if (zone == nullptr) return "no time zone is named '" + window.zone.substr(0, kMaxNameBytes) + "'";
+  if (zone == nullptr) return "unknown time zone '" + window.zone.substr(0, kMaxNameBytes) + "'";
   const auto span = span_in_year(window, window.from.year == 0 ? kLeapYear : window.from.year, *zone, 0);
   if (span.until <= span.from) return "it ends before it begins";
-  if (span.until - span.lead > kMaxDuration)
-    return "with its lead it lasts over 330 days: nothing could ever change";
+  if (span.until - span.lead_start > kMaxDuration)
+    return "with its lead it lasts over 330 days, which would leave no time for changes";
   return std::nullopt;
 }
 
@@ -157,9 +159,9 @@
 }
 
 std::optional<std::string> refusal(const Window& window) {
-  if (auto why = refusal_of_names(window)) return why;
-  if (window.blocks == 0 || window.blocks > kAnyWork) return "it blocks nothing that is known here";
-  return refusal_of_times(window);
+  if (auto why = check_names(window)) return why;
+  if (window.blocks == 0 || window.blocks > kAnyWork) return "it blocks no known kind of change";
+  return check_times(window);
 }
 
 std::vector<Span> spans(const Window& window, Seconds from, Seconds until, Seconds slack) {
@@ -167,13 +169,13 @@
   const auto* zone = find_zone(window.zone);
   if (zone == nullptr) return found;
   const bool yearly = window.from.year == 0;
-  // A yearly one that began in the year before may last into this; a lead may begin in the year before its
-  // window.
+  // A yearly window that began in the previous year may last into this one, and the lead of one that begins
+  // in the next year may start in this one.
   const int first = yearly ? year_of(from) - 1 : window.from.year;
   const int last = yearly ? year_of(until) + 1 : window.from.year;
   for (int year = first; year <= last; ++year) {
     const auto span = span_in_year(window, year, *zone, slack);
-    if (span.until > from && span.lead < until) found.push_back(span);
+    if (span.until > from && span.lead_start < until) found.push_back(span);
   }
   return found;
 }
