--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -1,5 +1,5 @@
-// Rolling changes: in stages, old and new side by side, stopped when worse, gone back from; drivers that
-// fall, cuts, freezes, and routers that were away.
+// Rollouts finishes simulated fleets: stages, comparison of the new generation with the old, stops and
+// rollbacks, under crashes of drivers, partitions, freeze windows and absent routers.
 #include "lab/changes.h"
 
 #include <algorithm>
@@ -14,39 +14,41 @@
 
 namespace {
 
-// The quality of a fleet whose new generation differs by what `spoil` does to it.
+// A quality function for Changes::Setup: `degrade` changes the quality of every generation other than g1.
 template <class F>
-auto worse(F spoil) {
-  return [spoil](const std::string& generation, int, Seconds) {
+auto degraded(F degrade) {
+  return [degrade](const std::string& generation, int, Seconds) {
     Quality q;
-    if (generation != "g1") spoil(q);
+    if (generation != "g1") degrade(q);
     return q;
   };
 }
 
-// Routers that have run for some time.
-struct Grown : Changes {
-  explicit Grown(Setup setup) : Changes(std::move(setup)) {
+// A fleet that has already run for 15 s.
+struct RunningFleet : Changes {
+  explicit RunningFleet(Setup setup) : Changes(std::move(setup)) {
     until(15, [] { return false; });
   }
-  // Proposed at one of them; whether it came to hold in time.
-  void propose(const rollout::RolloutPlan& d, int at = 3) { REQUIRE((*this)[at].propose(d, now(at))); }
-  void pass(Seconds seconds) {
+  // Proposes a rollout at one router, which has to accept it.
+  void propose(const rollout::RolloutPlan& plan, int at = 3) { REQUIRE((*this)[at].propose(plan, now(at))); }
+  void run_for(Seconds seconds) {
     until(seconds, [] { return false; });
   }
-  bool over(const char* c = "c1", Seconds most = 900) {
-    return until(most, [&] { return done(c) || (stopped(c) && everywhere("g1")); });
+  // Whether the rollout is done, or stopped and rolled back, in at most `most` seconds.
+  bool finishes(const char* name = "c1", Seconds most = 900) {
+    return until(most, [&] { return done(name) || (stopped(name) && everywhere("g1")); });
   }
 };
 
-rollout::RolloutPlan release_document() {
-  auto d = Changes::document();
-  d.work = freeze::kRelease, d.body = "/opt/walkpaddle/g2";
-  return d;
+rollout::RolloutPlan release_plan() {
+  auto plan = Changes::document();
+  plan.work = freeze::kRelease, plan.body = "/opt/walkpaddle/g2";
+  return plan;
 }
 
-freeze::Window frozen_now(const std::vector<std::string>& sites, Seconds now, Seconds in, Seconds lead = 0) {
-  // Changes::Setup's now is of 2026-05-28 20:26:40 UTC.
+// A window at the sites that begins `in` seconds after `now`.
+freeze::Window late_window(const std::vector<std::string>& sites, Seconds now, Seconds in, Seconds lead = 0) {
+  // The default time in Changes::Setup is 2026-05-28 20:26:40 UTC.
   const auto minute = static_cast<int>((now + in - 1'780'000'000) / 60) + 26;
   return {.name = "late",
           .sites = sites,
@@ -59,12 +61,12 @@
 
 }  // namespace
 
-SCENARIO("a change that changes nothing goes through to the whole fleet") {
-  GIVEN("eight routers, a twentieth of the datagrams lost") {
-    Grown fleet({.net = {.lost = 0.05, .twice = 0.05, .delay = 0.02}});
-    WHEN("it is proposed at one of them") {
+SCENARIO("a rollout of an equivalent generation reaches the whole fleet") {
+  GIVEN("eight routers, with a twentieth of the datagrams lost") {
+    RunningFleet fleet({.net = {.lost = 0.05, .twice = 0.05, .delay = 0.02}});
+    WHEN("a rollout is proposed at one of them") {
       fleet.propose(Changes::document());
-      THEN("every router comes to run it, stage by stage, and the change is done") {
+      THEN("every router runs the new generation, stage by stage, and the rollout is done") {
         CHECK(fleet.until(300, [&] { return fleet.done("c1"); }));
         CHECK(fleet.everywhere("g2"));
         for (const char* line :
@@ -72,22 +74,22 @@
           CHECK(fleet.anyone_said(line));
         CHECK(fleet[0].fleet_generation() == "g2");
         CHECK(fleet.moves == 8);
-        CHECK(fleet.memory.largest < 1472);  // bytes of a datagram: a frame
+        CHECK(fleet.memory.largest < 1472);  // bytes of a datagram that fits an Ethernet frame
       }
-      AND_WHEN("a second one follows it") {
+      AND_WHEN("a second rollout follows") {
         fleet.until(300, [&] { return fleet.done("c1"); });
         fleet.propose(Changes::document("c2", "g2", "g3"), 5);
-        THEN("it goes through as well") {
+        THEN("it is done as well") {
           CHECK(fleet.until(300, [&] { return fleet.done("c2"); }));
           CHECK(fleet.everywhere("g3"));
         }
       }
     }
   }
-  GIVEN("a release, which takes each router away for a second, over two sites") {
-    Grown fleet({.routers = 40, .seed = 2, .sites = 2});
-    fleet.propose(release_document());
-    THEN("it goes through, and never more than a tenth of a site is away at once") {
+  GIVEN("a rollout of a release at two sites, where each router is down for a second") {
+    RunningFleet fleet({.routers = 40, .seed = 2, .sites = 2});
+    fleet.propose(release_plan());
+    THEN("it is done, and at most a tenth of a site is down at a time") {
       CHECK(fleet.until(600, [&] { return fleet.done("c1"); }));
       CHECK(fleet.everywhere("g2"));
       CHECK(fleet.most_moving >= 2);
@@ -96,30 +98,34 @@
   }
 }
 
-SCENARIO("a gross fault is stopped at the canary and harms hardly a txn") {
+SCENARIO("a severe fault is stopped at the canary, with less than 1 % of the requests harmed") {
   struct Fault {
     const char* name;
-    void (*spoil)(Quality&);
+    void (*degrade)(Quality&);
     const char* why;
   };
   const auto fault = GENERATE(values<Fault>({
-      {"it refuses half", [](Quality& q) { q.refused = 0.5; }, "refused:"},
-      {"it fails a third", [](Quality& q) { q.failed = 0.3; }, "failed:"},
-      {"it answers too late", [](Quality& q) { q.late = 0.4; }, "late:"},
-      {"it takes five times as long", [](Quality& q) { q.time = 0.25; }, "slow:"},
-      {"it hops twice", [](Quality& q) { q.hops = 0.9; }, "hops past the first:"},
-      {"it fills always", [](Quality& q) { q.fills = 1; }, "fills:"},
-      {"it leaks", [](Quality& q) { q.memory = 90; }, "memory:"},
-      {"it takes three times the processor time", [](Quality& q) { q.cpu = 0.03; }, "processor time a txn"},
-      {"it breaks a rule", [](Quality& q) { q.breaks_rule = true; }, "a rule was broken"},
-      {"it is never ready", [](Quality& q) { q.ready = false; }, "did not become ready"},
-      {"it falls after five seconds", [](Quality& q) { q.dies_after = 5; }, "did not become ready, or died"},
+      {"a generation that rejects half of the requests", [](Quality& q) { q.refused = 0.5; }, "refused:"},
+      {"a generation that fails three requests in ten", [](Quality& q) { q.failed = 0.3; }, "failed:"},
+      {"a generation that answers two in five requests too late", [](Quality& q) { q.late = 0.4; }, "late:"},
+      {"a generation that takes five times as long", [](Quality& q) { q.time = 0.25; }, "slow:"},
+      {"a generation that needs nearly two attempts for each request", [](Quality& q) { q.hops = 0.9; },
+       "hops past the first:"},
+      {"a generation that fills the cache for each request", [](Quality& q) { q.fills = 1; }, "fills:"},
+      {"a generation that uses more than twice the memory", [](Quality& q) { q.memory = 90; }, "memory:"},
+      {"a generation that takes three times the processor time", [](Quality& q) { q.cpu = 0.03; },
+       "processor time a txn"},
+      {"a generation that violates an invariant", [](Quality& q) { q.breaks_rule = true; },
+       "a rule was broken"},
+      {"a generation that is never ready", [](Quality& q) { q.ready = false; }, "did not become ready"},
+      {"a generation that crashes after five seconds", [](Quality& q) { q.dies_after = 5; },
+       "did not become ready, or died"},
   }));
   GIVEN(fault.name) {
-    Grown fleet({.routers = 30, .seed = 5, .quality = worse(fault.spoil)});
+    RunningFleet fleet({.routers = 30, .seed = 5, .quality = degraded(fault.degrade)});
     fleet.propose(Changes::document());
-    THEN("it is stopped before a second router has it, with its reason, and the fleet is back") {
-      CHECK(fleet.over());
+    THEN("the rollout is stopped at the first stage, with its reason, and the fleet is rolled back") {
+      CHECK(fleet.finishes());
       CHECK(fleet.stopped("c1"));
       CHECK(fleet.everywhere("g1"));
       CHECK(fleet.stage("c1") == 1);
@@ -129,43 +135,43 @@
   }
 }
 
-SCENARIO("refusals of a fifth more are stopped by the stage of five in a hundred") {
-  Grown fleet({.routers = 100, .seed = 6, .quality = worse([](Quality& q) { q.refused = 0.2; })});
+SCENARIO("a generation that rejects a fifth of the requests is stopped by the second stage") {
+  RunningFleet fleet({.routers = 100, .seed = 6, .quality = degraded([](Quality& q) { q.refused = 0.2; })});
   fleet.propose(Changes::document());
-  CHECK(fleet.over());
+  CHECK(fleet.finishes());
   CHECK(fleet.stopped("c1"));
   CHECK(fleet.stage("c1") <= 2);
   CHECK(fleet.harmed_share() < 0.001);
 }
 
-SCENARIO("a release that is never ready goes back by itself, on the machine where it was tried") {
-  Grown fleet({.routers = 12, .quality = worse([](Quality& q) { q.ready = false; })});
-  fleet.propose(release_document());
-  CHECK(fleet.over());
+SCENARIO("a router whose new release does not become ready restarts the previous one") {
+  RunningFleet fleet({.routers = 12, .quality = degraded([](Quality& q) { q.ready = false; })});
+  fleet.propose(release_plan());
+  CHECK(fleet.finishes());
   CHECK(fleet.anyone_said("not ready: back to g1"));
   CHECK(fleet.everywhere("g1"));
 }
 
-SCENARIO("a trouble that hits both sides stops nothing") {
-  GIVEN("a minute in which every router refuses a third, in the middle of a change") {
+SCENARIO("a disturbance that affects both generations does not stop a rollout") {
+  GIVEN("a minute during a rollout in which every router rejects a third of the requests") {
     Seconds from = 1e15;
-    Grown fleet({.routers = 20, .seed = 7, .quality = [&](const std::string&, int, Seconds now) {
-                   Quality q;
-                   if (now > from && now < from + 60) q.refused = 0.33, q.time = 0.4;
-                   return q;
-                 }});
+    RunningFleet fleet({.routers = 20, .seed = 7, .quality = [&](const std::string&, int, Seconds now) {
+                          Quality q;
+                          if (now > from && now < from + 60) q.refused = 0.33, q.time = 0.4;
+                          return q;
+                        }});
     fleet.propose(Changes::document());
     fleet.until(100, [&] { return fleet.stage("c1") >= 2; });
     from = fleet.now();
-    THEN("the change goes through") {
-      CHECK(fleet.over());
+    THEN("the rollout is done") {
+      CHECK(fleet.finishes());
       CHECK(fleet.done("c1"));
     }
   }
-  GIVEN("the same at one site alone, where the canary is") {
+  GIVEN("lasting rejections at one site alone, that of the canary") {
     Seconds from = 1e15;
     std::string site;
-    Grown fleet(
+    RunningFleet fleet(
         {.routers = 20, .seed = 8, .sites = 2, .quality = [&](const std::string&, int n, Seconds now) {
            Quality q;
            if (now > from && Changes::site_of(n, 2) == site) q.refused = 0.33;
@@ -176,104 +182,106 @@
     for (int n = 0; n < 20; ++n)
       if (fleet[n].running() == "g2") site = Changes::site_of(n, 2);
     from = fleet.now();
-    THEN("the canary is compared with the others there, and the change goes through") {
-      CHECK(fleet.over());
+    THEN("the canary is compared with the other routers of its site, and the rollout is done") {
+      CHECK(fleet.finishes());
       CHECK(fleet.done("c1"));
     }
   }
 }
 
-SCENARIO("a router that has always been worse does not stop a change as its canary") {
-  Grown fleet({.routers = 12, .seed = 9, .quality = [](const std::string&, int n, Seconds) {
-                 Quality q;
-                 if (n % 2 == 0) q.refused = 0.03, q.late = 0.1;  // half of them, whoever is first
-                 return q;
-               }});
-  fleet.pass(60);
+SCENARIO("a canary that was worse than other routers before the rollout does not stop it") {
+  RunningFleet fleet({.routers = 12, .seed = 9, .quality = [](const std::string&, int n, Seconds) {
+                        Quality q;
+                        if (n % 2 == 0)
+                          q.refused = 0.03, q.late = 0.1;  // every second router is worse than the others
+                        return q;
+                      }});
+  fleet.run_for(60);
   fleet.propose(Changes::document());
-  CHECK(fleet.over());
+  CHECK(fleet.finishes());
   CHECK(fleet.done("c1"));
 }
 
-SCENARIO("a fresh router's first seconds do not count") {
+SCENARIO("the first seconds of a restarted router do not count") {
   std::map<int, Seconds> fresh;
-  Grown fleet({.routers = 12, .seed = 10, .quality = [&](const std::string& generation, int n, Seconds now) {
-                 Quality q;
-                 if (generation == "g1") return q;
-                 const Seconds since = now - fresh.try_emplace(n, now).first->second;
-                 if (since < 3.5) q.refused = 0.6;
-                 return q;
-               }});
+  RunningFleet fleet(
+      {.routers = 12, .seed = 10, .quality = [&](const std::string& generation, int n, Seconds now) {
+         Quality q;
+         if (generation == "g1") return q;
+         const Seconds since = now - fresh.try_emplace(n, now).first->second;
+         if (since < 3.5) q.refused = 0.6;
+         return q;
+       }});
   fleet.propose(Changes::document());
-  CHECK(fleet.over());
+  CHECK(fleet.finishes());
   CHECK(fleet.done("c1"));
 }
 
-SCENARIO("too little evidence is never a reason to go on") {
-  Grown fleet({.routers = 8, .rate = 0.05});
-  auto d = Changes::document();
-  d.max_stage_time = 60;
-  fleet.propose(d);
-  CHECK(fleet.over());
+SCENARIO("a rollout with too few requests to compare is stopped after the longest duration of a stage") {
+  RunningFleet fleet({.routers = 8, .rate = 0.05});
+  auto plan = Changes::document();
+  plan.max_stage_time = 60;
+  fleet.propose(plan);
+  CHECK(fleet.finishes());
   CHECK(fleet.stopped("c1"));
   CHECK(fleet.standing(0, "c1").why.find("too little was seen in the longest time of stage 1") !=
         std::string::npos);
 }
 
-SCENARIO("what is worse only once half the fleet has it is still caught there") {
+SCENARIO("a fault that appears once half of the fleet runs the new generation stops the rollout") {
   Changes* all = nullptr;
-  Grown fleet({.routers = 24, .seed = 11, .quality = [&](const std::string& generation, int, Seconds) {
-                 Quality q;
-                 if (generation == "g2" && all != nullptr && all->with("g2") > 12) q.refused = 0.3;
-                 return q;
-               }});
+  RunningFleet fleet({.routers = 24, .seed = 11, .quality = [&](const std::string& generation, int, Seconds) {
+                        Quality q;
+                        if (generation == "g2" && all != nullptr && all->with("g2") > 12) q.refused = 0.3;
+                        return q;
+                      }});
   all = &fleet;
   fleet.propose(Changes::document());
-  CHECK(fleet.over());
+  CHECK(fleet.finishes());
   CHECK(fleet.stopped("c1"));
-  CHECK(fleet.stage("c1") == 4);  // of 1, 2, 6 and 24 routers
+  CHECK(fleet.stage("c1") == 4);  // stages of 1, 2, 6 and 24 routers
 }
 
-SCENARIO("a driver that falls is replaced, and no stage is skipped or done twice") {
-  Grown fleet({.routers = 9, .seed = 12, .store = GENERATE(true, false)});
+SCENARIO("a driver that crashes or stalls is replaced, and no stage is skipped or repeated") {
+  RunningFleet fleet({.routers = 9, .seed = 12, .store = GENERATE(true, false)});
   fleet.propose(Changes::document());
   REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 1 && fleet.with("g2") == 1; }));
   const int first = fleet.driver();
   REQUIRE(first >= 0);
-  WHEN("it is killed in the middle of a stage and comes back a minute later") {
+  WHEN("it crashes in the middle of a stage and restarts a minute later") {
     fleet.crash(first);
-    fleet.pass(60);
+    fleet.run_for(60);
     fleet.start(first);
-    THEN("another took over, and the change is done") {
-      CHECK(fleet.over());
+    THEN("another router takes over, and the rollout is done") {
+      CHECK(fleet.finishes());
       CHECK(fleet.done("c1"));
       CHECK(fleet.everywhere("g2"));
       CHECK(fleet.moves == 9);
     }
   }
-  WHEN("it stands still past its lease and wakes") {
+  WHEN("it stalls until its lease has expired and resumes") {
     fleet.memory[first].stalled = true;
     REQUIRE(fleet.until(60, [&] { return fleet.driver() >= 0; }));
     const auto term = fleet[fleet.driver()].term();
     const auto stage = fleet.stage("c1");
     fleet.memory[first].stalled = false;
-    fleet.pass(0.5);
-    THEN("it drives no more, and what it says moves nothing") {
+    fleet.run_for(0.5);
+    THEN("it is no longer the driver, and its messages have no effect") {
       CHECK_FALSE(fleet[first].driving());
       CHECK(fleet[first].term() <= term);
       CHECK(fleet.stage("c1") == stage);
-      CHECK(fleet.over());
+      CHECK(fleet.finishes());
       CHECK(fleet.done("c1"));
     }
   }
 }
 
-SCENARIO("a side without a majority holds where it stands") {
-  GIVEN("nine routers, cut into two and seven in the middle of a stage") {
-    Grown fleet({.routers = 9, .seed = 13});
+SCENARIO("a partition without a majority does not advance a rollout") {
+  GIVEN("nine routers, partitioned into two and seven in the middle of a stage") {
+    RunningFleet fleet({.routers = 9, .seed = 13});
     fleet.propose(Changes::document());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2; }));
-    // The two that change last, so that the driver is among them.
+    // The driver and one other router are partitioned from the rest.
     std::vector<int> away;
     away.push_back(fleet.driver());
     away.push_back(away[0] == 0 ? 1 : 0);
@@ -282,43 +290,43 @@
         if (std::ranges::find(away, b) == away.end()) fleet.memory.cut(a, b);
     std::vector<std::string> before;
     for (const int a : away) before.push_back(fleet[a].running());
-    fleet.pass(120);
-    THEN("the two neither drive nor move; the others go on; all are one after the cut") {
+    fleet.run_for(120);
+    THEN("the two neither drive nor move, the others continue, and all finish after the partition heals") {
       for (std::size_t n = 0; n < away.size(); ++n) {
         CHECK_FALSE(fleet[away[n]].driving());
         CHECK(fleet[away[n]].running() == before[n]);
       }
       CHECK(fleet.with("g2") >= 6);
       fleet.memory.cuts.clear();
-      CHECK(fleet.over());
+      CHECK(fleet.finishes());
       CHECK(fleet.done("c1"));
       CHECK(fleet.everywhere("g2"));
     }
   }
-  GIVEN("eight routers, cut into halves") {
-    Grown fleet({.routers = 8, .seed = 14});
+  GIVEN("eight routers, partitioned into halves") {
+    RunningFleet fleet({.routers = 8, .seed = 14});
     fleet.propose(Changes::document());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 1; }));
     fleet.memory.cut_off(0, 3);
-    fleet.pass(120);
-    THEN("neither half goes on") {
+    fleet.run_for(120);
+    THEN("neither half continues, and the rollout is done after the partition heals") {
       CHECK(fleet.stage("c1") == 1);
       CHECK(fleet.driver() == -1);
       fleet.memory.cuts.clear();
-      CHECK(fleet.over());
+      CHECK(fleet.finishes());
       CHECK(fleet.done("c1"));
     }
   }
 }
 
-SCENARIO("a stop needs nobody's leave, and nothing takes it back") {
-  GIVEN("twenty routers at their second stage, a twentieth of the datagrams lost") {
-    Grown fleet({.routers = 20, .seed = 15, .net = {.lost = 0.05, .delay = 0.01}, .pace = 0.01});
+SCENARIO("any router can stop a rollout, and a stop is final") {
+  GIVEN("twenty routers at the second stage, with a twentieth of the datagrams lost") {
+    RunningFleet fleet({.routers = 20, .seed = 15, .net = {.lost = 0.05, .delay = 0.01}, .pace = 0.01});
     fleet.propose(Changes::document());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2 && fleet.with("g2") >= 2; }));
-    WHEN("one router raises it") {
+    WHEN("one router stops it") {
       fleet[7].stop("c1", "an operator said so", fleet.now(7));
-      THEN("all heed it within half a second, and are back soon after, the newest first") {
+      THEN("all routers know the stop within half a second and are rolled back within 10 s") {
         CHECK(fleet.until(
             0.5, [&] { return fleet.stopped("c1"); }, 0.02));
         CHECK(fleet.until(10, [&] { return fleet.everywhere("g1"); }));
@@ -326,14 +334,14 @@
         CHECK(fleet.driver() == -1);
       }
     }
-    WHEN("a router that is cut off raises it") {
+    WHEN("a router that is partitioned from the others stops it") {
       fleet.memory.cut_off(7, 7);
-      fleet.pass(1);
+      fleet.run_for(1);
       fleet[7].stop("c1", "cut off", fleet.now(7));
-      fleet.pass(20);
+      fleet.run_for(20);
       const auto reached = fleet.stage("c1");
       fleet.memory.cuts.clear();
-      THEN("it holds for all once the cut is over, however far they came") {
+      THEN("the stop applies to all routers once the partition heals, at whatever stage they are") {
         CHECK(reached >= 2);
         CHECK(fleet.until(60, [&] { return fleet.stopped("c1") && fleet.everywhere("g1"); }));
       }
@@ -341,71 +349,71 @@
   }
 }
 
-SCENARIO("a stop that is told before its change is known holds it") {
-  Grown fleet({.routers = 8, .seed = 25});
+SCENARIO("a stop that is raised before the proposal of its rollout applies to it") {
+  RunningFleet fleet({.routers = 8, .seed = 25});
   fleet[6].stop("c1", "not this one", fleet.now(6));
   fleet.propose(Changes::document(), 1);
   CHECK(fleet.until(10, [&] { return fleet.stopped("c1"); }));
   CHECK(fleet.moves == 0);
 }
 
-SCENARIO("a return survives what falls during it") {
-  Grown fleet({.routers = 12, .seed = 16, .sites = 2});
-  auto d = release_document();
-  fleet.propose(d);
+SCENARIO("a rollback completes although routers crash during it") {
+  RunningFleet fleet({.routers = 12, .seed = 16, .sites = 2});
+  auto plan = release_plan();
+  fleet.propose(plan);
   REQUIRE(fleet.until(300, [&] { return fleet.stage("c1") == 3 && fleet.with("g2") >= 8; }));
   const int driver = fleet.driver();
   fleet[2].stop("c1", "enough", fleet.now(2));
-  fleet.pass(3);
-  WHEN("the driver and another fall in the middle of it") {
+  fleet.run_for(3);
+  WHEN("the driver and another router crash in the middle of it") {
     fleet.crash(driver);
     fleet.crash((driver + 1) % 12);
-    fleet.pass(30);
+    fleet.run_for(30);
     fleet.start(driver);
     fleet.start((driver + 1) % 12);
-    THEN("all are back") {
+    THEN("all routers run the old generation") {
       CHECK(fleet.until(120, [&] { return fleet.everywhere("g1"); }));
       CHECK(fleet.most_moving <= 4);
     }
   }
 }
 
-SCENARIO("the whole fleet restarted in the middle of a change ends on one generation") {
-  Grown fleet({.routers = 8, .seed = 17, .store = GENERATE(true, false)});
+SCENARIO("a fleet that restarts as a whole during a rollout ends on one generation") {
+  RunningFleet fleet({.routers = 8, .seed = 17, .store = GENERATE(true, false)});
   fleet.propose(Changes::document());
   REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2 && fleet.with("g2") == 2; }));
   for (int n = 0; n < 8; ++n) fleet.crash(n);
   for (int n = 0; n < 8; ++n) fleet.start(n);
-  fleet.pass(400);
-  const bool forth = fleet.everywhere("g2"), back = fleet.everywhere("g1");
-  CHECK((forth || back));
-  // Without a store nobody knows of the change any more.
-  if (fleet.standing(0, "c1").stages == 0) CHECK(back);
+  fleet.run_for(400);
+  const bool all_new = fleet.everywhere("g2"), all_old = fleet.everywhere("g1");
+  CHECK((all_new || all_old));
+  // Without a store no router knows of the rollout after the restart.
+  if (fleet.standing(0, "c1").stages == 0) CHECK(all_old);
 }
 
-SCENARIO("a router that was away takes the generation that the fleet stands at") {
-  GIVEN("one that was away over a stop") {
-    Grown fleet({.routers = 9, .seed = 18, .quality = worse([](Quality& q) { q.refused = 0.3; })});
-    fleet.propose(release_document());
+SCENARIO("a router that was down takes the current generation of the fleet") {
+  GIVEN("a canary that was down during the stop of its rollout") {
+    RunningFleet fleet({.routers = 9, .seed = 18, .quality = degraded([](Quality& q) { q.refused = 0.3; })});
+    fleet.propose(release_plan());
     REQUIRE(fleet.until(100, [&] { return fleet.with("g2") == 1; }));
     int canary = 0;
     while (fleet[canary].running() != "g2") ++canary;
     fleet.crash(canary);
-    fleet.pass(2);
+    fleet.run_for(2);
     fleet[(canary + 1) % 9].stop("c1", "worse", fleet.now((canary + 1) % 9));
-    fleet.pass(60);
+    fleet.run_for(60);
     fleet.start(canary);
-    THEN("it goes back, though it knows of no stop from its own time") {
+    THEN("it restarts with the new generation, learns of the stop and rolls back") {
       CHECK(fleet[canary].running() == "g2");
       CHECK(fleet.until(20, [&] { return fleet.everywhere("g1"); }));
     }
   }
-  GIVEN("one that was away over the whole change, and one that comes in the midst of it") {
-    Grown fleet({.routers = 9, .seed = 19});
+  GIVEN("a router that is down during the whole rollout") {
+    RunningFleet fleet({.routers = 9, .seed = 19});
     fleet.crash(4);
-    fleet.pass(20);
+    fleet.run_for(20);
     fleet.propose(Changes::document());
-    THEN("the change does not wait for it, and it has the new generation when it is back") {
+    THEN("the rollout does not wait for it, and it takes the new generation when it restarts") {
       CHECK(fleet.until(400, [&] { return fleet.done("c1"); }));
       fleet.start(4);
       CHECK(fleet.until(20, [&] { return fleet.everywhere("g2"); }));
@@ -413,73 +421,73 @@
   }
 }
 
-SCENARIO("a freeze keeps a change out, or holds it, or sends it back") {
+SCENARIO("a freeze window keeps a rollout from starting, holds it, or rolls it back") {
   GIVEN("a window that begins in an hour") {
-    Grown fleet({.routers = 8, .seed = 20});
-    fleet.calendar(2).declare(frozen_now({}, fleet.now(), 3600));
-    fleet.pass(2);
-    auto d = Changes::document();
-    d.max_stage_time = 3000;
-    fleet.propose(d);
-    fleet.pass(60);
-    THEN("a change whose longest time does not fit does not begin, and says why") {
+    RunningFleet fleet({.routers = 8, .seed = 20});
+    fleet.calendar(2).declare(late_window({}, fleet.now(), 3600));
+    fleet.run_for(2);
+    auto plan = Changes::document();
+    plan.max_stage_time = 3000;
+    fleet.propose(plan);
+    fleet.run_for(60);
+    THEN("a rollout whose longest duration does not fit before it does not start, and says why") {
       CHECK(fleet.stage("c1") == 0);
       const auto why = fleet.standing(fleet.driver(), "c1").why;
       CHECK(why.find("would run into the freeze window late") != std::string::npos);
       CHECK_FALSE(fleet.stopped("c1"));
     }
   }
-  GIVEN("a change under way that a late declaration overtakes") {
-    Grown fleet({.routers = 8, .seed = 21});
+  GIVEN("a rollout under way when a window is declared") {
+    RunningFleet fleet({.routers = 8, .seed = 21});
     fleet.propose(Changes::document());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 1 && fleet.with("g2") == 1; }));
-    WHEN("there is time for the way back") {
-      fleet.calendar(5).declare(frozen_now({}, fleet.now(), 600));
-      THEN("it goes back") {
+    WHEN("there is time for a rollback before the window") {
+      fleet.calendar(5).declare(late_window({}, fleet.now(), 600));
+      THEN("it rolls back") {
         CHECK(fleet.until(60, [&] { return fleet.stopped("c1") && fleet.everywhere("g1"); }));
         CHECK(fleet.standing(0, "c1").why.find("overtaken by a freeze window") != std::string::npos);
       }
     }
-    WHEN("there is none") {
-      fleet.calendar(5).declare(frozen_now({}, fleet.now(), -120));
-      fleet.pass(120);
-      THEN("it stays where it stands, mixed, and is stopped by nothing") {
+    WHEN("the window has already begun") {
+      fleet.calendar(5).declare(late_window({}, fleet.now(), -120));
+      fleet.run_for(120);
+      THEN("it holds with both generations running, and is not stopped") {
         CHECK(fleet.stage("c1") == 1);
         CHECK(fleet.with("g2") == 1);
         CHECK_FALSE(fleet.stopped("c1"));
-        AND_THEN("a stop and its return are not blocked") {
+        AND_THEN("a stop and its rollback are not blocked") {
           fleet[1].stop("c1", "after all", fleet.now(1));
           CHECK(fleet.until(20, [&] { return fleet.everywhere("g1"); }));
         }
       }
     }
   }
-  GIVEN("a site that is frozen, and another that is not") {
-    Grown fleet({.routers = 12, .seed = 22, .sites = 2});
+  GIVEN("two sites of which one is frozen") {
+    RunningFleet fleet({.routers = 12, .seed = 22, .sites = 2});
     fleet.propose(Changes::document());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2; }));
     for (int n = 0; n < 12; ++n)
       if (fleet[n].running() == "g1") {
-        fleet.calendar(n).declare(frozen_now({"west"}, fleet.now(), -120));
+        fleet.calendar(n).declare(late_window({"west"}, fleet.now(), -120));
         break;
       }
-    fleet.pass(1);
-    const auto at_west = [&] {
+    fleet.run_for(1);
+    const auto moved_at_west = [&] {
       int count = 0;
       for (int n = 0; n < 12; ++n) count += Changes::site_of(n, 2) == "west" && fleet[n].running() == "g2";
       return count;
     };
-    const int before = at_west();
-    fleet.pass(200);
-    THEN("no router there moves, those of the other site go on, and the change is not done") {
-      CHECK(at_west() == before);
+    const int before = moved_at_west();
+    fleet.run_for(200);
+    THEN("no router at the frozen site moves, those of the other site do, and the rollout is not done") {
+      CHECK(moved_at_west() == before);
       CHECK(fleet.with("g2") == before + 6);
       CHECK_FALSE(fleet.done("c1"));
       CHECK_FALSE(fleet.stopped("c1"));
-      AND_WHEN("its window is withdrawn") {
+      AND_WHEN("the window is withdrawn") {
         fleet.calendar(4).withdraw("late", 1);
-        THEN("they follow, and it is done") {
-          CHECK(fleet.over());
+        THEN("the routers of that site move as well, and the rollout is done") {
+          CHECK(fleet.finishes());
           CHECK(fleet.done("c1"));
         }
       }
@@ -487,13 +495,13 @@
   }
 }
 
-SCENARIO("a release that a live router could not read is refused before its canary") {
-  Grown fleet({.routers = 8, .seed = 23, .refuses = [](const rollout::RolloutPlan&) {
-                 return std::string(
-                     "channel gossip, fleet.Fact.health: field 5 is removed (r2 reads version 1)");
-               }});
-  fleet.propose(release_document());
-  CHECK(fleet.over());
+SCENARIO("a release that is incompatible with a live router is refused before the canary stage") {
+  RunningFleet fleet({.routers = 8, .seed = 23, .refuses = [](const rollout::RolloutPlan&) {
+                        return std::string(
+                            "channel gossip, fleet.Fact.health: field 5 is removed (r2 reads version 1)");
+                      }});
+  fleet.propose(release_plan());
+  CHECK(fleet.finishes());
   CHECK(fleet.stopped("c1"));
   CHECK(fleet.stage("c1") == 0);
   CHECK(fleet.moves == 0);
@@ -501,46 +509,46 @@
         "refused: channel gossip, fleet.Fact.health: field 5 is removed (r2 reads version 1)");
 }
 
-SCENARIO("documents that contradict each other change nothing") {
-  Grown fleet({.routers = 8, .seed = 24});
-  WHEN("two have one name") {
+SCENARIO("conflicting plans are not carried out together") {
+  RunningFleet fleet({.routers = 8, .seed = 24});
+  WHEN("two plans have the same name") {
     auto other = Changes::document();
     other.body = "allowed.max_attempts=3";
     fleet.propose(Changes::document(), 1);
     fleet.propose(other, 6);
-    THEN("both are stopped, with the same document at all") {
+    THEN("the rollout is stopped, and all routers keep the same plan") {
       CHECK(fleet.until(30, [&] { return fleet.stopped("c1"); }));
-      fleet.pass(10);
+      fleet.run_for(10);
       for (int n = 1; n < 8; ++n) CHECK(fleet.standing(n, "c1").plan == fleet.standing(0, "c1").plan);
       CHECK(fleet.everywhere("g1"));
       CHECK(fleet.moves == 0);
     }
   }
-  WHEN("two start from one generation") {
+  WHEN("two plans start from the same generation") {
     fleet.propose(Changes::document("c1", "g1", "g2"), 1);
     fleet.propose(Changes::document("c2", "g1", "g3"), 6);
-    THEN("one goes through, and the other does not begin") {
+    THEN("one is carried out, and the other does not start") {
       CHECK(fleet.until(400, [&] { return fleet.done("c1") || fleet.done("c2"); }));
-      fleet.pass(60);
+      fleet.run_for(60);
       CHECK((fleet.everywhere("g2") || fleet.everywhere("g3")));
       CHECK(fleet.moves == 8);
     }
   }
-  WHEN("a generation's name is used again") {
+  WHEN("a plan reuses the name of a generation") {
     fleet.propose(Changes::document("c1", "g1", "g2"), 1);
-    fleet.pass(2);
-    THEN("the second is refused with its reason") {
+    fleet.run_for(2);
+    THEN("it is refused with a reason") {
       CHECK_FALSE(fleet[1].propose(Changes::document("c9", "g1", "g2"), fleet.now(1)));
-      fleet.pass(1);
+      fleet.run_for(1);
       CHECK(fleet.anyone_said("refused, generation g2 was named by change c1 already"));
     }
   }
 }
 
-SCENARIO("a document that makes no sense is refused with its reason") {
-  const auto why = [](auto&& spoil) {
+SCENARIO("an invalid plan is refused with a reason") {
+  const auto why = [](auto&& invalidate) {
     auto d = Changes::document();
-    spoil(d);
+    invalidate(d);
     return refusal(d).value_or("");
   };
   CHECK(why([](auto&) {}).empty());
@@ -558,13 +566,13 @@
   CHECK(why([](auto& d) { d.author = ""; }) == "by is missing: who proposes it");
 }
 
-SCENARIO("each stage holds the one before and is spread over the sites") {
+SCENARIO("each stage includes the previous one and is spread over the sites in proportion") {
   std::vector<rollout::PlacedRouter> fleet;
   for (int n = 0; n < 300; ++n)
     fleet.push_back({static_cast<std::uint64_t>(n) * 7919, n % 3 == 0 ? "east" : "west"});
-  const auto d = Changes::document();
-  const auto order = rollout_order(d, fleet);
-  const auto sizes = stage_sizes(d, fleet.size());
+  const auto plan = Changes::document();
+  const auto order = rollout_order(plan, fleet);
+  const auto sizes = stage_sizes(plan, fleet.size());
   CHECK(sizes == std::vector<std::size_t>{1, 3, 15, 75, 300});
   for (const auto size : sizes) {
     if (size < 3) continue;
@@ -576,45 +584,47 @@
   std::ranges::sort(seen);
   CHECK(std::ranges::unique(seen).begin() == seen.end());
   CHECK(rollout_order(Changes::document("c2"), fleet) != order);
-  CHECK(stage_sizes(d, 1) == std::vector<std::size_t>{1});
+  CHECK(stage_sizes(plan, 1) == std::vector<std::size_t>{1});
 }
 
-SCENARIO("of three hundred changes that change nothing hardly one is stopped") {
+SCENARIO("of three hundred rollouts of an equivalent generation at most three are stopped") {
   int stopped = 0;
   for (unsigned seed = 0; seed < 300; ++seed) {
-    Grown fleet(
+    RunningFleet fleet(
         {.routers = 12,
          .seed = 1000 + seed,
          .sites = 1 + static_cast<int>(seed % 2),
          .quality = [seed](const std::string&, int n, Seconds now) { return Changes::uneven(seed, n, now); },
          .pace = 0.1});
     fleet.propose(Changes::document());
-    REQUIRE(fleet.over());
+    REQUIRE(fleet.finishes());
     stopped += fleet.stopped("c1");
   }
   CHECK(stopped <= 3);
 }
 
-SCENARIO("whatever falls, is cut or stands still, no stage is skipped and the fleet ends on one generation") {
+SCENARIO(
+    "with random crashes, partitions and stalls no stage is skipped and the fleet ends on one generation") {
   for (unsigned seed = 0; seed < 60; ++seed) {
-    const bool bad = seed % 3 == 0;
-    Grown fleet({.routers = 7,
-                 .seed = 3000 + seed,
-                 .net = {.lost = 0.05, .twice = 0.05, .delay = 0.03},
-                 .store = seed % 2 == 0,
-                 .quality = worse([bad](Quality& q) {
-                   if (bad) q.refused = 0.25;
-                 })});
-    const auto proposed = seed % 5 == 0 ? release_document() : Changes::document();
+    const bool is_faulty = seed % 3 == 0;
+    RunningFleet fleet({.routers = 7,
+                        .seed = 3000 + seed,
+                        .net = {.lost = 0.05, .twice = 0.05, .delay = 0.03},
+                        .store = seed % 2 == 0,
+                        .quality = degraded([is_faulty](Quality& q) {
+                          if (is_faulty) q.refused = 0.25;
+                        })});
+    const auto proposed = seed % 5 == 0 ? release_plan() : Changes::document();
     fleet.propose(proposed);
-    std::mt19937 chance(seed);
+    std::mt19937 random(seed);
     std::uint32_t last = 0;
-    bool in_step = true, within = true;
-    std::set<int> troubled;  // down, still or cut at some time: a stage passes over those that are so
+    bool no_stage_skipped = true, within_stage_size = true;
+    std::set<int>
+        disturbed;  // at some time down, stalled or partitioned; a stage does not count such routers
     for (int n = 0; n < 14; ++n) {
-      const int who = static_cast<int>(chance() % 7), other = static_cast<int>(chance() % 7);
-      const auto what = chance() % 6;
-      if (what <= 3) troubled.insert(who), troubled.insert(other);
+      const int who = static_cast<int>(random() % 7), other = static_cast<int>(random() % 7);
+      const auto what = random() % 6;
+      if (what <= 3) disturbed.insert(who), disturbed.insert(other);
       switch (what) {
         case 0:
           fleet.up(who) ? fleet.crash(who) : fleet.start(who);
@@ -632,47 +642,49 @@
           break;
       }
       for (int step = 0; step < 20; ++step) {
-        fleet.pass(0.5);
+        fleet.run_for(0.5);
         const auto stage = fleet.stage("c1");
-        in_step = in_step && stage <= last + 1;
+        no_stage_skipped = no_stage_skipped && stage <= last + 1;
         last = std::max(last, stage);
         const std::size_t sizes[] = {0, 1, 2, 7};
-        within = within && static_cast<std::size_t>(fleet.with("g2")) <=
-                               sizes[std::min<std::uint32_t>(last, 3)] + (last > 0 ? troubled.size() : 0);
+        within_stage_size = within_stage_size &&
+                            static_cast<std::size_t>(fleet.with("g2")) <=
+                                sizes[std::min<std::uint32_t>(last, 3)] + (last > 0 ? disturbed.size() : 0);
       }
     }
     CAPTURE(seed);
-    CHECK(in_step);
-    CHECK(within);
+    CHECK(no_stage_skipped);
+    CHECK(within_stage_size);
     fleet.memory.cuts.clear();
     for (int n = 0; n < 7; ++n) {
       if (!fleet.up(n)) fleet.start(n);
       fleet.memory[n].stalled = false;
     }
-    // Where the one that proposed it fell before it told anybody, it reads it in its folder again.
+    // If the proposing router crashed before it sent the plan to any other, it reads the plan from its folder
+    // again.
     fleet[3].propose(proposed, fleet.now(3));
     CHECK(fleet.until(1500, [&] {
       return (fleet.done("c1") && fleet.everywhere("g2")) || (fleet.stopped("c1") && fleet.everywhere("g1"));
     }));
-    if (bad) CHECK(fleet.stopped("c1"));
+    if (is_faulty) CHECK(fleet.stopped("c1"));
   }
 }
 
 namespace {
 
-// Three routers whose letters go by hand: after each one that comes, the one before it on the same way comes
-// once more, as a datagram does that was doubled and overtaken.
-struct Overtaken {
+// Three routers whose messages the test delivers by itself. After each message, the previous one between the
+// same two routers is delivered again, like a datagram that was duplicated and reordered.
+struct ReorderedDelivery {
   static constexpr int kRouters = 3;
   struct Router {
     std::unique_ptr<freeze::Calendar> calendar;
     std::unique_ptr<rollout::Rollout> rollout;
-    std::vector<int> peers;  // by number among its members
+    std::vector<int> peers;  // router numbers, by member number
     rollout::RolloutMetrics metrics;
     Seconds ready_at = 0;
-    std::vector<std::string> said;
+    std::vector<std::string> log_lines;
   };
-  Overtaken() {
+  ReorderedDelivery() {
     for (int n = 0; n < kRouters; ++n) {
       auto& r = routers[static_cast<std::size_t>(n)];
       const auto name = [](int of) { return static_cast<std::uint64_t>(of) + 1; };
@@ -693,8 +705,8 @@
   }
   bool all(const std::function<bool(const rollout::RolloutStatus&)>& holds) {
     return std::ranges::all_of(routers, [&](auto& r) {
-      const auto standing = r.rollout->status(now);
-      return !standing.empty() && holds(standing.front());
+      const auto statuses = r.rollout->status(now);
+      return !statuses.empty() && holds(statuses.front());
     });
   }
   void step() {
@@ -707,36 +719,36 @@
       if (r.rollout->next_move(now)) r.ready_at = now + 5;
       if (r.ready_at > 0 && now >= r.ready_at)
         r.ready_at = 0, r.metrics = {.epoch = r.metrics.epoch + 1}, r.rollout->moved();
-      for (auto& line : r.rollout->take_log_lines()) r.said.push_back(std::move(line));
+      for (auto& line : r.rollout->take_log_lines()) r.log_lines.push_back(std::move(line));
       for (const auto id : r.rollout->take_updates())
         for (const int p : r.peers)
           routers[static_cast<std::size_t>(p)].rollout->join(r.rollout->bytes(id), now);
-      while (const auto letter = r.rollout->next_message(now)) {
-        const int to = r.peers[static_cast<std::size_t>(letter->peer)];
-        auto& there = routers[static_cast<std::size_t>(to)];
-        const auto from = static_cast<int>(std::ranges::find(there.peers, n) - there.peers.begin());
-        there.rollout->receive(from, letter->bytes, now);
-        auto& before = last[{n, to}];
-        if (!before.empty()) there.rollout->receive(from, before, now);
-        before = letter->bytes;
+      while (const auto message = r.rollout->next_message(now)) {
+        const int to = r.peers[static_cast<std::size_t>(message->peer)];
+        auto& receiver = routers[static_cast<std::size_t>(to)];
+        const auto from = static_cast<int>(std::ranges::find(receiver.peers, n) - receiver.peers.begin());
+        receiver.rollout->receive(from, message->bytes, now);
+        auto& previous = last[{n, to}];
+        if (!previous.empty()) receiver.rollout->receive(from, previous, now);
+        previous = message->bytes;
       }
     }
   }
   Seconds now = 1'780'000'000;
   std::array<Router, kRouters> routers;
-  std::map<std::pair<int, int>, std::string> last;
+  std::map<std::pair<int, int>, std::string> last;  // the last message, by sender and receiver
 };
 
 }  // namespace
 
-SCENARIO("a report from before a move that comes after one of the move is no sign of a fall") {
-  GIVEN("three routers, each of whose letters comes once more after the one that follows it") {
-    Overtaken fleet;
-    WHEN("a good release is proposed") {
-      REQUIRE(fleet.routers[0].rollout->propose(release_document(), fleet.now));
+SCENARIO("an old report that arrives after a newer one is not taken for a crash of the router") {
+  GIVEN("three routers, with each message delivered again after the one that follows it") {
+    ReorderedDelivery fleet;
+    WHEN("a rollout of an equivalent release is proposed") {
+      REQUIRE(fleet.routers[0].rollout->propose(release_plan(), fleet.now));
       for (int n = 0; n < 6000 && !fleet.all([](const auto& s) { return s.done || s.stopped; }); ++n)
         fleet.step();
-      THEN("it goes through, and nobody takes a router that moved for one that fell") {
+      THEN("it is done, and no router that moved is taken for one that crashed") {
         CHECK(fleet.all([](const auto& s) { return s.done && !s.stopped; }));
         for (const auto& r : fleet.routers) CHECK(r.rollout->running() == "g2");
       }
--- a/tests/stories/main.cpp
+++ b/tests/stories/main.cpp
@@ -1,3 +1,3 @@
-// The stories: given, when, then, as an operator would tell them, over fleets in memory.
+// Scenario tests in given-when-then form, over fleets simulated in memory.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
