--- a/src/freeze/calendar.cpp
+++ b/src/freeze/calendar.cpp
@@ -70,7 +70,7 @@
   return join(Withdrawal{window, version, self_});
 }
 
-/// A withdrawal only permits more changes, so that it is safe to refuse one.
+/// Refusing a withdrawal is safe: it only keeps changes blocked.
 bool Calendar::join(const Withdrawal& withdrawal) {
   const auto& [window, version, holder] = withdrawal;
   if (!fleet_.contains(holder) || window.empty() || window.size() > kMaxTextBytes || version < 1)
@@ -128,9 +128,8 @@
   if (std::abs(clock_offset_) > limits_.clock_slack)
     return "this router's clock differs from the others' by " + rounded(std::abs(clock_offset_)) + " s";
   if (refused_windows_ > 0)
-    return "this router refused a freeze window, which was invalid, the 257th, or the fifth differing copy "
-           "of one "
-           "version; withdraw some and restart";
+    return "this router refused a freeze window, which was invalid, the 257th, or the fifth "
+           "differing copy of one version; withdraw some and restart";
   if (contacted_at_ == 0 || now - contacted_at_ > limits_.max_silence)
     return "this router's calendar may lack a freeze window: no contact with a majority for over " +
            rounded(limits_.max_silence) + " s";
--- a/src/freeze/items.cpp
+++ b/src/freeze/items.cpp
@@ -61,12 +61,12 @@
 
 /// Removes spaces and case, so that "Ana" and "ana " are the same person.
 std::string normalized(std::string_view name) {
-  std::string letters;
+  std::string key;
   for (const char c : name) {
     const auto byte = static_cast<unsigned char>(c);
-    if (!std::isspace(byte)) letters += static_cast<char>(std::tolower(byte));
+    if (!std::isspace(byte)) key += static_cast<char>(std::tolower(byte));
   }
-  return letters;
+  return key;
 }
 
 bool is_text(const std::string& text) { return !text.empty() && text.size() <= kMaxTextBytes; }
--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -34,9 +34,9 @@
   void run_for(Seconds seconds) {
     until(seconds, [] { return false; });
   }
-  // Whether the rollout is done, or stopped and rolled back, in at most `most` seconds.
-  bool finishes(const char* name = "c1", Seconds most = 900) {
-    return until(most, [&] { return done(name) || (stopped(name) && everywhere("g1")); });
+  // Whether the rollout is done, or stopped and rolled back, within `max_time` seconds.
+  bool finishes(const char* name = "c1", Seconds max_time = 900) {
+    return until(max_time, [&] { return done(name) || (stopped(name) && everywhere("g1")); });
   }
 };
 
@@ -619,24 +619,24 @@
     std::mt19937 random(seed);
     std::uint32_t last = 0;
     bool no_stage_skipped = true, within_stage_size = true;
-    std::set<int>
-        disturbed;  // at some time down, stalled or partitioned; a stage does not count such routers
+    // Routers that were down, stalled or partitioned at some time, which a stage does not count.
+    std::set<int> disturbed;
     for (int n = 0; n < 14; ++n) {
-      const int who = static_cast<int>(random() % 7), other = static_cast<int>(random() % 7);
-      const auto what = random() % 6;
-      if (what <= 3) disturbed.insert(who), disturbed.insert(other);
-      switch (what) {
+      const int router = static_cast<int>(random() % 7), other = static_cast<int>(random() % 7);
+      const auto event = random() % 6;
+      if (event <= 3) disturbed.insert(router), disturbed.insert(other);
+      switch (event) {
         case 0:
-          fleet.up(who) ? fleet.crash(who) : fleet.start(who);
+          fleet.up(router) ? fleet.crash(router) : fleet.start(router);
           break;
         case 1:
-          fleet.memory.cut(who, other);
+          fleet.memory.cut(router, other);
           break;
         case 2:
           fleet.memory.cuts.clear();
           break;
         case 3:
-          if (fleet.up(who)) fleet.memory[who].stalled = !fleet.memory[who].stalled;
+          if (fleet.up(router)) fleet.memory[router].stalled = !fleet.memory[router].stalled;
           break;
         default:
           break;
--- a/tests/stories/freeze.cpp
+++ b/tests/stories/freeze.cpp
@@ -514,9 +514,8 @@
     CHECK_FALSE(c.declare(window("c", "2027-07-01 00:00", "2027-07-02 00:00")));
     THEN("no change is allowed, and the reason says so") {
       CHECK(c.decide(Action::next_stage, kTenMinutes, now).why ==
-            "this router refused a freeze window, which was invalid, the 257th, or the fifth differing copy "
-            "of one "
-            "version; withdraw some and restart");
+            "this router refused a freeze window, which was invalid, the 257th, or the fifth "
+            "differing copy of one version; withdraw some and restart");
     }
   }
   WHEN("received bytes cannot be decoded") {
