--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -202,7 +202,7 @@
   CHECK(fleet.done("c1"));
 }
 
-SCENARIO("the first seconds of a restarted router do not count") {
+SCENARIO("the first seconds of a router with the new generation do not count") {
   std::map<int, Seconds> fresh;
   RunningFleet fleet(
       {.routers = 12, .seed = 10, .quality = [&](const std::string& generation, int n, Seconds now) {
