--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -1,8 +1,8 @@
-// Plays a script (standard input) and prints what comes of it, one a line.
-// NAME.in: inputs into the module, and its decisions. A line is a command, words, and key=value pairs; "at T"
-// moves the clock and wakes the module at the times it asked for on the way.
-// NAME.bytes: bytes for the parsers, whole and one at a time.
-// NAME.net: the router as a process, with clients, cache servers and an event bus played by the script.
+// Plays a test script from standard input and prints its results, one per line.
+// NAME.in: the routing policy in simulated time. A line is a command, words and key=value pairs; "at T"
+// advances the clock and calls the policy at the times that it asked for. The decisions are printed.
+// NAME.bytes: input for the parsers, fed whole and byte by byte.
+// NAME.net: the router as a process, with clients, cache servers and discovery ("bus") played by the script.
 #include <arpa/inet.h>
 #include <poll.h>
 #include <signal.h>
@@ -32,7 +32,7 @@
 #include "standins/bus.h"
 #include "standins/world.h"
 
-// Last: it makes macros of "true" and "false".
+// Must be the last include, as it defines "true" and "false" as macros.
 #include <ldns/ldns.h>
 #undef true
 #undef false
@@ -42,10 +42,11 @@
 
 namespace {
 
-struct Line {
+// A line of a script, split into its words and its key=value pairs.
+struct ScriptLine {
   std::vector<std::string> words;
   std::map<std::string, std::string> pairs;
-  explicit Line(const std::string& text) {
+  explicit ScriptLine(const std::string& text) {
     std::istringstream in(text);
     for (std::string w; in >> w;) {
       const auto eq = w.find('=');
@@ -55,11 +56,12 @@
         pairs[w.substr(0, eq)] = w.substr(eq + 1);
     }
   }
-  double num(const std::string& key, double absent = 0) const {
+  double number(const std::string& key, double absent = 0) const {
     const auto it = pairs.find(key);
     return it == pairs.end() ? absent : std::stod(it->second);
   }
-  int pick(const std::string& key, const std::vector<std::string>& names) const {
+  // Index of the value of `key` in `names`; 0 if the key is absent or its value is not among them.
+  int index_in(const std::string& key, const std::vector<std::string>& names) const {
     const auto it = pairs.find(key);
     for (std::size_t n = 0; it != pairs.end() && n < names.size(); ++n)
       if (names[n] == it->second) return static_cast<int>(n);
@@ -73,24 +75,28 @@
   return h ^ (h >> 29);
 }
 
+// Index of `name` in `names`, to which it is added if absent.
 template <class Name>
-int index_of(std::vector<std::string>& names, const Name& name) {
+int index_or_add(std::vector<std::string>& names, const Name& name) {
   for (std::size_t n = 0; n < names.size(); ++n)
     if (names[n] == name) return static_cast<int>(n);
   names.push_back(name);
   return static_cast<int>(names.size()) - 1;
 }
 
-const std::vector<std::string> kVerdicts{"completed", "error",      "not_taken", "timed_out", "no_connection",
-                                         "broken",    "called_off", "not_sent",  "lacking",   "too_old"};
-const std::vector<std::string> kNotes{"none",         "hit",           "filled",         "by_origin",
-                                      "joined",       "old_copy",      "source_refused", "source_unreached",
-                                      "source_lacks", "no_fill_place", "origin_failed"};
+// Words of the scripts for AttemptOutcome and FillOutcome, in the order of the enumerators.
+const std::vector<std::string> kOutcomeWords{"completed",     "error",  "not_taken",  "timed_out",
+                                             "no_connection", "broken", "called_off", "not_sent",
+                                             "lacking",       "too_old"};
+const std::vector<std::string> kFillWords{
+    "none",         "hit",           "filled",         "by_origin",
+    "joined",       "old_copy",      "source_refused", "source_unreached",
+    "source_lacks", "no_fill_place", "origin_failed"};
 
 // ---- parsers ---------------------------------------------------------------------------------------------
 
-// "\r", "\n" and "\xHH" in a script stand for those bytes.
-std::string unescaped(const std::string& text) {
+// Replaces the escapes "\r", "\n" and "\xHH" of a script by their bytes.
+std::string unescape(const std::string& text) {
   std::string out;
   for (std::size_t n = 0; n < text.size(); ++n) {
     if (text[n] != '\\' || n + 1 == text.size()) {
@@ -105,59 +111,62 @@
   return out;
 }
 
-struct PrintedEvents final : net::DiscoveryEvents {
+// Collects discovery events as text.
+struct EventPrinter final : net::DiscoveryEvents {
   std::string out;
   template <class... T>
-  void say(const T&... parts) {
+  void print(const T&... parts) {
     std::ostringstream text;
     ((text << ' ' << parts), ...);
     out += text.str() + "\n";
   }
   void begin_initial_events(Seconds) override {}
   void end_initial_events() override {}
-  void begin_endpoint_list(bool whole) override { say(whole ? "list" : "changes"); }
+  void begin_endpoint_list(bool whole) override { print(whole ? "list" : "changes"); }
   void update_endpoint(std::string_view id, const Address& at, int location, int kind, int cell,
                        EndpointState state, double weight, Seconds started) override {
-    say(" ", id, text_of(at), "location", location, "kind", kind, "cell", cell, "state",
-        static_cast<int>(state), "weight", weight, "started", started);
+    print(" ", id, text_of(at), "location", location, "kind", kind, "cell", cell, "state",
+          static_cast<int>(state), "weight", weight, "started", started);
   }
-  void end_endpoint_list() override { say("end"); }
-  void purged(std::string_view object, Seconds at) override { say("purged", object, at); }
-  void purged_group(std::uint32_t group, Seconds at) override { say("purged group", group, at); }
+  void end_endpoint_list() override { print("end"); }
+  void purged(std::string_view object, Seconds at) override { print("purged", object, at); }
+  void purged_group(std::uint32_t group, Seconds at) override { print("purged group", group, at); }
 };
 
-// Feeds `bytes` in steps; what is taken is printed by `take`, which gives the bytes used.
+// Feeds `bytes` in chunks of `step` bytes. `parse` appends what it parsed to its second argument and returns
+// the number of bytes used; 0: it needs more.
 template <class F>
-std::string fed(const std::string& bytes, std::size_t step, F&& take) {
-  std::string out, held;
+std::string feed(const std::string& bytes, std::size_t step, F&& parse) {
+  std::string out, unparsed;
   try {
     for (std::size_t at = 0; at < bytes.size(); at += step) {
-      held += bytes.substr(at, step);
-      while (const auto used = take(held, out)) held.erase(0, used);
+      unparsed += bytes.substr(at, step);
+      while (const auto used = parse(unparsed, out)) unparsed.erase(0, used);
     }
-    if (!held.empty()) out += " and " + std::to_string(held.size()) + " bytes of more\n";
+    if (!unparsed.empty()) out += " and " + std::to_string(unparsed.size()) + " bytes left over\n";
   } catch (const InputError& e) {
     out += std::string(" malformed: ") + e.what() + "\n";
   }
   return out;
 }
 
-void play_bytes(const std::string& what, const std::string& bytes) {
+// Prints what the parser of RESP arrays ("resp") or of discovery frames ("frames") makes of `bytes`.
+void play_parser(const std::string& parser, const std::string& bytes) {
   const auto at_step = [&](std::size_t step) {
-    if (what == "resp")
-      return fed(bytes, step, [](const std::string& held, std::string& out) {
+    if (parser == "resp")
+      return feed(bytes, step, [](const std::string& unparsed, std::string& out) {
         net::RespArray w;
-        net::read_resp_array(held, 4, 100, w);
+        net::read_resp_array(unparsed, 4, 100, w);
         for (const auto word : w.words)
           if (w.used > 0) out.append(" [").append(word).append("]");
         if (w.used > 0) out += "\n";
         return w.used;
       });
-    PrintedEvents events;
+    EventPrinter events;
     std::uint64_t last = 2;
-    auto out = fed(bytes, step, [&](const std::string& held, std::string& text) {
+    auto out = feed(bytes, step, [&](const std::string& unparsed, std::string& text) {
       std::uint64_t seen = 0;
-      const auto used = net::read_frame(held, last, events, seen);
+      const auto used = net::read_frame(unparsed, last, events, seen);
       text += std::exchange(events.out, "");
       return used;
     });
@@ -165,15 +174,16 @@
   };
   const auto whole = at_step(bytes.size());
   std::printf("%s", whole.c_str());
-  if (at_step(1) != whole) std::printf(" one byte at a time it differs:\n%s", at_step(1).c_str());
+  if (at_step(1) != whole) std::printf(" fed byte by byte the result differs:\n%s", at_step(1).c_str());
 }
 
-void play_config(const std::string& text) {
+// Prints some values of a platform configuration and its initial events.
+void print_config(const std::string& text) {
   try {
     const auto c = config::parse_platform_config(text);
     std::printf(" %s on %s, first class %s\n", c.name.c_str(), text_of(c.listen).c_str(),
                 config::request_class_names(c.settings).front().name.c_str());
-    PrintedEvents events;
+    EventPrinter events;
     if (c.initial_events != "{}") config::replay_initial_events(c.initial_events, c.settings, events);
     std::printf("%s", events.out.c_str());
   } catch (const InputError& e) {
@@ -181,52 +191,54 @@
   }
 }
 
-// ---- the router over sockets -----------------------------------------------------------------------------
+// ---- the router as a process ---------------------------------------------------------------------------
 
-struct Conn {
+// A connection and the bytes received on it that are not parsed yet.
+struct Connection {
   Fd fd;
-  std::string held;
+  std::string unparsed;
 };
 
-// Clients, cache servers and the bus are played by the script, in its order; all waits are for what must
-// come.
-class Stage {
+// Plays the commands of a .net script in order: clients, cache servers and discovery. A command that expects
+// an event waits for it, with a timeout.
+class RouterScript {
  public:
-  ~Stage() {
+  ~RouterScript() {
     if (router_ > 0) ::kill(router_, SIGKILL), ::waitpid(router_, nullptr, 0);
     if (!folder_.empty()) std::filesystem::remove_all(folder_);
   }
+  // Runs one line; false if its command is not one of this class.
   bool play(const std::string& text) {
     std::istringstream in(text);
     std::vector<std::string> w;
     for (std::string word; in >> word;) w.push_back(word);
-    const auto& what = w[0];
-    if (what == "router") return start(w.size() > 1 ? text.substr(7) : ""), true;
-    if (what == "client") return client_listener_[w[1]] = {connect_to(port_), ""}, true;
-    if (what == "send") return send(client_listener_[w[1]], net_words({w.begin() + 2, w.end()})), true;
-    if (what == "bytes")
-      return send(client_listener_[w[1]], unescaped(text.substr(text.find(w[1]) + w[1].size() + 1))), true;
-    if (what == "looks") return looks(w[1], w[2], w.size() > 3), true;
-    if (what == "gets")
-      return std::printf("%s gets %s\n", w[1].c_str(), next_of(client_listener_[w[1]]).c_str()), true;
-    if (what == "sized") return sized(w[1]), true;
-    if (what == "ends") return ends(w[1]), true;
-    if (what == "crowd") return crowd(std::stoi(w[1])), true;
-    if (what == "leaves") return client_listener_.erase(w[1]), true;
-    if (what == "asked") return asked(w[1], w.size() > 2 && w[2] == "past"), true;
-    if (what == "says") return says(w), true;
-    if (what == "noise")
-      return noise(servers_[w[1]], unescaped(text.substr(text.find(w[1]) + w[1].size() + 1))), true;
-    if (what == "closes") return servers_[w[1]].conns.clear(), true;
-    if (what == "refuses") return servers_[w[1]].conns.clear(), void(servers_[w[1]].fd = Fd()), true;
-    if (what == "bus") return bus(w), true;
-    if (what == "wait") return ::usleep(static_cast<useconds_t>(std::stod(w[1]) * 1e6)), true;
-    if (what == "term") return ::kill(router_, SIGTERM), true;
-    if (what == "kill") return ::kill(router_, SIGKILL), true;
-    if (what == "reload") return reload(text.substr(6)), true;
-    if (what == "exit") return exited(), true;
-    if (what == "again") return spawn(), true;
-    if (what == "learnt") return learnt(w.size() > 1 ? w[1] : ""), true;
+    const auto& command = w[0];
+    if (command == "router") return start_router(w.size() > 1 ? text.substr(7) : ""), true;
+    if (command == "client") return clients_[w[1]] = {connect_to(port_), ""}, true;
+    if (command == "send") return send(clients_[w[1]], array_text({w.begin() + 2, w.end()})), true;
+    if (command == "bytes")
+      return send(clients_[w[1]], unescape(text.substr(text.find(w[1]) + w[1].size() + 1))), true;
+    if (command == "looks") return query_dns(w[1], w[2], w.size() > 3), true;
+    if (command == "gets")
+      return std::printf("%s gets %s\n", w[1].c_str(), read_array(clients_[w[1]]).c_str()), true;
+    if (command == "sized") return print_answer_size(w[1]), true;
+    if (command == "ends") return read_to_end(w[1]), true;
+    if (command == "crowd") return connect_clients(std::stoi(w[1])), true;
+    if (command == "leaves") return clients_.erase(w[1]), true;
+    if (command == "asked") return expect_request(w[1], w.size() > 2 && w[2] == "past"), true;
+    if (command == "says") return send_answer(w), true;
+    if (command == "noise")
+      return send_raw(servers_[w[1]], unescape(text.substr(text.find(w[1]) + w[1].size() + 1))), true;
+    if (command == "closes") return servers_[w[1]].connections.clear(), true;
+    if (command == "refuses") return servers_[w[1]].connections.clear(), void(servers_[w[1]].fd = Fd()), true;
+    if (command == "bus") return discovery(w), true;
+    if (command == "wait") return ::usleep(static_cast<useconds_t>(std::stod(w[1]) * 1e6)), true;
+    if (command == "term") return ::kill(router_, SIGTERM), true;
+    if (command == "kill") return ::kill(router_, SIGKILL), true;
+    if (command == "reload") return reload(text.substr(6)), true;
+    if (command == "exit") return print_exit(), true;
+    if (command == "again") return spawn_router(), true;
+    if (command == "learnt") return snapshot(w.size() > 1 ? w[1] : ""), true;
     return false;
   }
 
@@ -234,19 +246,20 @@
   struct Server {
     Fd fd;
     int port = 0;
-    std::vector<Conn> conns;
-    std::size_t last = 0;                     // the connection of the last request
-    std::string id;                           // and its id
-    std::map<std::string, std::size_t> over;  // the connection of each id
+    std::vector<Connection> connections;
+    std::size_t last = 0;                              // index of the connection of the last request
+    std::string id;                                    // id of the last request
+    std::map<std::string, std::size_t> connection_of;  // index of the connection, by request id
   };
 
-  static std::string net_words(const std::vector<std::string>& words) {
+  // A RESP array of strings; "-" stands for an empty one.
+  static std::string array_text(const std::vector<std::string>& words) {
     auto text = "*" + std::to_string(words.size()) + "\r\n";
     for (const auto& w : words) text += net::resp_array_text({w == "-" ? "" : w}).substr(4);
     return text;
   }
 
-  static Fd listen_at(int& port) {
+  static Fd listen_on_any_port(int& port) {
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in a{};
     a.sin_family = AF_INET;
@@ -266,20 +279,20 @@
       a.sin_family = AF_INET;
       a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
       a.sin_port = htons(static_cast<std::uint16_t>(port));
-      const int room = 16 * 1024;  // what a client does not read waits at the router, not here
+      const int room = 16 * 1024;  // small, so that unread answers stay buffered at the router
       ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
       if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&a), sizeof a) == 0) return fd;
     }
     fail("connect");
   }
 
-  [[noreturn]] static void fail(const std::string& what) {
-    std::printf("no %s\n", what.c_str());
+  [[noreturn]] static void fail(const std::string& missing) {
+    std::printf("no %s\n", missing.c_str());
     std::fflush(stdout);
-    throw std::runtime_error("no " + what);
+    throw std::runtime_error("no " + missing);
   }
 
-  static void send(const Conn& c, const std::string& bytes) {
+  static void send(const Connection& c, const std::string& bytes) {
     if (::send(c.fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) std::printf("not sent\n");
   }
 
@@ -288,36 +301,37 @@
     return ::poll(&p, 1, ms) > 0;
   }
 
-  // Takes a whole array off the connection; "closed" at its end.
-  static std::string next_of(Conn& c, int ms = 10000) {
+  // Reads one whole array; "closed" at the end of the connection, "nothing" after `ms` milliseconds without
+  // data.
+  static std::string read_array(Connection& c, int ms = 10000) {
     for (;;) {
       net::RespArray words;
-      net::read_resp_array(c.held, 8, 1 << 20, words);
+      net::read_resp_array(c.unparsed, 8, 1 << 20, words);
       if (words.used > 0) {
         std::string text;
         for (const auto w : words.words) text.append(text.empty() ? "" : " ").append(w.empty() ? "-" : w);
-        c.held.erase(0, words.used);
+        c.unparsed.erase(0, words.used);
         return text;
       }
       if (!readable(c.fd.get(), ms)) return "nothing";
       char room[65536];
       const auto got = ::recv(c.fd.get(), room, sizeof room, 0);
       if (got <= 0) return "closed";
-      c.held.append(room, static_cast<std::size_t>(got));
+      c.unparsed.append(room, static_cast<std::size_t>(got));
     }
   }
 
-  // The next request that reaches a server, on whichever connection, less the values that vary. past: words
-  // that hops were given up may come before it, where it is the kernel's buffers that decide on how many.
-  void asked(const std::string& name, bool past) {
+  // Prints the next request that the server receives on any connection, without the values that vary. `past`:
+  // skips cancels, whose number depends on the buffers of the kernel.
+  void expect_request(const std::string& name, bool past) {
     auto& s = servers_[name];
     for (int n = 0; n < 5000; ++n, ::usleep(2000)) {
-      if (readable(s.fd.get(), 0)) s.conns.push_back({Fd(::accept(s.fd.get(), nullptr, nullptr)), ""});
-      for (s.last = 0; s.last < s.conns.size(); ++s.last) {
-        auto text = next_of(s.conns[s.last], 0);
+      if (readable(s.fd.get(), 0)) s.connections.push_back({Fd(::accept(s.fd.get(), nullptr, nullptr)), ""});
+      for (s.last = 0; s.last < s.connections.size(); ++s.last) {
+        auto text = read_array(s.connections[s.last], 0);
         if (text == "nothing" || text == "closed" || (past && text.starts_with("cancel "))) continue;
         s.id = text.substr(text.find(' ') + 1, 16);
-        s.over[s.id] = s.last;
+        s.connection_of[s.id] = s.last;
         for (const std::string varies : {"limit=", "maxage="})
           if (auto at = text.find(varies); at != std::string::npos) {
             at += varies.size();
@@ -327,28 +341,29 @@
           for (auto at = text.find(server_id(other)); at != std::string::npos;
                at = text.find(server_id(other)))
             text.replace(at, 10, other);
-        std::printf("%s is asked %s\n", name.c_str(), text.c_str());
+        std::printf("%s receives %s\n", name.c_str(), text.c_str());
         return;
       }
     }
     fail("request at " + name);
   }
 
-  // To the last request, or to the one whose id is given.
-  void says(const std::vector<std::string>& w) {
+  // says SERVER [ID] WORD ...: answers the last request, or the one with this id.
+  void send_answer(const std::vector<std::string>& w) {
     auto& s = servers_[w[1]];
-    const bool named = s.over.contains(w[2]);
+    const bool named = s.connection_of.contains(w[2]);
     std::vector<std::string> words{named ? w[2] : s.id};
-    for (auto n = w.begin() + 2 + named; n != w.end(); ++n)  // "LARGE" stands for the largest object
+    for (auto n = w.begin() + 2 + named; n != w.end(); ++n)  // "LARGE": an object of the largest size
       words.push_back(*n == "LARGE" ? std::string(240'000, 'x') : *n);
-    if (s.last >= s.conns.size()) fail("connection at " + w[1]);
-    send(s.conns[named ? s.over[w[2]] : s.last], net_words(words));
+    if (s.last >= s.connections.size()) fail("connection at " + w[1]);
+    send(s.connections[named ? s.connection_of[w[2]] : s.last], array_text(words));
   }
 
-  static void noise(const Server& s, const std::string& bytes) { send(s.conns.at(s.last), bytes); }
+  // Sends bytes on the connection of the last request.
+  static void send_raw(const Server& s, const std::string& bytes) { send(s.connections.at(s.last), bytes); }
 
-  // looks TYPE NAME [tcp]: one query; prints the code and the records, members by their names.
-  void looks(const std::string& type, const std::string& name, bool tcp) {
+  // looks TYPE NAME [tcp]: sends a DNS query; prints the response code and the records, with server names.
+  void query_dns(const std::string& type, const std::string& name, bool tcp) {
     std::string query("\x12\x34\x01\x00\x00\x01\x00\x00\x00\x00\x00\x00", 12);
     std::istringstream labels(name);
     for (std::string label; std::getline(labels, label, '.');)
@@ -361,7 +376,7 @@
     a.sin_family = AF_INET;
     a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     a.sin_port = htons(static_cast<std::uint16_t>(dns_port_));
-    if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&a), sizeof a) != 0) fail("lookups");
+    if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&a), sizeof a) != 0) fail("DNS listener");
     if (tcp) query.insert(0, std::string(1, '\0') + static_cast<char>(query.size()));
     if (::send(fd.get(), query.data(), query.size(), 0) < 0 || !readable(fd.get(), 5000)) {
       std::printf("%s %s: nothing\n", type.c_str(), name.c_str());
@@ -371,7 +386,7 @@
     const auto got = ::recv(fd.get(), room, sizeof room, 0);
     std::string_view reply(room, static_cast<std::size_t>(std::max<ssize_t>(0, got)));
     if (tcp) reply.remove_prefix(std::min<std::size_t>(2, reply.size()));
-    auto text = described(reply);
+    auto text = describe(reply);
     for (const auto& [other, server] : servers_)
       for (auto at = text.find(" " + std::to_string(server.port) + " "); at != std::string::npos;
            at = std::string::npos)
@@ -382,13 +397,15 @@
     std::printf("%s %s: %s\n", type.c_str(), name.c_str(), text.c_str());
   }
 
-  static std::string described(std::string_view reply) {
+  // Response code, flags and records of a DNS response.
+  static std::string describe(std::string_view reply) {
     ldns_pkt* packet = nullptr;
     if (ldns_wire2pkt(&packet, reinterpret_cast<const std::uint8_t*>(reply.data()), reply.size()) !=
         LDNS_STATUS_OK)
-      return "no message";
+      return "malformed";
     std::string text = "code " + std::to_string(ldns_pkt_get_rcode(packet)) +
-                       (ldns_pkt_tc(packet) ? " cut" : "") + (ldns_pkt_aa(packet) ? "" : " not its own");
+                       (ldns_pkt_tc(packet) ? " truncated" : "") +
+                       (ldns_pkt_aa(packet) ? "" : " not authoritative");
     for (const auto* list : {ldns_pkt_answer(packet), ldns_pkt_authority(packet)})
       for (std::size_t n = 0; n < ldns_rr_list_rr_count(list); ++n) {
         char* rr = ldns_rr2str(ldns_rr_list_rr(list, n));
@@ -402,28 +419,28 @@
     return text;
   }
 
-  // The next answer, with its body's size in place of the body.
-  void sized(const std::string& name) {
-    const auto got = next_of(client_listener_[name]);
+  // Prints the next answer with the size of its body in place of the body.
+  void print_answer_size(const std::string& name) {
+    const auto got = read_array(clients_[name]);
     std::printf("%s gets %s and %zu bytes\n", name.c_str(), got.substr(0, got.rfind(' ')).c_str(),
                 got.size() - std::min(got.size(), got.rfind(' ') + 1));
   }
 
-  // Reads all that a client was sent, up to the close.
-  void ends(const std::string& name) {
+  // Reads all answers to a client until its connection is closed or falls silent, and prints which.
+  void read_to_end(const std::string& name) {
     std::string got = "nothing";
-    while ((got = next_of(client_listener_[name], 1000)) != "closed" && got != "nothing") {
+    while ((got = read_array(clients_[name], 1000)) != "closed" && got != "nothing") {
     }
     std::printf("%s ends with %s\n", name.c_str(), got.c_str());
   }
 
-  // Clients that ask once and stay, one after the other.
-  void crowd(int size) {
+  // Connects clients one after the other; each sends one request and stays connected.
+  void connect_clients(int size) {
     for (int n = 0; n < size; ++n) {
-      auto& c = client_listener_["of the crowd " + std::to_string(n)] = {connect_to(port_), ""};
-      send(c, net_words({"ALIVE", "1"}));
-      if (const auto got = next_of(c); got != "1 READY")
-        std::printf("%d of the crowd gets %s\n", n, got.c_str());
+      auto& c = clients_["crowd client " + std::to_string(n)] = {connect_to(port_), ""};
+      send(c, array_text({"ALIVE", "1"}));
+      if (const auto got = read_array(c); got != "1 READY")
+        std::printf("crowd client %d gets %s\n", n, got.c_str());
     }
   }
 
@@ -431,53 +448,55 @@
     return "s-000000" + std::string(name == "c1" ? "c1" : name == "c2" ? "c2" : name == "par" ? "aa" : "0f");
   }
 
-  // bus up | down | counts N | takes | drains NAME | purges OBJECT | bytes ...
-  void bus(const std::vector<std::string>& w) {
+  // bus up | down | counts N | drains NAME | purges OBJECT | bytes TEXT
+  void discovery(const std::vector<std::string>& w) {
     if (w[1] == "up") {
-      if (!readable(bus_.fd.get(), 10000)) fail("router at the bus");
-      bus_.conns.clear();
-      bus_.conns.push_back({Fd(::accept(bus_.fd.get(), nullptr, nullptr)), ""});
+      if (!readable(discovery_.fd.get(), 10000)) fail("router at discovery");
+      discovery_.connections.clear();
+      discovery_.connections.push_back({Fd(::accept(discovery_.fd.get(), nullptr, nullptr)), ""});
       char hello[8];
-      if (::recv(bus_.conns[0].fd.get(), hello, 8, MSG_WAITALL) != 8) fail("hello");
-      std::printf("bus is asked from event %d\n", hello[7]);
+      if (::recv(discovery_.connections[0].fd.get(), hello, 8, MSG_WAITALL) != 8) fail("subscription");
+      std::printf("events requested from number %d\n", hello[7]);
     } else if (w[1] == "down") {
-      bus_.conns.clear();
-    } else if (w[1] == "counts") {  // the last number; the next event has the one after it
+      discovery_.connections.clear();
+    } else if (w[1] == "counts") {  // number of the last event; the next one follows it
       event_ = std::stoi(w[2]);
     } else if (w[1] == "drains") {
       auto& s = servers_[w[2]];
       const auto id = std::stoul(server_id(w[2]).substr(2), nullptr, 16);
-      frame(2, member_record(id, s.port, Says::draining, 1, 0));
+      send_event(2, member_record(id, s.port, Says::draining, 1, 0));
     } else if (w[1] == "purges") {
       const auto now = std::chrono::system_clock::now().time_since_epoch() / std::chrono::milliseconds(1);
-      frame(3, big_end(std::stoull(w[2], nullptr, 16), 8) + big_end(static_cast<std::uint64_t>(now), 8));
+      send_event(3, big_end(std::stoull(w[2], nullptr, 16), 8) + big_end(static_cast<std::uint64_t>(now), 8));
     } else {
-      send(bus_.conns[0], unescaped(w[2]));
+      send(discovery_.connections[0], unescape(w[2]));
     }
   }
-  void frame(int kind, const std::string& payload) {
-    send(bus_.conns[0], frame_text(static_cast<std::uint64_t>(++event_), kind, payload));
+  void send_event(int kind, const std::string& payload) {
+    send(discovery_.connections[0], frame_text(static_cast<std::uint64_t>(++event_), kind, payload));
   }
 
-  std::string listed(const std::string& name, const char* where, const char* kind) {
+  // Opens the listener of a server and returns its entry in the endpoint list.
+  std::string add_server(const std::string& name, const char* where, const char* kind) {
     auto& s = servers_[name];
-    s.fd = listen_at(s.port);
+    s.fd = listen_on_any_port(s.port);
     return member_text(server_id(name), s.port, where, kind);
   }
 
-  // router [dns|learnt] CACHE ...: with an operator's file that switches lookups, or what is learnt, on
-  void start(std::string caches) {
+  // router [dns|learnt] CACHE ...: starts the router, with an operator's file that enables DNS lookups or
+  // warm start if so named.
+  void start_router(std::string caches) {
     const bool with_dns = caches.find("dns") != std::string::npos;
     if (with_dns) caches.erase(0, caches.find("dns") + 3);
-    const bool with_learnt = caches.find("learnt") != std::string::npos;
-    if (with_learnt) caches.erase(0, caches.find("learnt") + 6);
+    const bool with_snapshot = caches.find("learnt") != std::string::npos;
+    if (with_snapshot) caches.erase(0, caches.find("learnt") + 6);
     std::string list, names = caches.empty() ? "c1" : caches;
     std::istringstream in(names);
-    for (std::string name; in >> name;) list += listed(name, "edge", "cache") + ",";
-    list += listed("par", "hub", "parent") + "," + listed("origin", "hub", "origin");
-    bus_.fd = listen_at(bus_.port);
+    for (std::string name; in >> name;) list += add_server(name, "edge", "cache") + ",";
+    list += add_server("par", "hub", "parent") + "," + add_server("origin", "hub", "origin");
+    discovery_.fd = listen_on_any_port(discovery_.port);
     port_ = ports_.take();
-    config_ = config_text("n0", port_, bus_.port, list,
+    config_ = config_text("n0", port_, discovery_.port, list,
                           with_dns ? R"({"sockets":80,"memory_mb":8})" : R"({"sockets":40,"memory_mb":3})");
     folder_ = std::filesystem::temp_directory_path() / ("walkpaddle-" + std::to_string(::getpid()));
     std::filesystem::create_directory(folder_);
@@ -487,21 +506,21 @@
       std::ofstream(folder_ / "walkpaddle.conf")
           << "dns {\n listen = \"127.0.0.1:" << dns_port_
           << "\"\n zone = \"z.example\"\n server = \"ns.z.example\"\n}\n";
-    if (with_learnt)
+    if (with_snapshot)
       std::ofstream(folder_ / "walkpaddle.conf")
           << "learnt { file = \"" << (folder_ / "learnt.json").string() << "\" }\n";
-    with_file_ = with_dns || with_learnt, log_kept_ = with_learnt;
-    spawn();
+    has_operator_config_ = with_dns || with_snapshot, keeps_log_ = with_snapshot;
+    spawn_router();
   }
 
-  void spawn() {
+  void spawn_router() {
     std::filesystem::remove(folder_ / "log");
     router_ = ::fork();
     if (router_ == 0) {
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that ends midway leaves no router to other tests
+      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that is killed must not leave a router behind
       ::setenv("LB_CONFIG", (folder_ / "config.json").c_str(), 1);
-      if (with_file_) ::setenv("WALKPADDLE_FILE", (folder_ / "walkpaddle.conf").c_str(), 1);
-      if (log_kept_ && std::freopen((folder_ / "log").c_str(), "w", stderr) == nullptr) ::_exit(127);
+      if (has_operator_config_) ::setenv("WALKPADDLE_FILE", (folder_ / "walkpaddle.conf").c_str(), 1);
+      if (keeps_log_ && std::freopen((folder_ / "log").c_str(), "w", stderr) == nullptr) ::_exit(127);
       ::unsetenv("LB_LISTEN");
       const auto* program = std::getenv("WALKPADDLE");
       ::execl(program, program, nullptr);
@@ -509,11 +528,11 @@
     }
   }
 
-  // learnt: the last log line on it, waited for, less what varies; learnt torn|newer|foreign|changed: to its
-  // file
-  void learnt(const std::string& what) {
+  // learnt: waits for a log line on warm start and prints the last one, without the values that vary.
+  // learnt torn|newer|foreign|changed: damages the snapshot file in this way.
+  void snapshot(const std::string& damage) {
     const auto path = folder_ / "learnt.json";
-    if (what.empty()) {
+    if (damage.empty()) {
       for (int n = 0; n < 500; ++n, ::usleep(10000)) {
         std::ifstream in(folder_ / "log");
         std::string last;
@@ -527,39 +546,40 @@
         std::printf("%s\n", last.c_str());
         return;
       }
-      fail("line on what is learnt");
+      fail("log line on warm start");
     }
     std::ifstream in(path);
     std::string text{std::istreambuf_iterator<char>(in), {}};
-    const auto put = [&](const std::string& from, const std::string& to) {
+    const auto replace = [&](const std::string& from, const std::string& to) {
       if (const auto at = text.find(from); at != std::string::npos) text.replace(at, from.size(), to);
     };
-    if (what == "torn") text.resize(text.size() / 2);
-    if (what == "newer") put("\"version\": 1", "\"version\": 2");
-    if (what == "changed") put("\"answers\": ", "\"answers\": 9");
-    if (what == "foreign") text = "hello";
+    if (damage == "torn") text.resize(text.size() / 2);
+    if (damage == "newer") replace("\"version\": 1", "\"version\": 2");
+    if (damage == "changed") replace("\"answers\": ", "\"answers\": 9");
+    if (damage == "foreign") text = "hello";
     std::ofstream(path) << text;
   }
 
-  // The bus opens at another address; the file names it, or holds what is given instead. "torn": half of the
-  // file that names it, "whole": the other half, without a word to the router.
-  void reload(std::string instead) {
-    const bool whole = instead == " whole", torn = instead == " torn";
+  // reload [TEXT]: writes the configuration file and sends SIGHUP. Without TEXT discovery listens at a new
+  // address and the file names it. "torn" writes only the first half of that file; "whole" then writes all of
+  // it, without a signal.
+  void reload(std::string content) {
+    const bool whole = content == " whole", torn = content == " torn";
     if (whole) return void(std::ofstream(folder_ / "config.json") << config_);
-    if (torn) instead.clear();
-    if (instead.empty()) {
-      old_bus_ = std::exchange(bus_, {});
-      bus_.fd = listen_at(bus_.port);
-      const auto from = "\"bus\":\"127.0.0.1:" + std::to_string(old_bus_.port);
+    if (torn) content.clear();
+    if (content.empty()) {
+      old_discovery_ = std::exchange(discovery_, {});
+      discovery_.fd = listen_on_any_port(discovery_.port);
+      const auto from = "\"bus\":\"127.0.0.1:" + std::to_string(old_discovery_.port);
       const auto at = config_.find(from);
-      config_.replace(at, from.size(), "\"bus\":\"127.0.0.1:" + std::to_string(bus_.port));
+      config_.replace(at, from.size(), "\"bus\":\"127.0.0.1:" + std::to_string(discovery_.port));
     }
-    if (torn) instead = config_.substr(0, config_.size() / 2);
-    std::ofstream(folder_ / "config.json") << (instead.empty() ? config_ : instead);
+    if (torn) content = config_.substr(0, config_.size() / 2);
+    std::ofstream(folder_ / "config.json") << (content.empty() ? config_ : content);
     ::kill(router_, SIGHUP);
   }
 
-  void exited() {
+  void print_exit() {
     int status = 0;
     ::waitpid(std::exchange(router_, -1), &status, 0);
     std::printf("router exits with %d\n", WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status));
@@ -568,11 +588,11 @@
   pid_t router_ = -1;
   standins::Ports ports_;
   int port_ = 0, dns_port_ = 0, event_ = 1;
-  bool with_file_ = false, log_kept_ = false;
+  bool has_operator_config_ = false, keeps_log_ = false;
   std::filesystem::path folder_;
-  std::map<std::string, Conn> client_listener_;
+  std::map<std::string, Connection> clients_;
   std::map<std::string, Server> servers_;
-  Server bus_, old_bus_;
+  Server discovery_, old_discovery_;
   std::string config_;
 };
 
@@ -580,146 +600,150 @@
 
 int main() try {
   const auto owned = make_routing_policy(7);
-  auto& brain = *owned;
+  auto& policy = *owned;
   Seconds now = 1000;
-  std::set<Seconds> wakes;
-  std::vector<std::string> members, txns;
-  const auto pull = [&] {
-    while (const auto d = brain.next()) {
+  std::set<Seconds> wake_times;
+  std::vector<std::string> endpoints, requests;
+  const auto print_decisions = [&] {
+    while (const auto d = policy.next()) {
       using Kind = Decision::Kind;
       if (d->kind == Kind::wake_up) {
-        wakes.insert(d->time);
+        wake_times.insert(d->time);
         continue;
       }
       std::printf("%8.3f ", now - 1000);
-      const auto* txn = d->request < 0 ? "" : txns[d->request].c_str();
+      const auto* request = d->request < 0 ? "" : requests[d->request].c_str();
       if (d->kind == Kind::forward) {
-        std::printf("%s to %s from %s rank %d", txn, members[d->endpoint].c_str(), members[d->source].c_str(),
-                    d->retention_rank);
+        std::printf("%s to %s from %s rank %d", request, endpoints[d->endpoint].c_str(),
+                    endpoints[d->source].c_str(), d->retention_rank);
         if (d->max_age > 0) std::printf(" age %.3f", d->max_age);
         if (d->time > 0) std::printf(" for %.3f", d->time);
         if (d->start_by > 0) std::printf(" by %.3f", d->start_by - 1000);
-        if (d->cached_only) std::printf(" held only");
+        if (d->cached_only) std::printf(" cached only");
         if (d->join_fill) std::printf(" join");
       } else if (d->kind == Kind::cancel) {
-        std::printf("%s call off hop %d", txn, d->attempt);
+        std::printf("%s cancel attempt %d", request, d->attempt);
       } else if (d->kind == Kind::reject) {
-        std::printf("%s rejected, pause %.3f", txn, d->time);
+        std::printf("%s rejected, retry after %.3f", request, d->time);
       } else if (d->kind == Kind::fail) {
-        std::printf("%s aborted", txn);
+        std::printf("%s failed", request);
       } else {
-        std::printf("subscribe");
+        std::printf("poll discovery");
       }
       std::printf("\n");
     }
   };
-  const auto list = [&](const Line& l, int kind) {
+  const auto update_endpoints = [&](const ScriptLine& l, int kind) {
     for (std::size_t n = 1; n < l.words.size(); ++n)
-      brain.update_endpoint(index_of(members, l.words[n]), hash_of(l.words[n]), static_cast<int>(l.num("at")),
-                            kind, 0,
-                            static_cast<EndpointState>(l.pick("is", {"gone", "ready", "draining"}) +
-                                                       (l.pairs.count("is") ? 0 : 1)),
-                            l.num("weight", 1), l.pairs.count("age") ? now - l.num("age") : 0);
+      policy.update_endpoint(index_or_add(endpoints, l.words[n]), hash_of(l.words[n]),
+                             static_cast<int>(l.number("at")), kind, 0,
+                             static_cast<EndpointState>(l.index_in("is", {"gone", "ready", "draining"}) +
+                                                        (l.pairs.count("is") ? 0 : 1)),
+                             l.number("weight", 1), l.pairs.count("age") ? now - l.number("age") : 0);
   };
   purge::PurgeIndex purge_index({.max_age = 7, .entries_per_kind = 4096, .objects = 4});
-  std::vector<std::pair<std::uint64_t, std::uint32_t>> about;  // object and group, by txn
-  const auto tell_purges = [&] {
-    for (std::size_t n = 0; n < about.size(); ++n)
-      brain.set_valid_since(static_cast<int>(n),
-                            purge_index.valid_since(about[n].first, about[n].second, {}, now));
+  std::vector<std::pair<std::uint64_t, std::uint32_t>> objects;  // object and group, by request
+  const auto update_valid_since = [&] {
+    for (std::size_t n = 0; n < objects.size(); ++n)
+      policy.set_valid_since(static_cast<int>(n),
+                             purge_index.valid_since(objects[n].first, objects[n].second, {}, now));
   };
-  const auto taken = [&](int txn, std::uint64_t object, const Line& l) {
-    const auto group = static_cast<std::uint32_t>(l.num("group"));
-    brain.request_received(txn, static_cast<int>(l.num("rule")), object, static_cast<int>(l.num("part")),
-                           group, l.num("kb"), now + l.num("for", 5), l.num("repeat") > 0);
-    if (l.pairs.count("stands")) brain.set_represented_requests(txn, l.num("flight", 1), l.num("stands"));
-    about.resize(std::max(about.size(), static_cast<std::size_t>(txn) + 1));
-    about[static_cast<std::size_t>(txn)] = {object, group};
+  const auto receive_request = [&](int request, std::uint64_t object, const ScriptLine& l) {
+    const auto group = static_cast<std::uint32_t>(l.number("group"));
+    policy.request_received(request, static_cast<int>(l.number("rule")), object,
+                            static_cast<int>(l.number("part")), group, l.number("kb"),
+                            now + l.number("for", 5), l.number("repeat") > 0);
+    if (l.pairs.count("stands"))
+      policy.set_represented_requests(request, l.number("flight", 1), l.number("stands"));
+    objects.resize(std::max(objects.size(), static_cast<std::size_t>(request) + 1));
+    objects[static_cast<std::size_t>(request)] = {object, group};
   };
-  Stage stage;
-  brain.clock(now);
+  RouterScript router_script;
+  policy.clock(now);
   for (std::string text; std::getline(std::cin, text);) {
-    const Line l(text);
+    const ScriptLine l(text);
     if (l.words.empty()) continue;
-    const auto& what = l.words[0];
-    if (what == "#") {
+    const auto& command = l.words[0];
+    if (command == "#") {
       std::printf("%s\n", text.c_str());
-    } else if (what == "told") {
-      const auto told = net::parse_answer_report(text.substr(5));
-      std::printf(" waited %.3f, busy %.2f\n", told.fill_wait, told.load);
+    } else if (command == "told") {
+      const auto report = net::parse_answer_report(text.substr(5));
+      std::printf(" fill wait %.3f, load %.2f\n", report.fill_wait, report.load);
       continue;
-    } else if (what == "resp" || what == "frames") {
-      play_bytes(what, unescaped(text.substr(what.size() + 1)));
+    } else if (command == "resp" || command == "frames") {
+      play_parser(command, unescape(text.substr(command.size() + 1)));
       continue;
-    } else if (what == "config") {
-      play_config(text.substr(7));
+    } else if (command == "config") {
+      print_config(text.substr(7));
       continue;
-    } else if (stage.play(text)) {
+    } else if (router_script.play(text)) {
       std::fflush(stdout);
       continue;
-    } else if (what == "setup") {
-      brain.set_placement({0, static_cast<int>(l.num("seats", 1)), static_cast<int>(l.num("routers", 2))});
-      brain.set_roles({8, 9, l.num("direct", 1) > 0});
-      brain.set_retries({static_cast<int>(l.num("hops", 6)), l.num("calloff", 1) > 0});
-      brain.set_fills({static_cast<SiblingFills>(l.pick("siblings", {"none", "location", "any"})),
-                       l.num("join", 1) > 0, l.num("notes", 1) > 0 ? FillReporting::all : FillReporting::none,
-                       1000});
-      brain.set_slow_start({0.2, l.num("multiple", 2), 16, 2}, {0.08, 2, 20, 2});
-      brain.set_weights_are_transfers(l.num("weights") > 0);
-      brain.set_client_settings({l.num("marks", 1) > 0, 0.5});
-    } else if (what == "rule") {
+    } else if (command == "setup") {
+      policy.set_placement(
+          {0, static_cast<int>(l.number("seats", 1)), static_cast<int>(l.number("routers", 2))});
+      policy.set_roles({8, 9, l.number("direct", 1) > 0});
+      policy.set_retries({static_cast<int>(l.number("hops", 6)), l.number("calloff", 1) > 0});
+      policy.set_fills({static_cast<SiblingFills>(l.index_in("siblings", {"none", "location", "any"})),
+                        l.number("join", 1) > 0,
+                        l.number("notes", 1) > 0 ? FillReporting::all : FillReporting::none, 1000});
+      policy.set_slow_start({0.2, l.number("multiple", 2), 16, 2}, {0.08, 2, 20, 2});
+      policy.set_weights_are_transfers(l.number("weights") > 0);
+      policy.set_client_settings({l.number("marks", 1) > 0, 0.5});
+    } else if (command == "rule") {
       RequestClass r;
-      r.idempotency = static_cast<Idempotency>(l.pick("effect", {"repeatable", "keyed", "unrepeatable"}));
-      r.deduplication = static_cast<DeduplicationScope>(l.pick("group", {"all", "location", "cell"}));
-      r.deduplication_window = l.num("window", 5);
-      r.latency_objective = l.num("sla", 0.4);
-      r.latency_objective_stretch = l.num("stretch", 2);
-      r.deadline = l.num("limit", 5);
-      r.max_age = l.num("fresh");
-      r.priority = l.num("importance", 1);
-      r.uncacheable = l.num("uncacheable") > 0;
-      r.in_parts = l.num("parts") > 0;
-      brain.add_request_class(r);
-    } else if (what == "cache" || what == "par" || what == "origin") {
-      brain.begin_endpoint_list(false);
-      list(l, what == "cache" ? 1 : what == "par" ? 8 : 9);
-      brain.end_endpoint_list();
-    } else if (what == "at") {
+      r.idempotency = static_cast<Idempotency>(l.index_in("effect", {"repeatable", "keyed", "unrepeatable"}));
+      r.deduplication = static_cast<DeduplicationScope>(l.index_in("group", {"all", "location", "cell"}));
+      r.deduplication_window = l.number("window", 5);
+      r.latency_objective = l.number("sla", 0.4);
+      r.latency_objective_stretch = l.number("stretch", 2);
+      r.deadline = l.number("limit", 5);
+      r.max_age = l.number("fresh");
+      r.priority = l.number("importance", 1);
+      r.uncacheable = l.number("uncacheable") > 0;
+      r.in_parts = l.number("parts") > 0;
+      policy.add_request_class(r);
+    } else if (command == "cache" || command == "par" || command == "origin") {
+      policy.begin_endpoint_list(false);
+      update_endpoints(l, command == "cache" ? 1 : command == "par" ? 8 : 9);
+      policy.end_endpoint_list();
+    } else if (command == "at") {
       const Seconds until = 1000 + std::stod(l.words[1]);
-      while (!wakes.empty() && *wakes.begin() <= until) {
-        now = *wakes.begin();
-        wakes.erase(wakes.begin());
-        brain.clock(now);
-        brain.timer_fired();
-        pull();
+      while (!wake_times.empty() && *wake_times.begin() <= until) {
+        now = *wake_times.begin();
+        wake_times.erase(wake_times.begin());
+        policy.clock(now);
+        policy.timer_fired();
+        print_decisions();
       }
-      brain.clock(now = until);
-    } else if (what == "txn") {
+      policy.clock(now = until);
+    } else if (command == "txn") {
       for (std::size_t n = 1; n < l.words.size(); ++n)
-        taken(index_of(txns, l.words[n]), hash_of(l.pairs.count("object") ? l.pairs.at("object") : "a"), l);
-    } else if (what == "ended") {
-      const auto verdict = static_cast<AttemptOutcome>(l.pick("as", kVerdicts));
-      brain.attempt_ended(index_of(txns, l.words[1]), static_cast<int>(l.num("hop")), verdict,
-                          static_cast<FillOutcome>(l.pick("note", kNotes)), l.num("took", 0.1),
-                          l.num("waited"), l.num("sending"),
-                          l.num("over", verdict == AttemptOutcome::served) > 0);
-    } else if (what == "busy") {
-      brain.load_reported(index_of(members, l.words[1]), l.num("load"));
-    } else if (what == "left") {
-      brain.client_left(index_of(txns, l.words[1]));
-    } else if (what == "purge") {
-      purge_index.add_object(hash_of(l.words[1]), now - l.num("ago"));
-    } else if (what == "purge-group") {
-      purge_index.add_group(static_cast<std::uint32_t>(std::stoul(l.words[1])), now - l.num("ago"));
-    } else if (what == "within") {
-      brain.set_max_copy_age(l.num("age"));
+        receive_request(index_or_add(requests, l.words[n]),
+                        hash_of(l.pairs.count("object") ? l.pairs.at("object") : "a"), l);
+    } else if (command == "ended") {
+      const auto outcome = static_cast<AttemptOutcome>(l.index_in("as", kOutcomeWords));
+      policy.attempt_ended(index_or_add(requests, l.words[1]), static_cast<int>(l.number("hop")), outcome,
+                           static_cast<FillOutcome>(l.index_in("note", kFillWords)), l.number("took", 0.1),
+                           l.number("waited"), l.number("sending"),
+                           l.number("over", outcome == AttemptOutcome::served) > 0);
+    } else if (command == "busy") {
+      policy.load_reported(index_or_add(endpoints, l.words[1]), l.number("load"));
+    } else if (command == "left") {
+      policy.client_left(index_or_add(requests, l.words[1]));
+    } else if (command == "purge") {
+      purge_index.add_object(hash_of(l.words[1]), now - l.number("ago"));
+    } else if (command == "purge-group") {
+      purge_index.add_group(static_cast<std::uint32_t>(std::stoul(l.words[1])), now - l.number("ago"));
+    } else if (command == "within") {
+      policy.set_max_copy_age(l.number("age"));
     } else {
-      std::cerr << "what is '" << what << "'?\n";
+      std::cerr << "unknown command '" << command << "'\n";
       return 1;
     }
-    tell_purges();
-    pull();
+    update_valid_since();
+    print_decisions();
   }
 } catch (const std::exception&) {
-  return 1;  // what was missing is in the trace
+  return 1;  // the trace says what was missing
 }
