--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -84,14 +84,14 @@
   std::string members;
   for (int s = 0; s < setup_.boxes + 2; ++s) {
     if (s > 0) members += ",";
-    members += member_text(boxes_[static_cast<std::size_t>(s)]->id(),
-                           boxes_[static_cast<std::size_t>(s)]->port(), s < setup_.boxes ? "edge" : "hub",
-                           s < setup_.boxes    ? "cache"
-                           : s == setup_.boxes ? "parent"
-                                               : "origin");
+    members += endpoint_json(boxes_[static_cast<std::size_t>(s)]->id(),
+                             boxes_[static_cast<std::size_t>(s)]->port(), s < setup_.boxes ? "edge" : "hub",
+                             s < setup_.boxes    ? "cache"
+                             : s == setup_.boxes ? "parent"
+                                                 : "origin");
   }
-  std::ofstream(r.folder + "/config.json")
-      << config_text(fmt::format("r{}", n), r.port, r.bus.port, members, R"({"sockets":128,"memory_mb":32})");
+  std::ofstream(r.folder + "/config.json") << platform_config_json(
+      fmt::format("r{}", n), r.port, r.bus.port, members, R"({"sockets":128,"memory_mb":32})");
   if (setup_.store) std::filesystem::create_directory(r.folder + "/store");
   std::ofstream file(r.folder + "/walkpaddle.conf");
   if (!setup_.share) return;
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -404,7 +404,8 @@
 TEST_CASE("given all descriptors taken when the bus breaks, then the list is followed all the same") {
   Stand s;
   const Ear bus;
-  const auto config = config::parse_platform_config(config_text("n0", 1, bus.address.port, "", "{}"));
+  const auto config =
+      config::parse_platform_config(platform_config_json("n0", 1, bus.address.port, "", "{}"));
   purge::PurgeRegistry purges({}, s.scheduler.now());
   RequestDispatcher dispatcher(s.scheduler, 7, config.settings, purges);
   UpstreamPool caches(s.scheduler, s.outbox, s.log, {8, 32, 1, 60, true});
@@ -527,7 +528,7 @@
     "sent") {
   CachesStand s;
   const Ear full(0);
-  const auto config = config::parse_platform_config(config_text("n0", 1, 1, "", "{}"));
+  const auto config = config::parse_platform_config(platform_config_json("n0", 1, 1, "", "{}"));
   purge::PurgeRegistry purges({}, s.scheduler.now());
   RequestDispatcher dispatcher(s.scheduler, 7, config.settings, purges);
   DiscoveryClient list(s.scheduler, s.outbox, s.log, dispatcher, s.caches);
@@ -621,7 +622,7 @@
     asked.reset(), handle.reset();
   }
   const std::string answered = resp_array_text({"1", "RESULT", "etag=1", "one"});
-  config::PlatformConfig config = config::parse_platform_config(config_text("n0", 1, 1, "", "{}"));
+  config::PlatformConfig config = config::parse_platform_config(platform_config_json("n0", 1, 1, "", "{}"));
   purge::PurgeRegistry purges{{}, scheduler.now()};
   RequestDispatcher dispatcher{scheduler, 7, config.settings, purges};
   std::string tag;
@@ -713,7 +714,7 @@
     return got.size() < 8 ? -1 : got[7];
   }
 
-  config::PlatformConfig config = config::parse_platform_config(config_text("n0", 1, 1, "", "{}"));
+  config::PlatformConfig config = config::parse_platform_config(platform_config_json("n0", 1, 1, "", "{}"));
   purge::PurgeRegistry purges{{}, scheduler.now()};
   RequestDispatcher dispatcher{scheduler, 7, config.settings, purges};
   UpstreamPool caches{scheduler, outbox, log, {8, 32, 1, 60, true}};
--- a/tests/fleet_sockets.cpp
+++ b/tests/fleet_sockets.cpp
@@ -132,13 +132,13 @@
     std::string members;
     for (int s = 0; s < kBoxes + 2; ++s) {
       if (s > 0) members += ",";
-      members += member_text(servers_[s]->id(), servers_[s]->port(), s < kBoxes ? "edge" : "hub",
-                             s < kBoxes    ? "cache"
-                             : s == kBoxes ? "parent"
-                                           : "origin");
+      members += endpoint_json(servers_[s]->id(), servers_[s]->port(), s < kBoxes ? "edge" : "hub",
+                               s < kBoxes    ? "cache"
+                               : s == kBoxes ? "parent"
+                                             : "origin");
     }
-    std::ofstream(r.folder + "/config.json")
-        << config_text(fmt::format("r{}", n), r.port, 0, members, R"({"sockets":128,"memory_mb":32})");
+    std::ofstream(r.folder + "/config.json") << platform_config_json(
+        fmt::format("r{}", n), r.port, 0, members, R"({"sockets":128,"memory_mb":32})");
     std::ofstream file(r.folder + "/walkpaddle.conf");
     file << fmt::format(
         "fleet {{\n name = \"r{}\"\n listen = \"127.0.0.1:{}\"\n lease = {}\n copy_life = 1000\n", n,
--- a/tests/hunt.cpp
+++ b/tests/hunt.cpp
@@ -222,7 +222,7 @@
   Outbox outbox(scheduler, 64 << 20);
   const Fd ear = listen_on(Address{0x7f000001, 0});
   const Address address{0x7f000001, static_cast<std::uint16_t>(standins::port_of(ear.get()))};
-  const auto config = config::parse_platform_config(config_text("n0", 1, address.port, "", "{}"));
+  const auto config = config::parse_platform_config(platform_config_json("n0", 1, address.port, "", "{}"));
   purge::PurgeRegistry purges({}, scheduler.now());
   net::RequestDispatcher dispatcher(scheduler, 7, config.settings, purges);
   net::UpstreamPool caches(scheduler, outbox, log, {8, 32, 1, 60, true});
--- a/tests/platform.h
+++ b/tests/platform.h
@@ -3,15 +3,15 @@
 
 #include <string>
 
-inline std::string member_text(const std::string& id, int port, const std::string& where,
-                               const std::string& kind) {
+inline std::string endpoint_json(const std::string& id, int port, const std::string& where,
+                                 const std::string& kind) {
   return R"({"id":")" + id + R"(","host_port":"127.0.0.1:)" + std::to_string(port) + R"(","locality":")" +
          where + R"(","flavor":")" + kind + R"(","cell":0,"phase":"ready","size":1,"up_since_ms":0})";
 }
 
 // `bus`: its port, 0 for none. `limits`: the object's text.
-inline std::string config_text(const std::string& name, int port, int bus, const std::string& members,
-                               const std::string& limits) {
+inline std::string platform_config_json(const std::string& name, int port, int bus,
+                                        const std::string& members, const std::string& limits) {
   const auto bus_text = bus == 0 ? "" : R"("bus":"127.0.0.1:)" + std::to_string(bus) + R"(",)";
   return R"({"name":")" + name + R"(","seed":"7","listen":"127.0.0.1:)" + std::to_string(port) + R"(",)" +
          bus_text + R"("known":{"offset":1,"batch":[{"offset":1,"topology":{"complete":true,"members":[)" +
--- a/tests/starts.cpp
+++ b/tests/starts.cpp
@@ -130,10 +130,10 @@
   std::string members, events;
   for (int n = 0; n < 200; ++n)
     members += fmt::format("{}{}", n > 0 ? "," : "",
-                           member_text(fmt::format("s-{:08x}", n), 9, n < 190 ? "edge" : "hub",
-                                       n < 190   ? "cache"
-                                       : n < 199 ? "parent"
-                                                 : "origin"));
+                           endpoint_json(fmt::format("s-{:08x}", n), 9, n < 190 ? "edge" : "hub",
+                                         n < 190   ? "cache"
+                                         : n < 199 ? "parent"
+                                                   : "origin"));
   for (int n = 0; n < 2000; ++n)
     events += fmt::format(R"(,{{"offset":{},"ban":{{"url":"{:016x}","ts":{}}}}})", n + 2, n * 7919,
                           1'760'000'000'000 + n);
@@ -141,8 +141,8 @@
   const Seconds started = now();
   for (int n = 0; n < 40; ++n) {
     const int port = ports.take();
-    auto config =
-        config_text(fmt::format("n{}", n), port, bus.port, members, R"({"sockets":512,"memory_mb":48})");
+    auto config = platform_config_json(fmt::format("n{}", n), port, bus.port, members,
+                                       R"({"sockets":512,"memory_mb":48})");
     put(config, R"(]}}]})", R"(]}})" + events + "]}");
     put(config, R"("known":{"offset":1)", R"("known":{"offset":2001)");
     programs.push_back(std::make_unique<Program>(fmt::format("start{}", n), config, port));
@@ -164,11 +164,11 @@
   const Deaf bus, cache;
   standins::Ports ports;
   const int port = ports.take();
-  auto config = config_text("n0", port, bus.port,
-                            member_text("s-00000001", cache.port, "edge", "cache") + "," +
-                                member_text("s-00000002", cache.port, "hub", "parent") + "," +
-                                member_text("s-00000003", cache.port, "hub", "origin"),
-                            R"({"sockets":128,"memory_mb":32})");
+  auto config = platform_config_json("n0", port, bus.port,
+                                     endpoint_json("s-00000001", cache.port, "edge", "cache") + "," +
+                                         endpoint_json("s-00000002", cache.port, "hub", "parent") + "," +
+                                         endpoint_json("s-00000003", cache.port, "hub", "origin"),
+                                     R"({"sockets":128,"memory_mb":32})");
   put(config, R"("deadline":2000)", fmt::format(R"("deadline":{})", limit_ms));
   put(config, R"("deadline":4000)", fmt::format(R"("deadline":{})", limit_ms));
   Program p("end", config, port);
@@ -206,10 +206,10 @@
   REQUIRE(pipe);
   REQUIRE(::kill(p.pid, SIGHUP) == 0);
   // What stands in the file from now on names another bus.
-  std::ofstream(p.folder / "new") << config_text("n0", port, after.port, "",
-                                                 R"({"sockets":64,"memory_mb":16})");
+  std::ofstream(p.folder / "new") << platform_config_json("n0", port, after.port, "",
+                                                          R"({"sockets":64,"memory_mb":16})");
   std::filesystem::rename(p.folder / "new", path);
-  const auto text = config_text("n0", port, before.port, "", R"({"sockets":64,"memory_mb":16})");
+  const auto text = platform_config_json("n0", port, before.port, "", R"({"sockets":64,"memory_mb":16})");
   REQUIRE(::write(pipe.get(), text.data(), text.size()) == static_cast<ssize_t>(text.size()));
   pipe = Fd();
   for (const Seconds since = now(); !p.ready() && now() < since + 10;) ::usleep(10'000);
@@ -228,7 +228,7 @@
   REQUIRE(::pipe2(ends, O_CLOEXEC) == 0);
   Fd reader(ends[0]), writer(ends[1]);
   ::fcntl(writer.get(), F_SETPIPE_SZ, 4096);
-  Program p("log", config_text("n0", port, bus.port, "", R"({"sockets":64,"memory_mb":16})"), port,
+  Program p("log", platform_config_json("n0", port, bus.port, "", R"({"sockets":64,"memory_mb":16})"), port,
             writer.get());
   for (const Seconds since = now(); !p.ready() && now() < since + 10;) ::usleep(10'000);
   writer = Fd();
--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -480,7 +480,7 @@
   std::string add_server(const std::string& name, const char* where, const char* kind) {
     auto& s = servers_[name];
     s.fd = listen_on_any_port(s.port);
-    return member_text(server_id(name), s.port, where, kind);
+    return endpoint_json(server_id(name), s.port, where, kind);
   }
 
   // router [dns|learnt] CACHE ...: starts the router, with an operator's file that enables DNS lookups or
@@ -496,8 +496,9 @@
     list += add_server("par", "hub", "parent") + "," + add_server("origin", "hub", "origin");
     discovery_.fd = listen_on_any_port(discovery_.port);
     port_ = ports_.take();
-    config_ = config_text("n0", port_, discovery_.port, list,
-                          with_dns ? R"({"sockets":80,"memory_mb":8})" : R"({"sockets":40,"memory_mb":3})");
+    config_ = platform_config_json(
+        "n0", port_, discovery_.port, list,
+        with_dns ? R"({"sockets":80,"memory_mb":8})" : R"({"sockets":40,"memory_mb":3})");
     folder_ = std::filesystem::temp_directory_path() / ("walkpaddle-" + std::to_string(::getpid()));
     std::filesystem::create_directory(folder_);
     std::ofstream(folder_ / "config.json") << config_;
