--- a/tests/platform.h
+++ b/tests/platform.h
@@ -1,21 +1,26 @@
-// A configuration as the platform hands it, for tests: two cacheable rules of one kind, one that is not.
+// The platform's configuration for tests, with two request classes: "page" may be repeated; "order" runs at
+// most once and is uncacheable.
 #pragma once
 
 #include <string>
 
-inline std::string endpoint_json(const std::string& id, int port, const std::string& where,
+// An endpoint on loopback, as an entry of the endpoint list.
+inline std::string endpoint_json(const std::string& id, int port, const std::string& location,
                                  const std::string& kind) {
   return R"({"id":")" + id + R"(","host_port":"127.0.0.1:)" + std::to_string(port) + R"(","locality":")" +
-         where + R"(","flavor":")" + kind + R"(","cell":0,"phase":"ready","size":1,"up_since_ms":0})";
+         location + R"(","flavor":")" + kind + R"(","cell":0,"phase":"ready","size":1,"up_since_ms":0})";
 }
 
-// `bus`: its port, 0 for none. `limits`: the object's text.
-inline std::string platform_config_json(const std::string& name, int port, int bus,
-                                        const std::string& members, const std::string& limits) {
-  const auto bus_text = bus == 0 ? "" : R"("bus":"127.0.0.1:)" + std::to_string(bus) + R"(",)";
+// `discovery_port`: 0 for none. `endpoints`: entries by endpoint_json(), separated by commas. `limits`: a
+// JSON object.
+inline std::string platform_config_json(const std::string& name, int port, int discovery_port,
+                                        const std::string& endpoints, const std::string& limits) {
+  const auto discovery_json =
+      discovery_port == 0 ? "" : R"("bus":"127.0.0.1:)" + std::to_string(discovery_port) + R"(",)";
   return R"({"name":")" + name + R"(","seed":"7","listen":"127.0.0.1:)" + std::to_string(port) + R"(",)" +
-         bus_text + R"("known":{"offset":1,"batch":[{"offset":1,"topology":{"complete":true,"members":[)" +
-         members + R"(]}}]},"limits":)" + limits +
+         discovery_json +
+         R"("known":{"offset":1,"batch":[{"offset":1,"topology":{"complete":true,"members":[)" + endpoints +
+         R"(]}}]},"limits":)" + limits +
          R"(,"settings":{"allowed":{"cancel":true,"dial_timeout":2000,"idle_close":15000,
       "max_attempts":4,"max_retry_after":500,"retry_after":true,"streams_per_conn":32},"categories":[
       {"name":"page","aim":3000,"aim_stretch":2,"deadline":2000,"effect":"free","gain":1},
