--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -279,8 +279,8 @@
       a.sin_family = AF_INET;
       a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
       a.sin_port = htons(static_cast<std::uint16_t>(port));
-      const int room = 16 * 1024;  // small, so that unread answers stay buffered at the router
-      ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
+      const int buffer_bytes = 16 * 1024;  // small, so that unread answers stay buffered at the router
+      ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &buffer_bytes, sizeof buffer_bytes);
       if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&a), sizeof a) == 0) return fd;
     }
     fail("connect");
@@ -314,10 +314,10 @@
         return text;
       }
       if (!readable(c.fd.get(), ms)) return "nothing";
-      char room[65536];
-      const auto got = ::recv(c.fd.get(), room, sizeof room, 0);
+      char buffer[65536];
+      const auto got = ::recv(c.fd.get(), buffer, sizeof buffer, 0);
       if (got <= 0) return "closed";
-      c.unparsed.append(room, static_cast<std::size_t>(got));
+      c.unparsed.append(buffer, static_cast<std::size_t>(got));
     }
   }
 
@@ -382,9 +382,9 @@
       std::printf("%s %s: nothing\n", type.c_str(), name.c_str());
       return;
     }
-    char room[4096];
-    const auto got = ::recv(fd.get(), room, sizeof room, 0);
-    std::string_view reply(room, static_cast<std::size_t>(std::max<ssize_t>(0, got)));
+    char buffer[4096];
+    const auto got = ::recv(fd.get(), buffer, sizeof buffer, 0);
+    std::string_view reply(buffer, static_cast<std::size_t>(std::max<ssize_t>(0, got)));
     if (tcp) reply.remove_prefix(std::min<std::size_t>(2, reply.size()));
     auto text = describe(reply);
     for (const auto& [other, server] : servers_)
@@ -454,9 +454,9 @@
       if (!readable(discovery_.fd.get(), 10000)) fail("router at discovery");
       discovery_.connections.clear();
       discovery_.connections.push_back({Fd(::accept(discovery_.fd.get(), nullptr, nullptr)), ""});
-      char hello[8];
-      if (::recv(discovery_.connections[0].fd.get(), hello, 8, MSG_WAITALL) != 8) fail("subscription");
-      std::printf("events requested from number %d\n", hello[7]);
+      char subscription[8];
+      if (::recv(discovery_.connections[0].fd.get(), subscription, 8, MSG_WAITALL) != 8) fail("subscription");
+      std::printf("events requested from number %d\n", subscription[7]);
     } else if (w[1] == "down") {
       discovery_.connections.clear();
     } else if (w[1] == "counts") {  // number of the last event; the next one follows it
