--- a/soak/clients.cpp
+++ b/soak/clients.cpp
@@ -14,21 +14,20 @@
 namespace {
 
 constexpr std::uint32_t kLoopback = 0x7f000001;
-constexpr Seconds kCloseCrossing =
-    0.05;                          // a request that crosses an idle close within that is sent again, once
-constexpr Seconds kIdleClose = 4;  // clients close connections that rest so long
-constexpr Seconds kLongestRequestWrite =
-    0.2;  // of a request that trickles: it was begun so long before its last byte
-constexpr double kCancelProbability = 0.005;  // of the looks at what is open
+// A request sent up to this long before an idle close crosses it, and is sent again once.
+constexpr Seconds kCloseCrossing = 0.05;
+constexpr Seconds kIdleClose = 4;              // clients close a connection after this idle time
+constexpr Seconds kLongestRequestWrite = 0.2;  // from the first to the last byte of a request sent in pieces
+constexpr double kCancelProbability = 0.005;   // per pass of a connection's loop with open requests
 constexpr int kMinConnections = 4;
-constexpr double kRequestsPerConnection = 8;  // requests a second: many rest, or ask a few times
+constexpr double kRequestsPerConnection = 8;  // requests per second; many connections idle or send only a few
 
 }  // namespace
 
-// One connection and what is open on it.
+// One connection and the requests that are open on it.
 struct Clients::Session {
   std::shared_ptr<FaultyConnection> connection;
-  int start = 0;  // of the process that it reached
+  int start = 0;  // number of the process start that accepted the connection
   Seconds connected = 0, quiet_since = 0;
   int answers = 0, tag = 0;
   std::map<std::string, Oracle::Request> open;  // by tag
@@ -67,19 +66,19 @@
   return fd ? std::make_shared<FaultyConnection>(scheduler_, outbox_, std::move(fd)) : nullptr;
 }
 
-// Asks a router that starts whether it is ready.
+// Sends readiness probes to a router that is starting.
 Task Clients::probe_readiness() {
-  constexpr Seconds kAsk = 0.02, kAnswer = 0.5;
+  constexpr Seconds kProbeInterval = 0.02, kAnswerTimeout = 0.5;
   Event pause(scheduler_);
   for (;;) {
-    co_await pause.wait(scheduler_.now() + kAsk);
+    co_await pause.wait(scheduler_.now() + kProbeInterval);
     if (process_.phase() != Process::Phase::starting) continue;
     const auto connection = connect_to_router();
     if (!connection) continue;
-    co_await connection->stream().writable(scheduler_.now() + kAnswer);
+    co_await connection->stream().writable(scheduler_.now() + kAnswerTimeout);
     if (connection->stream().error() != 0) continue;
     connection->write(net::resp_array_text({"ALIVE", "1", ""}));
-    const Seconds until = scheduler_.now() + kAnswer;
+    const Seconds until = scheduler_.now() + kAnswerTimeout;
     while (scheduler_.now() < until && connection->stream().read() == Stream::Came::nothing)
       co_await connection->stream().readable(until);
     if (connection->stream().in().find("\r\nREADY\r\n") != std::string_view::npos) process_.set_ready();
@@ -137,11 +136,11 @@
   }
 }
 
-// The other side ended the connection: which of the requests on it were lost, by the protocol page.
+// The router closed the connection: decides by the platform's protocol which open requests are violations.
 void Clients::handle_connection_end(Session& c) {
-  // A request crosses an idle close if nothing older was open: the connection rested until then.
+  // Requests crossed an idle close if all of them are recent: the connection was idle before they were sent.
   const Seconds now = unix_now();
-  const bool rested = std::ranges::all_of(
+  const bool was_idle = std::ranges::all_of(
       c.open, [&](const auto& o) { return now < o.second.sent + kCloseCrossing + oracle_.worst_lag(); });
   for (const auto& [tag, r] : c.open) {
     --open_;
@@ -150,8 +149,8 @@
     else if (process_.breaks_connections())
       oracle_.excuse(r.id, "the network broke its connection");
     else if (c.answers == 0 && active(FaultKind::clients_crowd))
-      oracle_.excuse(r.id, "a new connection under a crowd");
-    else if (rested)
+      oracle_.excuse(r.id, "its connection was new while many clients connected");
+    else if (was_idle)
       oracle_.record_crossed_close(r.id), to_resend_.push_back(r);
     else
       oracle_.record_connection_end(
@@ -160,7 +159,8 @@
   c.open.clear();
 }
 
-// A request that was on its way when the other side ended a resting connection: not taken, and never sent on.
+// Sends a request on a connection that the router has just closed as idle. The router must neither accept nor
+// forward it.
 void Clients::send_across_close(Session& c) {
   auto request = draw_request();
   c.connection->write(format_request(request, std::to_string(++c.tag)));
@@ -182,7 +182,7 @@
 }
 
 Task Clients::run_connection() {
-  constexpr std::size_t kMostOpen = 24;
+  constexpr std::size_t kMaxOpen = 24;
   Event pause(scheduler_);
   for (;;) {
     co_await pause.wait(scheduler_.now() + 0.02 * uniform());
@@ -195,14 +195,14 @@
     if (!up || stream.error() != 0) continue;
     c.start = process_.start_count();
     c.connected = c.quiet_since = scheduler_.now();
-    // Some ask a few times and rest until somebody ends the connection.
-    int left = 3 + static_cast<int>(40 * uniform());
-    const bool rests = uniform() < 0.3;
+    // Some connections stay open after their last request until either side closes them.
+    int requests_left = 3 + static_cast<int>(40 * uniform());
+    const bool stays_open = uniform() < 0.3;
     for (Seconds next = scheduler_.now();;) {
       const auto came = stream.read();
       if (came == Stream::Came::end) {
         read_answers(c);
-        if (rests && c.open.empty() && stream.error() == 0) {
+        if (stays_open && c.open.empty() && stream.error() == 0) {
           send_across_close(c);
           co_await pause.wait(scheduler_.now() + kCloseCrossing);
         }
@@ -215,8 +215,9 @@
       }
       const Seconds now = scheduler_.now();
       const bool idle = c.open.empty();
-      if (idle && (finished_ || (left <= 0 && !rests) || now > c.quiet_since + kIdleClose)) break;
-      // Some give up what they wait for; where clients leave, many do, and some close at once.
+      if (idle && (finished_ || (requests_left <= 0 && !stays_open) || now > c.quiet_since + kIdleClose))
+        break;
+      // Some requests are cancelled. The fault clients_leave cancels many, and closes some connections.
       const bool leaves = strikes(FaultKind::clients_leave);
       if (!idle && (leaves || uniform() < kCancelProbability)) {
         if (leaves && uniform() < 0.3) {
@@ -232,13 +233,13 @@
         break;
       }
       if (active(FaultKind::clients_read_slowly) && !idle && uniform() < 0.1) {
-        const Seconds away = 0.1 + 0.4 * uniform();
-        for (const auto& [tag, request] : c.open) oracle_.record_read_pause(request.id, away);
-        co_await pause.wait(scheduler_.now() + away);
+        const Seconds read_pause = 0.1 + 0.4 * uniform();
+        for (const auto& [tag, request] : c.open) oracle_.record_read_pause(request.id, read_pause);
+        co_await pause.wait(scheduler_.now() + read_pause);
         continue;
       }
-      if (now >= next && !finished_ && left > 0 && process_.accepts_requests() &&
-          c.start == process_.start_count() && c.open.size() < kMostOpen) {
+      if (now >= next && !finished_ && requests_left > 0 && process_.accepts_requests() &&
+          c.start == process_.start_count() && c.open.size() < kMaxOpen) {
         const double rate = setup_.rate / connection_count() *
                             (active(FaultKind::clients_burst) ? magnitude(FaultKind::clients_burst) : 1);
         next = std::max(next, now - 0.05) + std::exponential_distribution<>(rate)(random_);
@@ -250,7 +251,7 @@
         }
         const auto tag = std::to_string(++c.tag);
         const auto text = format_request(request, tag);
-        --left;
+        --requests_left;
         if (active(FaultKind::clients_trickle)) {
           const auto piece = std::max<std::size_t>(1, text.size() / 4);
           std::size_t at = 0;
@@ -267,13 +268,14 @@
         c.open.emplace(tag, request), ++open_;
         continue;
       }
-      const bool asks = left > 0 && !finished_ && process_.accepts_requests() && c.open.size() < kMostOpen;
-      co_await stream.readable(asks ? std::min(next, now + 0.1) : now + 0.05);
+      const bool may_send =
+          requests_left > 0 && !finished_ && process_.accepts_requests() && c.open.size() < kMaxOpen;
+      co_await stream.readable(may_send ? std::min(next, now + 0.1) : now + 0.05);
     }
   }
 }
 
-// Idle clients that fill the descriptors.
+// Opens idle connections that use up the router's file descriptors.
 Task Clients::open_idle_connections(int connections, Seconds until) {
   std::vector<std::shared_ptr<FaultyConnection>> idle;
   Event pause(scheduler_);
@@ -282,7 +284,7 @@
   co_await pause.wait(until);
 }
 
-// Clients that send nonsense, much at once, or half a message.
+// Sends invalid messages, partial messages and large amounts of invalid data.
 Task Clients::send_malformed() {
   Event pause(scheduler_);
   while (active(FaultKind::clients_spoil)) {
--- a/soak/clients.h
+++ b/soak/clients.h
@@ -1,5 +1,5 @@
-// The clients of one router: connections that ask, rest, leave and come again, with the troubles of a plan;
-// and the front, which lets them come once the router says READY.
+// The clients of one router. Their connections send requests, stay idle, close and are opened again, with the
+// faults of a plan. Clients connect once the router has answered a readiness probe with READY.
 #pragma once
 
 #include <map>
@@ -18,13 +18,13 @@
 class Clients {
  public:
   struct Setup {
-    double rate = 25;  // requests a second, over all connections
+    double rate = 25;  // requests per second, over all connections
     unsigned seed = 1;
     int objects = 200;
   };
   Clients(Scheduler& scheduler, Outbox& outbox, Oracle& oracle, Process& process, const Setup& setup);
   void start();
-  void finish() { finished_ = true; }  // nothing new is asked
+  void finish() { finished_ = true; }  // no new requests are sent
   std::size_t open() const { return open_; }
   void inject(const Fault& fault, Seconds until);
   static std::string item(int object);
@@ -64,8 +64,8 @@
     double magnitude = 0;
   };
   Active active_[kFaultKindCount];
-  std::map<std::string, std::string> etags_;  // of copies that were answered, by item and part
-  std::vector<Oracle::Request> to_resend_;    // crossed an idle close
+  std::map<std::string, std::string> etags_;  // of copies received, by object and part
+  std::vector<Oracle::Request> to_resend_;    // requests that crossed an idle close
 };
 
 }  // namespace walkpaddle::soak
--- a/soak/discovery.cpp
+++ b/soak/discovery.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::uint32_t kLoopback = 0x7f000001;
-constexpr Seconds kDeliveryBound = 7;  // whether or not it arrived, by the protocol page
+constexpr Seconds kDeliveryBound = 7;  // events this old count as delivered, by the protocol
 constexpr std::string_view kZones[] = {"hub", "edge"};
 constexpr std::string_view kModels[] = {"cache", "parent", "origin"};
 
@@ -128,15 +128,16 @@
   for (; w.delivered <= change; ++w.delivered) record_delivery(w, events_[w.delivered], unix_now());
 }
 
-// Events older than the page's bound count as told, unless no watch could have told them.
+// Events older than the protocol's delivery bound count as delivered, unless faults kept the watch from
+// delivering them.
 void Discovery::record_overdue_events(Watch& w) {
-  constexpr Seconds kToFollowAgain = 3;  // a silent watch is left, a new one dialled
+  constexpr Seconds kReconnectTime = 3;  // for a router to drop a silent watch and open a new one
   const Seconds now = scheduler_.now();
   if (now < w.down.until || now < w.silent.until || now < w.trickling.until || now < w.late.until)
     w.healthy_since = now;
   for (; w.delivered < events_.size(); ++w.delivered) {
     const auto& e = events_[w.delivered];
-    if (e.at + kDeliveryBound > unix_now() || now < w.healthy_since + kToFollowAgain) return;
+    if (e.at + kDeliveryBound > unix_now() || now < w.healthy_since + kReconnectTime) return;
     record_delivery(w, e, unix_now());
   }
 }
@@ -163,7 +164,7 @@
     if (unix_now() < e.at + usual + (now < w.late.until ? w.late.magnitude * 10 : 0)) break;
     text += standins::frame_text(next + 2, e.kind, e.payload);
     w.pending_events.push_back({w.connection->queued() + text.size(), next});
-    // Good news counts from its first byte on, bad news from its last.
+    // A ready event ends a drain when its first byte is written; other events count from their last byte.
     if (e.kind == 2 && e.state == standins::Says::ready)
       oracle_.record_ready_event(w.router, w.start, e.server);
   }
--- a/soak/discovery.h
+++ b/soak/discovery.h
@@ -1,5 +1,6 @@
-// Discovery as the platform has it: numbered events from the start of the soak, told to each router over a
-// watch of its own, which a plan may close, silence, trickle or delay. Tells the oracle what was told when.
+// The platform's discovery service. It delivers numbered events from the start of the soak to each router
+// over a watch connection of its own. Faults close the watch, stop it, slow it down or delay its events.
+// Deliveries are reported to the oracle.
 #pragma once
 
 #include <deque>
@@ -21,19 +22,20 @@
   Discovery(Scheduler& scheduler, Outbox& outbox, Oracle& oracle, PurgeHistory& purges, int routers,
             standins::Ports& ports, unsigned seed);
 
-  // What happens; all routers hear of it in time.
+  // Add an event that is delivered to all routers.
   void publish_endpoint(const Endpoint& endpoint, standins::Says state);
   void publish_purge(const std::string& item, int group);
-  // The events up to now as a start of that router is handed them; told to it at once.
+  // Returns the state for the configuration of that process start, as JSON. All events up to now then count
+  // as delivered to it.
   std::string initial_state(int router, int start, const std::vector<std::unique_ptr<Endpoint>>& endpoints);
   int port(int router) const { return watches_[static_cast<std::size_t>(router)]->port; }
-  void move_port(int router);  // to another port; the old one is closed
+  void move_port(int router);  // listens on another port and closes the old one
   void inject(const Fault& fault, Seconds until);
 
  private:
   struct Change {
     Seconds at;
-    int kind;  // of its frame
+    int kind;  // type of its frame
     std::string payload;
     int server = -1;
     standins::Says state = standins::Says::ready;
@@ -45,16 +47,16 @@
     int router = 0, start = 0, port = 0;
     Fd listener;
     std::shared_ptr<FaultyConnection> connection;
-    std::optional<std::size_t> next;  // the first event not written on this connection, once it has asked
+    std::optional<std::size_t> next;  // first event to write; set once the router sent its position
     struct PendingEvent {
-      std::uint64_t end;  // of its frame, among the bytes of this connection
-      std::size_t change;
+      std::uint64_t end;   // offset of the end of its frame in the bytes of this connection
+      std::size_t change;  // index of the event
     };
     std::deque<PendingEvent> pending_events;
-    std::size_t delivered = 0;  // events that count as told to this start
-    Seconds due = 0;            // when the next one leaves
+    std::size_t delivered = 0;  // number of events that count as delivered to this process start
+    Seconds due = 0;            // when the next event is written
     Seconds last_frame_at = 0;  // when the last frame was written
-    Seconds healthy_since = 0;  // not down or silent since
+    Seconds healthy_since = 0;  // since when no fault affects the watch
     struct Active {
       Seconds until = 0;
       double magnitude = 0;
@@ -73,7 +75,7 @@
   PurgeHistory& purges_;
   standins::Ports& ports_;
   std::mt19937 random_;
-  std::vector<Change> events_;  // number n is at n - 2: the first event is the whole list
+  std::vector<Change> events_;  // event n is at index n - 2; event 1 is the full list
   std::vector<std::unique_ptr<Watch>> watches_;
 };
 
--- a/soak/faulty_connection.cpp
+++ b/soak/faulty_connection.cpp
@@ -42,7 +42,7 @@
   if (std::exchange(reset_, true)) return;
   const linger at_once{1, 0};
   ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-  stream_.close();  // its owner drops it
+  stream_.close();  // the owner then drops the object
 }
 
 void FaultyConnection::half_close() { ::shutdown(fd_, SHUT_WR); }
--- a/soak/faulty_connection.h
+++ b/soak/faulty_connection.h
@@ -1,5 +1,5 @@
-// One TCP connection of the soak's side, with the faults of a proxy between it and the router: pieces that
-// trickle, bytes lost on their way out, a reset, a half-close.
+// The soak's end of a TCP connection to a router, with network faults: writes in small delayed pieces, lost
+// writes, a reset, a half-close.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,18 @@
   FaultyConnection(Scheduler& scheduler, Outbox& outbox, Fd fd);
 
   Stream& stream() { return stream_; }
-  void write(std::string_view bytes);  // as the faults have it
+  // Drops the bytes while writes are lost; queues them behind a trickled write that is not finished.
+  void write(std::string_view bytes);
+  // Writes `piece` bytes at a time, every `between` seconds.
   void trickle(const std::string& bytes, std::size_t piece, Seconds between);
   void lose_writes(Seconds until) { lost_until_ = until; }
-  void reset();                                     // the other side gets RST
-  std::uint64_t queued() const { return queued_; }  // bytes given to be written so far
-  std::uint64_t written() const {
-    return queued_ - pieces_.size();
-  }                   // of these, those that do not trickle any more
-  void half_close();  // the other side gets the end of our bytes; we read on
+  void reset();  // sends RST
+  std::uint64_t queued() const {
+    return queued_;
+  }  // bytes passed to write() and trickle(), without lost ones
+  // Of these, the bytes that are not waiting in a trickled write.
+  std::uint64_t written() const { return queued_ - pieces_.size(); }
+  void half_close();  // sends FIN; reading goes on
   bool is_reset() const { return reset_; }
 
  private:
@@ -35,7 +38,7 @@
   Stream stream_;
   Seconds lost_until_ = 0;
   std::uint64_t queued_ = 0;
-  std::string pieces_;  // what trickles, with all that was written behind it
+  std::string pieces_;  // rest of a trickled write and the bytes queued behind it
   bool trickles_ = false, reset_ = false;
 };
 
--- a/soak/oracle.cpp
+++ b/soak/oracle.cpp
@@ -19,9 +19,9 @@
     "copy_named",      "refusal_harmless",    "attempt_after_end", "ends_in_time",
     "stays_up",        "connections_bounded", "refused_bounded",   "guard"};
 
-constexpr Seconds kTimerSlack = 0.05;        // of every time limit on sockets
-constexpr Seconds kAnswerGrace = 0.5;        // an answer so late is not lost yet
-constexpr Seconds kCancellationGrace = 0.1;  // an attempt may begin so long after its client left
+constexpr Seconds kTimerSlack = 0.05;        // for every time limit that is observed on sockets
+constexpr Seconds kAnswerGrace = 0.5;        // after the request's limit
+constexpr Seconds kCancellationGrace = 0.1;  // for attempts that start after the client cancelled
 constexpr Seconds kDeadlineSlack = 0.15;
 constexpr std::size_t kMaxViolations = 200;
 
@@ -33,9 +33,10 @@
 
 std::string_view name_of(Invariant invariant) { return kNames[static_cast<int>(invariant)]; }
 
-void Oracle::report_violation(Invariant invariant, int router, std::uint64_t request, std::string what) {
+void Oracle::report_violation(Invariant invariant, int router, std::uint64_t request,
+                              std::string description) {
   if (violations_.size() < kMaxViolations)
-    violations_.push_back({invariant, unix_now() - began_, router, request, std::move(what)});
+    violations_.push_back({invariant, unix_now() - began_, router, request, std::move(description)});
 }
 
 void Oracle::record_loop_lag(Seconds lag) {
@@ -76,20 +77,20 @@
   ++counts_.checked[static_cast<int>(Invariant::answer_once)];
   if (r.answered_at >= 0)
     return report_violation(Invariant::answer_once, request.router, id,
-                            fmt::format("a second answer, {}", word));
+                            fmt::format("second answer: {}", word));
   r.answered_at = unix_now();
   const Seconds allowed = request.sent + request.limit + request.read_pauses + kAnswerGrace + slack();
   ++counts_.checked[static_cast<int>(Invariant::answer_in_time)];
   if (r.left_at < 0 && r.answered_at > allowed + stalled_time(request.router, request.sent, r.answered_at))
     report_violation(
         Invariant::answer_in_time, request.router, id,
-        fmt::format("{} after {:.3f} s of {:.3f} s", word, r.answered_at - request.sent, request.limit));
+        fmt::format("{} after {:.3f} s, limit {:.3f} s", word, r.answered_at - request.sent, request.limit));
   const bool ran = std::ranges::any_of(r.attempts, &Attempt::ran);
   if (word == "REJECT") {
     ++counts_.rejected, ++counts_.checked[static_cast<int>(Invariant::refusal_harmless)];
     if (ran && request.effect == Idempotency::non_idempotent)
       report_violation(Invariant::refusal_harmless, request.router, id,
-                       "refused though an attempt of it ran");
+                       "rejected although an attempt of it may have run");
     return;
   }
   if (word != "RESULT") return void(++counts_.failed);
@@ -97,7 +98,8 @@
   latencies_.push_back(r.answered_at - request.sent);
   if (request.effect != Idempotency::idempotent) {
     if (r.attempts.empty() || !body.starts_with("done"))
-      report_violation(Invariant::answer_once, request.router, id, "served with what no server made for it");
+      report_violation(Invariant::answer_once, request.router, id,
+                       "served, but no server produced this answer");
     return;
   }
   if (net::field(fields, "notmod").value_or("") == "1") {
@@ -105,15 +107,15 @@
     if (request.etag.empty() ||
         std::ranges::none_of(r.attempts, [&](const Attempt& a) { return a.confirmed_etag == request.etag; }))
       report_violation(Invariant::copy_named, request.router, id,
-                       "a copy is called current that no server named");
+                       "not modified, but no server confirmed the entity tag");
   } else if (!body.starts_with(fmt::format("{}.{}.", request.item, request.part))) {
     report_violation(Invariant::answer_once, request.router, id,
-                     fmt::format("another object's bytes: {}", body.substr(0, 24)));
+                     fmt::format("body of another object: {}", body.substr(0, 24)));
   }
   check_purges(r);
 }
 
-// The copy of the last attempt that was answered is what the client got.
+// The client received the copy of the last attempt that was answered with one.
 void Oracle::check_purges(const Record& r) {
   const auto last = std::find_if(r.attempts.rbegin(), r.attempts.rend(),
                                  [](const Attempt& a) { return a.copy_created > 0; });
@@ -125,13 +127,14 @@
     if (it == purges.end()) continue;
     for (const auto& p : it->second) {
       ++counts_.checked[static_cast<int>(Invariant::purge_kept)];
-      // Whole milliseconds: a copy made in the same one is as good as new.
-      if (last->at > p.told + rules_.purge_grace + slack() && last->copy_created < p.purged - 0.001)
+      // Times on the wire are whole milliseconds: a copy created in the same millisecond as the purge is
+      // current.
+      if (last->at > p.delivered + rules_.purge_grace + slack() && last->copy_created < p.purged - 0.001)
         return report_violation(
             Invariant::purge_kept, request.router, request.id,
-            fmt::format("sent {:.3f} s after the purge was told, answered from a copy {:.3f} s older "
-                        "than it",
-                        last->at - p.told, p.purged - last->copy_created));
+            fmt::format("attempt sent {:.3f} s after the purge was delivered, answered from a copy {:.3f} s "
+                        "older than the purge",
+                        last->at - p.delivered, p.purged - last->copy_created));
     }
   }
 }
@@ -160,7 +163,7 @@
   ++counts_.checked[static_cast<int>(Invariant::attempt_after_end)];
   if (!r.attempts.empty())
     report_violation(Invariant::attempt_after_end, r.request.router, id,
-                     "crossed the end of its connection, and was sent on");
+                     "crossed the close of its connection but was forwarded to a server");
 }
 
 void Oracle::record_connection_end(std::uint64_t id, std::string_view how) {
@@ -170,7 +173,7 @@
   if (r.answered_at >= 0 || r.left_at >= 0 || r.excused || r.crossed || r.closed) return;
   r.closed = true;
   report_violation(Invariant::answer_once, r.request.router, id,
-                   fmt::format("{} with no answer, {:.3f} s after it was sent, {} attempts", how,
+                   fmt::format("{} without an answer {:.3f} s after the request was sent, {} attempts", how,
                                unix_now() - r.request.sent, r.attempts.size()));
 }
 
@@ -190,19 +193,19 @@
   const auto count_check = [&](Invariant invariant) { ++counts_.checked[static_cast<int>(invariant)]; };
   if (r.crossed)
     report_violation(Invariant::attempt_after_end, request.router, request.id,
-                     "sent on after its connection ended");
-  const auto report_repeat = [&](std::string what) {
-    report_violation(Invariant::effect_once, request.router, request.id, std::move(what));
+                     "forwarded to a server after its connection was closed");
+  const auto report_repeat = [&](std::string description) {
+    report_violation(Invariant::effect_once, request.router, request.id, std::move(description));
   };
   count_check(Invariant::effect_once);
   for (const auto& earlier : r.attempts) {
     if (!earlier.ran || request.effect == Idempotency::idempotent) continue;
     if (request.effect == Idempotency::non_idempotent) {
-      report_repeat("a second attempt though one may have run");
+      report_repeat("second attempt although an earlier one may have run");
       break;
     }
     if (a.exact_time && a.at > earlier.at + rules_.window + slack()) {
-      report_repeat(fmt::format("a repeat {:.3f} s after the first, the window is {:.1f} s",
+      report_repeat(fmt::format("repeated {:.3f} s after an earlier attempt, the window is {:.1f} s",
                                 a.at - earlier.at, rules_.window));
       break;
     }
@@ -213,12 +216,13 @@
   if (r.left_at >= 0 &&
       a.at > r.left_at + kCancellationGrace + late + stalled_time(request.router, r.left_at, a.at))
     report_violation(Invariant::attempt_after_leave, request.router, request.id,
-                     fmt::format("begins {:.3f} s after its client left", a.at - r.left_at));
+                     fmt::format("attempt starts {:.3f} s after the client cancelled", a.at - r.left_at));
   count_check(Invariant::deadline_passed);
   const Seconds time_left = request.sent + request.limit - a.at;
   if (a.limit > time_left + kDeadlineSlack + late)
-    report_violation(Invariant::deadline_passed, request.router, request.id,
-                     fmt::format("says {:.3f} s, its client has {:.3f} s", a.limit, time_left));
+    report_violation(
+        Invariant::deadline_passed, request.router, request.id,
+        fmt::format("attempt has a limit of {:.3f} s, the request has {:.3f} s left", a.limit, time_left));
   const auto& drains = event_times(request.router, request.start).drains;
   for (const int endpoint : {a.server, a.source}) {
     const auto it = drains.find(endpoint);
@@ -227,12 +231,13 @@
     if (a.at > it->second + rules_.drain_grace + late + stalled_time(request.router, it->second, a.at))
       report_violation(
           Invariant::drain_kept, request.router, request.id,
-          fmt::format("{} server {} {:.3f} s after it was told to drain",
+          fmt::format("{} server {} {:.3f} s after its drain event was delivered",
                       endpoint == a.server ? "sent to" : "filled from", endpoint, a.at - it->second));
   }
 }
 
-// Counts all that a server gets from all routers while it is cold, in a moving window.
+// Counts the attempts that a cold server receives from all routers in a sliding window. A violation needs two
+// thirds of them to come from routers that had received the event of the server's start.
 void Oracle::check_cold(const Record& r, const Attempt& a) {
   const auto start = server_starts_.find(a.server);
   if (start == server_starts_.end() || a.at > start->second + rules_.warm_after) return;
@@ -254,7 +259,7 @@
     cold_violation_at_[a.server] = a.at;
     report_violation(
         Invariant::slow_start, r.request.router, r.request.id,
-        fmt::format("server {}: {} attempts in {:.1f} s, {:.1f} s after its start, {:.0f} allowed", a.server,
+        fmt::format("server {}: {} attempts in {:.1f} s, {:.1f} s after its start; allowed: {:.0f}", a.server,
                     window.size(), rules_.cold_window, a.at - start->second, max_attempts));
   }
 }
@@ -287,7 +292,7 @@
   for (const auto& [id, r] : records_) {
     if (r.answered_at >= 0 || r.left_at >= 0 || r.excused || r.crossed || r.closed) continue;
     report_violation(Invariant::answer_once, r.request.router, id,
-                     fmt::format("never answered, {:.3f} s after it was sent, limit {:.3f} s, {} attempts",
+                     fmt::format("no answer {:.3f} s after the request was sent, limit {:.3f} s, {} attempts",
                                  now - r.request.sent, r.request.limit, r.attempts.size()));
   }
 }
--- a/soak/oracle.h
+++ b/soak/oracle.h
@@ -1,6 +1,7 @@
-// The oracle of the soak: what clients sent and got, what servers received and when, what discovery told,
-// judged by the invariants of docs/promises.md. It knows nothing of the routers' insides. Times: seconds of
-// Unix time on this machine's clock, which the soak never steps.
+// The test oracle of the soak. It records what clients sent and received, what servers received and what
+// discovery delivered, and checks these records against the invariants of docs/promises.md. It sees the
+// routers from outside only. All times are Unix time in seconds on this machine's clock, which the soak never
+// steps.
 #pragma once
 
 #include <array>
@@ -33,7 +34,7 @@
   stays_up,
   connections_bounded,
   refused_bounded,
-  guard,  // a router's own guard refused a step: something else in it would have broken a promise
+  guard,  // the router's own guard refused a step that would have violated an invariant
   count
 };
 constexpr int kInvariantCount = static_cast<int>(Invariant::count);
@@ -41,21 +42,21 @@
 
 enum class Idempotency { idempotent, with_key, non_idempotent };
 
-// The settings' figures that the rules name, with the slack of the protocol page where it gives one.
+// Values from the settings that the checks use, with the grace periods of the platform's protocol.
 struct Rules {
-  Seconds window = 1.5;       // of guarded classes
-  Seconds drain_grace = 1;    // after a drain was told
-  Seconds purge_grace = 0.5;  // after a purge was told
+  Seconds window = 1.5;       // in which a server drops a repeat with the same idempotency key
+  Seconds drain_grace = 1;    // for attempts after the router received the drain event
+  Seconds purge_grace = 0.5;  // for attempts after the router received the purge event
   Seconds warm_after = 8, cold_window = 1;
   double cold_from = 0.1, cold_multiple = 2;
-  double capacity = 60;  // attempts a second that a warm server bears
+  double capacity = 60;  // of a warm server, in attempts per second
 };
 
 struct Violation {
   Invariant invariant;
   Seconds at;
   int router;
-  std::uint64_t request;  // 0 where none is concerned
+  std::uint64_t request;  // 0 if the violation concerns no request
   std::string description;
 };
 
@@ -63,7 +64,7 @@
  public:
   struct Request {
     std::uint64_t id = 0;
-    int router = 0, start = 0;  // which process of that router
+    int router = 0, start = 0;  // the router, and the number of its process start
     Idempotency effect = Idempotency::idempotent;
     std::string item, key, etag;
     int part = 0, group = 0;
@@ -72,43 +73,43 @@
   struct Attempt {
     int server = 0;
     Seconds at = 0;
-    bool exact_time = true;  // when it was sent is known: the server had read all that came before
+    bool exact_time = true;  // `at` is when the router sent it: the server had no unread input before
     Seconds limit = 0;
     int source = -1;
     bool ran = true, ended = false;
-    Seconds copy_created = 0;    // of the copy that it was answered from
-    std::string confirmed_etag;  // the copy that still_good named
+    Seconds copy_created = 0;    // creation time of the copy in the answer
+    std::string confirmed_etag;  // the entity tag that a still_good answer confirmed
   };
   Oracle(const Rules& rules, Seconds began) : rules_(rules), began_(began) {}
 
   // Clients.
   void record_request(const Request& request);
   void record_answer(std::uint64_t id, std::string_view word, std::string_view fields, std::string_view body);
-  void record_cancellation(std::uint64_t id);            // cancelled, or its client closed
-  void excuse(std::uint64_t id, std::string_view why);   // no answer is owed, by the protocol page
-  void record_read_pause(std::uint64_t id, Seconds by);  // its client does not read for so long
-  void record_crossed_close(std::uint64_t id);           // by an idle close: not taken
-  void record_connection_end(std::uint64_t id, std::string_view how);  // its connection ended
+  void record_cancellation(std::uint64_t id);            // by the client: it cancelled the request or closed
+  void excuse(std::uint64_t id, std::string_view why);   // the protocol requires no answer
+  void record_read_pause(std::uint64_t id, Seconds by);  // the client does not read for that long
+  void record_crossed_close(std::uint64_t id);           // the request crossed an idle close: not accepted
+  void record_connection_end(std::uint64_t id, std::string_view how);  // reports an answer that is owed
 
-  // Servers. Gives the attempt's number for attempt_over().
+  // Servers. record_attempt() returns the attempt's number for finish_attempt().
   std::size_t record_attempt(std::uint64_t id, const Attempt& attempt);
   void finish_attempt(std::uint64_t id, std::size_t number, bool ran, Seconds copy_created,
                       std::string_view confirmed_etag);
   void record_server_start(int server, Seconds at) { server_starts_[server] = at; }
 
-  // Discovery: what the router's process of that start was told, when.
+  // Discovery: events delivered to the router's process with that start number.
   void record_start_event(int router, int start, int server, Seconds at);
   void record_drain_event(int router, int start, int server, Seconds at);
   void record_ready_event(int router, int start, int server);
   void record_purge_event(int router, int start, int object_group, std::string_view item, Seconds purged,
-                          Seconds told);
+                          Seconds delivered);
 
   // Processes.
   void record_stall(int router, Seconds from, Seconds to);
-  void report_violation(Invariant invariant, int router, std::uint64_t request, std::string what);
-  void record_loop_lag(Seconds lag);  // how late the soak's own loop is: what it sees is as late
+  void report_violation(Invariant invariant, int router, std::uint64_t request, std::string description);
+  void record_loop_lag(Seconds lag);  // delay of the soak's own event loop: observations may be that late
 
-  void finish();  // once all is over: what never got an answer
+  void finish();  // at the end of the run: reports requests that were never answered
   const std::vector<Violation>& violations() const { return violations_; }
   struct Counts {
     std::uint64_t sent = 0, served = 0, rejected = 0, failed = 0, cancelled = 0, excused = 0, crossed = 0,
@@ -127,14 +128,15 @@
     bool excused = false, crossed = false, closed = false;
   };
   struct Purge {
-    Seconds purged, told;
+    Seconds purged, delivered;
   };
   struct EventTimes {
     std::map<int, Seconds> drains;
     std::map<int, Seconds> starts;
-    std::map<std::string, std::vector<Purge>, std::less<>> purges;  // by object, or "#group"
+    std::map<std::string, std::vector<Purge>, std::less<>> purges;  // by object, or by "#group"
   };
-  Seconds slack() const;  // how late what is seen may be now
+  Seconds slack() const;  // tolerance for timers and for the recent lag of the event loop
+  // Seconds between `from` and `to` in which the router was stopped.
   Seconds stalled_time(int router, Seconds from, Seconds to) const;
   void check_attempt(const Record& record, const Attempt& attempt);
   void check_cold(const Record& record, const Attempt& attempt);
@@ -144,14 +146,15 @@
   const Rules rules_;
   const Seconds began_;
   std::unordered_map<std::uint64_t, Record> records_;
-  std::map<std::string, std::vector<std::pair<Seconds, std::uint64_t>>> effects_;  // runs by key
+  std::map<std::string, std::vector<std::pair<Seconds, std::uint64_t>>>
+      effects_;  // attempts that ran, by idempotency key
   std::map<std::pair<int, int>, EventTimes> event_times_;
   std::map<int, Seconds> server_starts_;
   struct ColdAttempt {
     Seconds at;
     bool start_known;
   };
-  std::map<int, std::deque<ColdAttempt>> cold_attempts_;  // by server, within the window
+  std::map<int, std::deque<ColdAttempt>> cold_attempts_;  // by server, within the sliding window
   std::map<int, Seconds> cold_violation_at_;
   std::map<int, std::vector<std::pair<Seconds, Seconds>>> stalls_;
   std::deque<std::pair<Seconds, Seconds>> lags_;
--- a/soak/plan.cpp
+++ b/soak/plan.cpp
@@ -14,7 +14,8 @@
 
 enum class Target { router, server, clients };
 
-// Of each kind: its name, at whom, and the ranges from which a seed draws.
+// For each fault kind: its name, its target, and the ranges of durations (seconds) and magnitudes that random
+// plans draw from.
 struct FaultRange {
   std::string_view name;
   Target target;
@@ -82,14 +83,14 @@
     return std::uniform_real_distribution<>(least, most)(random);
   };
   Fault fault{.kind = kind, .at = at, .duration = between(range.shortest, range.longest)};
-  // The origin is the last server; it neither dies nor drains.
+  // The origin has the last number; it is never stopped or drained.
   const bool stops_serving = kind == FaultKind::server_vanishes || kind == FaultKind::server_crashes ||
                              kind == FaultKind::server_drains || kind == FaultKind::server_replaced;
   const int targets =
       range.target == Target::server ? plan.servers + plan.parents + (stops_serving ? 0 : 1) : plan.processes;
   fault.target = std::uniform_int_distribution<>(0, targets - 1)(random);
   fault.magnitude = between(range.smallest, range.largest);
-  // Some troubles strike all at once.
+  // Some faults hit all targets at once.
   constexpr double kAllTargetsProbability = 0.1;
   const bool may_hit_all = kind == FaultKind::reload || kind == FaultKind::wall_step ||
                            kind == FaultKind::stall || kind == FaultKind::server_closes_idle ||
@@ -97,7 +98,7 @@
                            (kind >= FaultKind::discovery_down && kind <= FaultKind::discovery_late) ||
                            range.target == Target::clients;
   if (may_hit_all && between(0, 1) < kAllTargetsProbability) fault.target = -1;
-  // Half of the clocks step by seconds, the others by up to an hour.
+  // Half of the clock steps are a few seconds, the others up to an hour.
   if (kind == FaultKind::wall_step && between(0, 1) < 0.5) fault.magnitude /= 600;
   return fault;
 }
@@ -107,12 +108,12 @@
 std::string_view name_of(FaultKind kind) { return fault_range(kind).name; }
 
 Plan random_plan(std::uint64_t seed, Seconds seconds, int processes) {
-  constexpr Seconds kFaultFreeEnd = 3;  // what is open then has its time
+  constexpr Seconds kFaultFreeEnd = 3;  // leaves open requests time to finish
   Plan plan{.seed = seed, .seconds = seconds, .processes = processes};
   std::mt19937_64 random(seed);
   std::uniform_real_distribution<> uniform(0, 1);
   const double longest_quiet = seconds / 4;
-  // Some machines' clocks differ from discovery's from the beginning.
+  // In some plans one router's clock differs from discovery's from the beginning.
   constexpr double kInitialStepProbability = 0.4;
   if (uniform(random) < kInitialStepProbability)
     plan.faults.push_back({.kind = FaultKind::wall_step,
@@ -120,10 +121,10 @@
                            .target = static_cast<int>(processes * uniform(random)),
                            .magnitude = 7200 * (uniform(random) - 0.5)});
   for (Seconds at = 0.5 + uniform(random); at < seconds - kFaultFreeEnd;) {
-    // Each router sees several of these; at the same moment, or within a second of each other.
+    // The faults of a group start at the same moment or within a second of each other.
     const int together = 2 + static_cast<int>(3 * uniform(random)) + processes / 8;
     const int router = static_cast<int>(processes * uniform(random));
-    // What else may happen to a process while it ends.
+    // Further signals during a graceful shutdown.
     if (uniform(random) < 0.2) {
       constexpr Seconds kShutdownSpan = 1;
       for (const auto kind :
@@ -135,7 +136,7 @@
     }
     for (int n = 0; n < together; ++n) {
       auto fault = draw(random, plan, at + (uniform(random) < 0.5 ? 0 : uniform(random)));
-      // Half of them meet at one router.
+      // About half of the faults that don't target servers hit the same router.
       if (fault_range(fault.kind).target != Target::server && fault.target >= 0 && uniform(random) < 0.5)
         fault.target = router;
       plan.faults.push_back(fault);
@@ -174,11 +175,12 @@
   constexpr int kMaxProcesses = 60, kMaxServers = 200;
   if (plan.processes < 1 || plan.processes > kMaxProcesses || plan.servers < 1 ||
       plan.servers > kMaxServers || plan.parents < 0 || plan.seconds <= 0 || plan.rate <= 0)
-    throw InputError(path + ": processes, servers, seconds or rate are out of range");
+    throw InputError(path + ": processes, servers, parents, seconds or rate is out of range");
   for (const auto& section : all.sections("trouble")) {
     const auto name = section.text("kind");
     const auto* range = std::ranges::find(kFaultTable, std::string_view(name), &FaultRange::name);
-    if (range == std::end(kFaultTable)) section.refuse(fmt::format("no trouble '{}'", name), "kind");
+    if (range == std::end(kFaultTable))
+      section.refuse(fmt::format("unknown kind of trouble '{}'", name), "kind");
     plan.faults.push_back({.kind = static_cast<FaultKind>(range - std::begin(kFaultTable)),
                            .at = section.number("at"),
                            .duration = section.number("lasts"),
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -1,5 +1,5 @@
-// The plan of one soak: what is played, when, at whom. It comes from a seed or from a document in the
-// operators' language; the same plan gives the same schedule.
+// The plan of one soak run: which faults are injected, when, and into what. A plan is drawn from a seed or
+// read from a file in the syntax of the operator's file; the same plan gives the same schedule.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,8 @@
 namespace walkpaddle::soak {
 
 enum class FaultKind {
-  // At a router's process. Size: seconds of the clock's step, or each so many calls one fails.
+  // Faults of a router's process. The magnitude is the step of the wall clock in seconds, or N where one in N
+  // calls fails.
   terminate,
   kill,
   stall,
@@ -30,7 +31,7 @@
   socket_failed,
   connect_failed,
   connect_interrupted,
-  // At a server.
+  // Faults of a server.
   server_hangs,
   server_vanishes,
   server_crashes,
@@ -49,12 +50,12 @@
   answers_trickle,
   answers_spoilt,
   answers_doubled,
-  // At the discovery of one router, or of all.
+  // Faults of the discovery connection of one router, or of all.
   discovery_down,
   discovery_silent,
   discovery_trickles,
   discovery_late,
-  // At the clients of one router.
+  // Faults of the clients of one router.
   clients_leave,
   clients_burst,
   clients_trickle,
@@ -71,26 +72,26 @@
 
 struct Fault {
   FaultKind kind = FaultKind::count;
-  Seconds at = 0, duration = 0;  // since the soak's traffic began
-  int target = 0;                // which router or server; -1: all of them
-  double magnitude = 0;          // as the kind says; 0 where it needs none
+  Seconds at = 0, duration = 0;  // `at` counts from the start of the traffic
+  int target = 0;                // number of the router or server; -1: all of them
+  double magnitude = 0;          // its meaning depends on the kind; 0 if unused
 };
 
 struct Plan {
   std::uint64_t seed = 1;
   Seconds seconds = 20;
   int processes = 12, servers = 8, parents = 2;
-  double rate = 25;           // requests a second at each router
-  int max_descriptors = 256;  // descriptors that a router may hold
-  int fleet_size = 0;         // routers by the settings; 0: as many as run
-  int max_rejected = 0;       // requests, of all routers together; 0: not judged
-  int max_connections = 0;    // to servers, of all routers together; 0: not judged
+  double rate = 25;           // requests per second at each router
+  int max_descriptors = 256;  // open files allowed to each router
+  int fleet_size = 0;         // routers according to the settings; 0: the number of processes
+  int max_rejected = 0;       // rejected requests of all routers; 0: no limit
+  int max_connections = 0;    // to servers, of all routers; 0: no limit
   std::vector<Fault> faults{};
 };
 
-// Two or three troubles at a time, some after a quiet time, until shortly before the end.
+// Draws groups of overlapping faults, some after a quiet period, until shortly before the end.
 Plan random_plan(std::uint64_t seed, Seconds seconds, int processes);
-Plan read_plan(const std::string& path);    // InputError with file and line
-std::string format_plan(const Plan& plan);  // as read_plan reads it
+Plan read_plan(const std::string& path);    // throws InputError with file and line
+std::string format_plan(const Plan& plan);  // in the form that read_plan() reads
 
 }  // namespace walkpaddle::soak
