--- a/soak/endpoint.cpp
+++ b/soak/endpoint.cpp
@@ -14,10 +14,11 @@
 namespace {
 
 constexpr std::uint32_t kLoopback = 0x7f000001;
-constexpr Seconds kLocalAnswerTime = 0.004;  // to answer from a copy
-constexpr Seconds kFillTime = 0.008;         // from a source
-constexpr Seconds kIdleAfter = 0.05;         // quiet for so long, a connection is idle
-constexpr Seconds kPurgeSettles = 6;         // as the settings say: by then no server has an older copy
+constexpr Seconds kLocalAnswerTime = 0.004;  // to answer from a local copy
+constexpr Seconds kFillTime = 0.008;         // additional time of a fill
+constexpr Seconds kIdleAfter = 0.05;         // a connection without messages for this long is idle
+constexpr Seconds kPurgeSettles =
+    6;  // same value as in the settings: every server has applied a purge by then
 
 std::string make_etag(std::string_view item, Seconds newest_purge) {
   return fmt::format("{:016x}", stable_hash(fmt::format("{} {:.3f}", item, newest_purge)));
@@ -43,7 +44,7 @@
       random_(setup.seed),
       purge_delay_(std::uniform_real_distribution<>(0.05, kPurgeSettles - 1)(random_)) {
   start_cold();
-  started_ = 0;  // the first start was long ago
+  started_ = 0;  // the first start counts as long past: the server is warm
 }
 
 std::string Endpoint::id() const { return fmt::format("s-{:08x}", 0xb0 + setup_.number); }
@@ -80,7 +81,7 @@
                       fault.kind == FaultKind::server_resets_idle ||
                       fault.kind == FaultKind::server_forgets_idle;
   if (closes) close_idle_connections();
-  // Few that are not accepted make the queue full: further connections come up only once it is not.
+  // With a short backlog the accept queue fills up, and further connections are established only later.
   if (fault.kind == FaultKind::server_late_accept && up_) ::listen(listener_->fd(), 1);
 }
 
@@ -123,8 +124,8 @@
   auto& open = open_[connection];
   open.used = scheduler_.now();
   auto& stream = connection->stream();
-  constexpr Seconds kQueued = 0.1;
-  bool exact = scheduler_.now() > accept_paused_at_ + kQueued;  // what is read next has just come
+  constexpr Seconds kQueueTime = 0.1;
+  bool exact = scheduler_.now() > accept_paused_at_ + kQueueTime;  // the next input has arrived only now
   for (;;) {
     if (active(FaultKind::server_hangs) || active(FaultKind::server_vanishes) || open.forgotten) {
       exact = false;
@@ -146,12 +147,13 @@
     try {
       read_messages(connection, exact);
     } catch (const InputError& e) {
-      oracle_.report_violation(Invariant::stays_up, -1, 0,
-                               fmt::format("server {} got {}", setup_.number, e.what()));
+      oracle_.report_violation(
+          Invariant::stays_up, -1, 0,
+          fmt::format("server {} received an invalid message: {}", setup_.number, e.what()));
       break;
     }
   }
-  // What is worked on is given up: it may have run, and the client's process cannot know.
+  // Requests in progress are dropped without an answer; the router can't know whether they ran.
   open_.erase(connection);
 }
 
@@ -187,7 +189,8 @@
   return copy.created >= purges_.newest(item, group, now - purge_delay_);
 }
 
-// From a parent that holds it, else from the origin. Gives when the origin read it.
+// Fetches a copy from the parent `source` if it has a usable one, else from the origin. Returns the time at
+// which the copy was read from the origin.
 Seconds Endpoint::fetch(std::string_view source, const std::string& key, std::string_view item, int group,
                         Seconds oldest) {
   for (const auto& endpoint : *endpoints_) {
@@ -226,28 +229,28 @@
     if (net::field(fields, "keep").value_or("0") != "0") copies_[key] = {copy_created};
   }
   const auto tag = make_etag(item, purges_.newest(item, group, copy_created));
-  const auto told =
+  const auto answer_fields =
       fmt::format("tell={},etag={},made={},ttfb=3", tell, tag, static_cast<long>(copy_created * 1e3));
   if (net::field(fields, "have").value_or("") == tag) {
     confirmed_etag = tag;
-    return net::resp_array_text({id_text, "still_good", told});
+    return net::resp_array_text({id_text, "still_good", answer_fields});
   }
-  // Sizes from a few bytes to some tens of thousands, the same for each object.
+  // Body sizes range from 16 bytes to some tens of kilobytes and are fixed for each object part.
   const auto size = 16 + stable_hash(key) % 97 * (stable_hash(key) % 31 == 0 ? 600 : 20);
   return net::resp_array_text(
-      {id_text, "served", told, fmt::format("{}.{}.", item, chunk) + std::string(size, 'x')});
+      {id_text, "served", answer_fields, fmt::format("{}.{}.", item, chunk) + std::string(size, 'x')});
 }
 
 Task Endpoint::serve(std::shared_ptr<FaultyConnection> connection, std::uint64_t id, std::string fields,
                      std::size_t attempt, std::uint64_t start) {
-  // Little time left: dropped without a word, as a server may.
-  constexpr Seconds kTooLittle = 0.02;
-  if (parse_or(net::field(fields, "limit").value_or(""), 0.0) / 1e3 < kTooLittle) co_return;
-  const double slower =
+  // Servers may drop a request that has too little time left, without an answer.
+  constexpr Seconds kMinTimeLeft = 0.02;
+  if (parse_or(net::field(fields, "limit").value_or(""), 0.0) / 1e3 < kMinTimeLeft) co_return;
+  const double slowdown =
       active(FaultKind::server_slow) ? active_[static_cast<int>(FaultKind::server_slow)].magnitude : 1;
   const bool fills = net::field(fields, "src").has_value();
   Event wait(scheduler_);
-  co_await wait.wait(scheduler_.now() + (kLocalAnswerTime + (fills ? kFillTime : 0)) * slower);
+  co_await wait.wait(scheduler_.now() + (kLocalAnswerTime + (fills ? kFillTime : 0)) * slowdown);
   while (active(FaultKind::server_hangs) || active(FaultKind::server_vanishes))
     co_await wait.wait(scheduler_.now() + 0.02);
   const auto open = open_.find(connection);
--- a/soak/endpoint.h
+++ b/soak/endpoint.h
@@ -1,5 +1,5 @@
-// A cache server, a parent or the origin, by the platform's protocol, with the troubles of a plan. All of one
-// soak share the purges, of which each hears at its own time.
+// A fake cache server, parent or origin that speaks the platform's protocol and has the faults of a plan. All
+// endpoints share the list of purges; each applies them after a delay of its own.
 #pragma once
 
 #include <map>
@@ -16,15 +16,15 @@
 
 namespace walkpaddle::soak {
 
-// What has been purged, by discovery's clock, which is this machine's.
+// All purges so far, with times of discovery's clock, which is this machine's.
 struct PurgeHistory {
   struct Entry {
     Seconds at;
-    std::string item;  // empty: the group
+    std::string item;  // empty: the whole group is purged
     int group;
   };
   std::vector<Entry> entries;
-  // When the newest purge of this object came about, as far as those go that are older than `known_before`.
+  // Time of the newest purge that covers this object, among those not later than `known_before`; 0 if none.
   Seconds newest(std::string_view item, int group, Seconds known_before) const;
 };
 
@@ -48,9 +48,10 @@
   void set_origin(Endpoint& origin) { origin_ = &origin; }
   void set_endpoints(const std::vector<std::unique_ptr<Endpoint>>& all) { endpoints_ = &all; }
 
-  void crash();                                    // all connections reset, nobody listens
-  void start_cold();                               // listens again, empty
-  void inject(const Fault& fault, Seconds until);  // of the kinds at a server that are no crash
+  void crash();       // resets all connections and stops listening
+  void start_cold();  // listens again, without copies
+  void inject(const Fault& fault,
+              Seconds until);  // server faults other than crashes, drains and replacements
   bool up() const { return up_; }
   std::uint64_t accepted() const { return accepted_; }
 
@@ -69,7 +70,7 @@
                           std::string& confirmed_etag);
   void send(const std::shared_ptr<FaultyConnection>& connection, const std::string& answer);
   bool active(FaultKind kind) const;
-  bool strikes(FaultKind kind);  // it is active, and this time it strikes
+  bool strikes(FaultKind kind);  // draws whether an active fault hits this time
   bool usable(const Copy& copy, std::string_view item, int group, Seconds oldest) const;
   Seconds fetch(std::string_view source, const std::string& key, std::string_view item, int group,
                 Seconds oldest);
@@ -80,12 +81,12 @@
   const PurgeHistory& purges_;
   const Setup setup_;
   std::mt19937 random_;
-  Seconds purge_delay_ = 0;  // until it has dropped what was purged
+  Seconds purge_delay_ = 0;  // time until this server applies a purge
   std::shared_ptr<Listener> listener_;
   bool up_ = false;
   std::uint64_t starts_ = 0, accepted_ = 0;
   bool backlog_is_limited_ = false;
-  Seconds accept_paused_at_ = 0;  // when it last left callers in its queue
+  Seconds accept_paused_at_ = 0;  // when connections were last left in the accept queue
   Seconds started_ = 0;
   Endpoint* origin_ = nullptr;
   const std::vector<std::unique_ptr<Endpoint>>* endpoints_ = nullptr;
@@ -96,10 +97,10 @@
   Active active_[kFaultKindCount];
   std::map<std::string, Copy> copies_;
   struct Open {
-    std::set<std::uint64_t> requests;  // that are being worked on
+    std::set<std::uint64_t> requests;  // in progress
     std::map<std::uint64_t, std::size_t> attempts;
     bool forgotten = false;
-    Seconds used = 0;  // when something last came or went
+    Seconds used = 0;  // time of the last message in either direction
   };
   std::map<std::shared_ptr<FaultyConnection>, Open> open_;
 };
--- a/soak/fault_control.h
+++ b/soak/fault_control.h
@@ -1,5 +1,6 @@
-// What the soak and the preloaded shim of one process share: a page of memory in a file that both map. The
-// soak writes, the shim reads; all fields are atomic, and zero everywhere means no fault.
+// Memory that the soak shares with the fault injection library in one router process, through a file that
+// both map. The soak sets the faults and the library applies them. All fields are atomic; all zero means no
+// faults.
 #pragma once
 
 #include <atomic>
@@ -8,31 +9,32 @@
 
 namespace walkpaddle::soak {
 
-// System calls that the shim can let fail, each with the errors that Linux documents for it.
+// Faults of system calls that the library can inject, with the errors that Linux documents for each call.
 enum class Call : std::size_t {
   recv_interrupted,     // EINTR
-  recv_short,           // one byte at a time
+  recv_short,           // receives one byte
   recv_no_memory,       // ENOMEM
-  recv_timed_out,       // ETIMEDOUT, EHOSTUNREACH: the connection is broken
+  recv_timed_out,       // ETIMEDOUT, EHOSTUNREACH; also breaks the connection
   send_no_buffers,      // ENOBUFS, ENOMEM
-  send_short,           // one byte at a time
+  send_short,           // sends one byte
   send_interrupted,     // EINTR
   watch_refused,        // epoll_ctl ADD: ENOSPC, ENOMEM
   wait_interrupted,     // epoll_pwait2: EINTR
   accept_failed,        // ECONNABORTED, ENFILE, ENOBUFS, EPROTO
   socket_failed,        // ENFILE, ENOBUFS
   connect_failed,       // ENETUNREACH, EADDRNOTAVAIL, ENOBUFS
-  connect_interrupted,  // EINTR, and the connect goes on
+  connect_interrupted,  // EINTR; the connection is still established in the background
   count
 };
 constexpr std::size_t kCallCount = static_cast<std::size_t>(Call::count);
 
 struct FaultControl {
   std::atomic<std::int64_t> wall_offset_ns;                 // added to every reading of the wall clock
-  std::atomic<std::uint32_t> failure_interval[kCallCount];  // each so many calls one fails; 0: none
-  std::atomic<std::uint64_t> failure_count[kCallCount];     // so many did
+  std::atomic<std::uint32_t> failure_interval[kCallCount];  // one in this many calls fails; 0: none
+  std::atomic<std::uint64_t> failure_count[kCallCount];     // number of calls that failed
 };
 
-constexpr const char* kFaultControlVariable = "WALKPADDLE_FAULT_CONTROL";  // names the file
+constexpr const char* kFaultControlVariable =
+    "WALKPADDLE_FAULT_CONTROL";  // environment variable with the path of the file
 
 }  // namespace walkpaddle::soak
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -1,4 +1,5 @@
-// walkpaddle-soak: plays plans of overlapping troubles against routers as processes, and judges them.
+// walkpaddle-soak: runs router processes under plans of overlapping faults and checks invariants from
+// outside.
 #include <fmt/core.h>
 #include <unistd.h>
 
@@ -18,9 +19,8 @@
 void show(const soak::Plan& plan, const soak::Result& result) {
   const auto& c = result.counts;
   fmt::print(
-      "seed {}: {} troubles, {} requests, {} served, {} refused, {} failed, {} left, {} excused, {} crossed, "
-      "{} "
-      "attempts, {} connections, worst lag {:.0f} ms, {} violations\n",
+      "seed {}: {} faults, {} requests, {} served, {} rejected, {} failed, {} cancelled, {} excused, "
+      "{} crossed a close, {} attempts, {} connections, maximum lag {:.0f} ms, {} violations\n",
       plan.seed, plan.faults.size(), c.sent, c.served, c.rejected, c.failed, c.cancelled, c.excused,
       c.crossed, c.attempts, result.connections, result.worst_lag * 1e3, result.violations.size());
   std::map<std::string_view, int> counts_by_name;
@@ -39,23 +39,26 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("walkpaddle-soak: routers as processes under overlapping troubles, judged from outside");
+  CLI::App app(
+      "walkpaddle-soak: runs router processes under overlapping faults and checks invariants from outside");
   std::uint64_t seed = 1;
   int seeds = 1, processes = 12, max_runs = 0;
   double seconds = 20, hours = 0;
   std::string plan_file, folder;
   soak::Programs programs{WALKPADDLE_PROGRAM, WALKPADDLE_SHIM, ""};
-  app.add_option("--seed", seed, "the first seed");
-  app.add_option("--seeds", seeds, "so many, one after another")->check(CLI::Range(1, 100000));
-  app.add_option("--seconds", seconds, "of traffic, of each")->check(CLI::Range(2.0, 86400.0));
-  app.add_option("--hours", hours, "goes on with further seeds for so long");
-  app.add_option("--processes", processes, "routers")->check(CLI::Range(1, 40));
-  app.add_option("--plan", plan_file, "plays this document, not a seed's plan");
-  app.add_option("--reduce", max_runs, "takes troubles out of a plan that fails, in so many plays at most");
-  app.add_option("--program", programs.router, "another program in place of the one that was built");
-  app.add_option("--folder", folder, "where the processes' files stay; without it they are removed");
+  app.add_option("--seed", seed, "seed of the first plan");
+  app.add_option("--seeds", seeds, "number of seeds to run, one after another")->check(CLI::Range(1, 100000));
+  app.add_option("--seconds", seconds, "traffic time of each run, in seconds")
+      ->check(CLI::Range(2.0, 86400.0));
+  app.add_option("--hours", hours, "runs further seeds for this long");
+  app.add_option("--processes", processes, "number of router processes")->check(CLI::Range(1, 40));
+  app.add_option("--plan", plan_file, "runs the plan in this file instead of plans from seeds");
+  app.add_option("--reduce", max_runs,
+                 "removes faults from a failing plan while it still fails, in at most this many runs");
+  app.add_option("--program", programs.router, "router program to run instead of the one that was built");
+  app.add_option("--folder", folder, "keeps the files of the processes here; by default they are removed");
   bool only_print = false;
-  app.add_flag("--print", only_print, "prints the plan of the first seed, and plays nothing");
+  app.add_flag("--print", only_print, "prints the plan of the first seed without running it");
   CLI11_PARSE(app, argc, argv);
   if (only_print) {
     fmt::print("{}", soak::format_plan(soak::random_plan(seed, seconds, processes)));
@@ -79,7 +82,8 @@
         if (max_runs > 0)
           fmt::print("{}", soak::format_plan(soak::minimize_plan(plan, programs, max_runs)));
         else if (plan_file.empty())
-          fmt::print("  again: --seed {} --seconds {} --processes {}\n", plan.seed, seconds, processes);
+          fmt::print("  reproduce with: --seed {} --seconds {} --processes {}\n", plan.seed, seconds,
+                     processes);
       }
       if (!plan_file.empty() || (played >= seeds && soak::unix_now() > began + hours * 3600)) break;
     }
--- a/soak/process.cpp
+++ b/soak/process.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-constexpr Seconds kLongestLimit = 3, kKillAfter = 0.7;  // the platform kills so long after SIGTERM
-constexpr Seconds kBusyMachineSlack = 0.5;              // what a busy machine may take on top
+constexpr Seconds kLongestLimit = 3, kKillAfter = 0.7;  // the platform kills this long after SIGTERM
+constexpr Seconds kBusyMachineSlack = 0.5;              // extra time on a busy machine
 constexpr Seconds kReadyWithin = 10;
 
 }  // namespace
@@ -77,11 +77,11 @@
   phase_ = Phase::serving;
   if (unix_now() > started_at_ + kReadyWithin)
     oracle_.report_violation(Invariant::stays_up, number(), 0,
-                             fmt::format("ready after {:.1f} s", unix_now() - started_at_));
+                             fmt::format("ready {:.1f} s after its start", unix_now() - started_at_));
 }
 
 void Process::terminate() {
-  if (phase_ == Phase::ending && terminated_at_ > 0) ::kill(pid_, SIGTERM);  // asked for again
+  if (phase_ == Phase::ending && terminated_at_ > 0) ::kill(pid_, SIGTERM);  // a repeated shutdown signal
   if (phase_ != Phase::serving) return;
   resume();
   terminated_at_ = unix_now(), phase_ = Phase::ending;
@@ -116,10 +116,11 @@
   if (pid_ <= 0) return false;
   int status = 0;
   if (::waitpid(pid_, &status, WNOHANG) != pid_) {
-    const Seconds most = terminated_at_ + kLongestLimit + kKillAfter + kBusyMachineSlack + suspended_time_;
-    if (phase_ == Phase::ending && terminated_at_ > 0 && unix_now() > most) {
-      oracle_.report_violation(Invariant::ends_in_time, number(), 0,
-                               fmt::format("runs {:.1f} s after SIGTERM", unix_now() - terminated_at_));
+    const Seconds kill_at = terminated_at_ + kLongestLimit + kKillAfter + kBusyMachineSlack + suspended_time_;
+    if (phase_ == Phase::ending && terminated_at_ > 0 && unix_now() > kill_at) {
+      oracle_.report_violation(
+          Invariant::ends_in_time, number(), 0,
+          fmt::format("still running {:.1f} s after SIGTERM", unix_now() - terminated_at_));
       killed_ = true;
       ::kill(pid_, SIGKILL), ::waitpid(pid_, nullptr, 0);
     } else {
@@ -128,7 +129,8 @@
   } else if (!killed_ && !(WIFEXITED(status) && WEXITSTATUS(status) == 0 && phase_ == Phase::ending)) {
     const auto how = WIFSIGNALED(status) ? fmt::format("signal {}", WTERMSIG(status))
                                          : fmt::format("exit code {}", WEXITSTATUS(status));
-    oracle_.report_violation(Invariant::stays_up, number(), 0, fmt::format("ended by {}", how));
+    oracle_.report_violation(Invariant::stays_up, number(), 0,
+                             fmt::format("process ended unexpectedly: {}", how));
   }
   pid_ = -1, phase_ = Phase::down, ended_at_ = unix_now();
   return true;
@@ -142,10 +144,10 @@
     open += !entry.path().empty();
   if (open > setup_.max_descriptors)
     oracle_.report_violation(Invariant::stays_up, number(), 0,
-                             fmt::format("{} descriptors of {}", open, setup_.max_descriptors));
+                             fmt::format("{} open files, limit {}", open, setup_.max_descriptors));
   if (const double mb = memory_mb(); mb > setup_.max_memory_mb)
     oracle_.report_violation(Invariant::stays_up, number(), 0,
-                             fmt::format("{:.0f} MB of {:.0f}", mb, setup_.max_memory_mb));
+                             fmt::format("{:.0f} MB of memory, limit {:.0f} MB", mb, setup_.max_memory_mb));
 }
 
 double Process::memory_mb() const {
--- a/soak/process.h
+++ b/soak/process.h
@@ -1,5 +1,5 @@
-// One router as a process of the shipped program, with the shim preloaded: started, told to end, killed,
-// stopped and started again; its log, its descriptors and its memory.
+// One router that runs as a process of the shipped program with the fault injection library preloaded.
+// Starts, signals and restarts it, and checks how it exits, its open files and its memory.
 #pragma once
 
 #include <sys/types.h>
@@ -29,27 +29,28 @@
   int port() const { return setup_.port; }
   int start_count() const { return starts_; }
   void start(const std::string& config);
-  void configure(const std::string& config);  // the file, for a reload
+  void configure(const std::string& config);  // writes the file that a start or a reload reads
   void set_ready();
   void terminate();
   void kill();
   void request_reload();
   void suspend();
   void resume();
-  // Looks whether it has ended, and judges how; true once after each end.
+  // Checks whether the process has ended and reports a violation if it ended wrongly or runs too long after
+  // SIGTERM. Returns true once after each end.
   bool poll_exit();
   void check_limits();
-  double cpu_seconds() const;  // seconds of processor time of the running process
-  double memory_mb() const;    // its peak
+  double cpu_seconds() const;  // CPU time of the running process since its start
+  double memory_mb() const;    // peak resident memory
   FaultControl& fault_control() { return *control_; }
-  // Connections that it broke itself, by a failing call, until then.
+  // Until then, injected system call errors may break the router's connections.
   void set_breaks_connections_until(Seconds until) { breaks_until_ = until; }
   bool breaks_connections() const { return unix_now() < breaks_until_; }
-  // As the front does: new connections for 0.3 s after the end was asked for, requests for 0.2 s more.
+  // Whether clients still open connections (until 0.3 s after SIGTERM) and send requests (for 0.2 s more).
   bool accepts_connections() const;
   bool accepts_requests() const;
   Seconds ended_at() const { return ended_at_; }
-  Seconds killed_at() const { return killed_at_; }  // the last time, 0 if never
+  Seconds killed_at() const { return killed_at_; }  // the last time; 0 if never
   std::string log_path() const { return setup_.folder + "/log"; }
 
  private:
--- a/soak/shim.cpp
+++ b/soak/shim.cpp
@@ -1,5 +1,6 @@
-// A library for LD_PRELOAD: steps the wall clock of one process and lets its system calls fail as Linux
-// documents, as the soak's control page says. Without the page it changes nothing.
+// Fault injection library for LD_PRELOAD. It offsets the wall clock of one process and makes its system calls
+// fail with errors that Linux documents, as set in FaultControl. Without that shared memory it changes
+// nothing.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
@@ -40,7 +41,8 @@
   return reinterpret_cast<F>(::dlsym(RTLD_NEXT, name));
 }
 
-// Whether this call is one that fails; how often it did is counted. The count of calls is the process's own.
+// Whether this call has to fail; sets `nth` to the number of earlier failures of its kind. Calls are counted
+// per process, failures in the shared memory.
 bool fails(Call call, std::uint64_t& nth) {
   static std::atomic<std::uint64_t> calls[walkpaddle::soak::kCallCount];
   auto* page = control();
@@ -96,7 +98,7 @@
   if (fails(Call::recv_interrupted, nth)) return fail({EINTR}, nth);
   if (fails(Call::recv_no_memory, nth)) return fail({ENOMEM}, nth);
   if (fails(Call::recv_timed_out, nth)) {
-    ::shutdown(fd, SHUT_RDWR);  // what such an error leaves is a dead connection
+    ::shutdown(fd, SHUT_RDWR);  // after such an error the connection is unusable
     return fail({ETIMEDOUT, EHOSTUNREACH}, nth);
   }
   if (size > 1 && fails(Call::recv_short, nth)) size = 1;
@@ -131,7 +133,7 @@
   static const auto real = next_function<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
   std::uint64_t nth = 0;
   if (fails(Call::accept_failed, nth)) {
-    // Only ECONNABORTED takes the caller from the queue.
+    // Only ECONNABORTED removes a connection from the accept queue.
     if (nth % 4 == 0)
       if (const int aborted = real(fd, address, size, flags); aborted >= 0) ::close(aborted);
     return fail({ECONNABORTED, ENFILE, ENOBUFS, EPROTO}, nth);
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -41,7 +41,7 @@
       rules.cold_multiple, ms(rules.warm_after));
 }
 
-// Everything of one soak, in one thread.
+// One soak run; everything except the router processes runs in one thread.
 class Soak {
  public:
   Soak(const Plan& plan, const Programs& programs)
@@ -75,7 +75,7 @@
       if (t.at >= 0)
         scheduler_.start(inject_later(t));
       else
-        inject(t);  // it stands from before the start
+        inject(t);  // a negative time: from before the routers start
     for (int n = 0; n < plan_.processes; ++n) start_router(n);
     for (auto& c : clients_) c->start();
     scheduler_.start(measure_loop_lag());
@@ -91,7 +91,7 @@
     const auto refused = oracle_.counts().rejected;
     if (plan_.max_rejected > 0 && refused > static_cast<std::uint64_t>(plan_.max_rejected))
       oracle_.report_violation(Invariant::refused_bounded, -1, 0,
-                               fmt::format("{} requests refused", refused));
+                               fmt::format("{} requests rejected", refused));
     for (const auto& p : processes_) report_guard_refusals(*p);
     oracle_.finish();
     Result result{.violations = oracle_.violations(),
@@ -139,7 +139,7 @@
 
   void start_router(int n) { processes_[static_cast<std::size_t>(n)]->start(config(n)); }
 
-  // How late this thread runs what is due: all that it sees may be as late.
+  // Measures how late this thread runs scheduled tasks; its observations may be equally late.
   Task measure_loop_lag() {
     constexpr Seconds kBeat = 0.005;
     Event beat(scheduler_);
@@ -150,7 +150,7 @@
     }
   }
 
-  // What a machine's own keeper does: who ended is started again.
+  // Restarts routers that ended, as a machine's process supervisor does.
   Task supervise() {
     constexpr Seconds kPollInterval = 0.02;
     Event pause(scheduler_);
@@ -209,8 +209,8 @@
     }
     auto& busy_until = lifecycle_busy_until_[static_cast<std::size_t>(n)];
     if (scheduler_.now() < busy_until || s.role() == Endpoint::Role::origin) co_return;
-    constexpr Seconds kNoticed = 0.3;
-    busy_until = until + kNoticed;
+    constexpr Seconds kDetectionTime = 0.3;
+    busy_until = until + kDetectionTime;
     Event wait(scheduler_);
     if (t.kind == FaultKind::server_drains) {
       discovery_.publish_endpoint(s, Says::draining);
@@ -224,7 +224,7 @@
       s.crash();
     } else {
       s.crash();
-      co_await wait.wait(std::min(until, scheduler_.now() + kNoticed));
+      co_await wait.wait(std::min(until, scheduler_.now() + kDetectionTime));
       if (scheduler_.now() < until) discovery_.publish_endpoint(s, Says::gone);
       co_await wait.wait(until);
     }
@@ -272,7 +272,7 @@
     }
   }
 
-  // The events that the running process holds; only where discovery is differs.
+  // Configuration for a reload: only discovery's address differs for the running process.
   std::string config_for_reload(int n) {
     auto& p = *processes_[static_cast<std::size_t>(n)];
     return fmt::format(
@@ -282,12 +282,12 @@
   }
 
   Task end() {
-    constexpr Seconds kLast = 4;  // the longest limit, and a second
+    constexpr Seconds kLastAnswers = 4;  // the longest request limit plus one second
     Event wait(scheduler_);
     co_await wait.wait(started_ + plan_.seconds);
     finished_ = true;
     for (auto& c : clients_) c->finish();
-    const Seconds until = scheduler_.now() + kLast;
+    const Seconds until = scheduler_.now() + kLastAnswers;
     const auto open = [&] {
       return std::ranges::any_of(clients_, [](const auto& c) { return c->open() > 0; });
     };
@@ -295,7 +295,7 @@
     scheduler_.stop();
   }
 
-  // What the router's own guard refused, by its log.
+  // Reports the guard's refusals in the router's log as violations.
   void report_guard_refusals(const Process& p) {
     std::ifstream log(p.log_path());
     const std::string mark = " guard: ";
@@ -306,9 +306,9 @@
                                  line.substr(at + mark.size()));
   }
 
-  // The last lines of the router's log that name the request, or its last lines.
+  // Returns all lines of the router's log that contain the request's id, or else the last lines of the log.
   std::string log_excerpt(const Violation& v) const {
-    constexpr std::size_t kMost = 12;
+    constexpr std::size_t kMaxLines = 12;
     if (v.router < 0) return "";
     std::ifstream log(processes_[static_cast<std::size_t>(v.router)]->log_path());
     const auto id = fmt::format("{:016x}", v.request);
@@ -316,7 +316,7 @@
     for (std::string line; std::getline(log, line);) {
       if (v.request != 0 && line.find(id) != std::string::npos) lines.push_back(line);
       last.push_back(line);
-      if (last.size() > kMost) last.erase(last.begin());
+      if (last.size() > kMaxLines) last.erase(last.begin());
     }
     std::string text;
     for (const auto& line : lines.empty() ? last : lines) text += "      " + line + "\n";
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -1,5 +1,5 @@
-// One soak: routers as processes among servers, discovery and clients, all on loopback, while a plan's
-// troubles strike; judged by the oracle.
+// One soak run: routers run as processes among fake servers, discovery and clients on loopback while the
+// faults of a plan are injected. The oracle checks the invariants.
 #pragma once
 
 #include <string>
@@ -11,23 +11,24 @@
 namespace walkpaddle::soak {
 
 struct Programs {
-  std::string router, shim, folder;  // folder: where the processes' files go
+  std::string router, shim, folder;  // folder: for the files of the processes
 };
 
 struct Result {
   std::vector<Violation> violations;
-  std::vector<std::string> traces;  // by violation: the routers' log lines that name its request
+  std::vector<std::string> traces;  // for each violation, log lines of its router
   Oracle::Counts counts;
   Seconds worst_lag = 0;
-  std::uint64_t connections = 0;   // that servers accepted
-  double cpu_seconds = 0;          // seconds, of the routers that still ran at the end, since their start
-  double memory_mb = 0;            // the most that one of them held
-  std::vector<Seconds> latencies;  // from request to answer, of those that were served
+  std::uint64_t connections = 0;   // accepted by servers
+  double cpu_seconds = 0;          // CPU time of the routers that ran at the end, since their start
+  double memory_mb = 0;            // highest peak among these routers
+  std::vector<Seconds> latencies;  // from request to answer, for served requests
 };
 
 Result run_plan(const Plan& plan, const Programs& programs);
 
-// Takes troubles out of a plan that fails, as long as the same invariants still fail, at most so many plays.
+// Removes faults from a failing plan while at least one of the same invariants is still violated. Runs the
+// plan at most about `max_runs` times.
 Plan minimize_plan(const Plan& plan, const Programs& programs, int max_runs);
 
 }  // namespace walkpaddle::soak
