--- a/soak/endpoint.cpp
+++ b/soak/endpoint.cpp
@@ -17,8 +17,7 @@
 constexpr Seconds kLocalAnswerTime = 0.004;  // to answer from a local copy
 constexpr Seconds kFillTime = 0.008;         // additional time of a fill
 constexpr Seconds kIdleAfter = 0.05;         // a connection without messages for this long is idle
-constexpr Seconds kPurgeSettles =
-    6;  // same value as in the settings: every server has applied a purge by then
+constexpr Seconds kPurgeSettles = 6;         // as in the settings: by then every server has applied a purge
 
 std::string make_etag(std::string_view item, Seconds newest_purge) {
   return fmt::format("{:016x}", stable_hash(fmt::format("{} {:.3f}", item, newest_purge)));
--- a/soak/endpoint.h
+++ b/soak/endpoint.h
@@ -50,8 +50,8 @@
 
   void crash();       // resets all connections and stops listening
   void start_cold();  // listens again, without copies
-  void inject(const Fault& fault,
-              Seconds until);  // server faults other than crashes, drains and replacements
+  // Activates a server fault other than a crash, drain or replacement.
+  void inject(const Fault& fault, Seconds until);
   bool up() const { return up_; }
   std::uint64_t accepted() const { return accepted_; }
 
--- a/soak/fault_control.h
+++ b/soak/fault_control.h
@@ -1,6 +1,6 @@
 // Memory that the soak shares with the fault injection library in one router process, through a file that
-// both map. The soak sets the faults and the library applies them. All fields are atomic; all zero means no
-// faults.
+// both map. The soak sets the faults and the library applies them. Zero in all fields means no faults; all
+// fields are atomic.
 #pragma once
 
 #include <atomic>
@@ -34,7 +34,7 @@
   std::atomic<std::uint64_t> failure_count[kCallCount];     // number of calls that failed
 };
 
-constexpr const char* kFaultControlVariable =
-    "WALKPADDLE_FAULT_CONTROL";  // environment variable with the path of the file
+// Environment variable with the path of the file.
+constexpr const char* kFaultControlVariable = "WALKPADDLE_FAULT_CONTROL";
 
 }  // namespace walkpaddle::soak
--- a/soak/faulty_connection.h
+++ b/soak/faulty_connection.h
@@ -22,9 +22,8 @@
   void trickle(const std::string& bytes, std::size_t piece, Seconds between);
   void lose_writes(Seconds until) { lost_until_ = until; }
   void reset();  // sends RST
-  std::uint64_t queued() const {
-    return queued_;
-  }  // bytes passed to write() and trickle(), without lost ones
+  // Bytes passed to write() and trickle(), without lost ones.
+  std::uint64_t queued() const { return queued_; }
   // Of these, the bytes that are not waiting in a trickled write.
   std::uint64_t written() const { return queued_ - pieces_.size(); }
   void half_close();  // sends FIN; reading goes on
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -1,5 +1,4 @@
-// walkpaddle-soak: runs router processes under plans of overlapping faults and checks invariants from
-// outside.
+// walkpaddle-soak: runs router processes under overlapping faults and checks invariants from outside.
 #include <fmt/core.h>
 #include <unistd.h>
 
--- a/soak/oracle.cpp
+++ b/soak/oracle.cpp
@@ -40,11 +40,11 @@
 }
 
 void Oracle::record_loop_lag(Seconds lag) {
-  constexpr Seconds kRemembered = 2;
+  constexpr Seconds kLagMemory = 2;
   const Seconds now = unix_now();
   worst_lag_ = std::max(worst_lag_, lag);
   lags_.emplace_back(now, lag);
-  while (lags_.front().first < now - kRemembered) lags_.pop_front();
+  while (lags_.front().first < now - kLagMemory) lags_.pop_front();
 }
 
 Seconds Oracle::slack() const {
@@ -127,8 +127,7 @@
     if (it == purges.end()) continue;
     for (const auto& p : it->second) {
       ++counts_.checked[static_cast<int>(Invariant::purge_kept)];
-      // Times on the wire are whole milliseconds: a copy created in the same millisecond as the purge is
-      // current.
+      // Times on the wire are whole milliseconds: a copy from the same one as the purge is current.
       if (last->at > p.delivered + rules_.purge_grace + slack() && last->copy_created < p.purged - 0.001)
         return report_violation(
             Invariant::purge_kept, request.router, request.id,
--- a/soak/oracle.h
+++ b/soak/oracle.h
@@ -1,7 +1,7 @@
 // The test oracle of the soak. It records what clients sent and received, what servers received and what
 // discovery delivered, and checks these records against the invariants of docs/promises.md. It sees the
-// routers from outside only. All times are Unix time in seconds on this machine's clock, which the soak never
-// steps.
+// routers from outside only. All times are Unix time in seconds on this machine's clock; the soak
+// steps only the routers' clocks.
 #pragma once
 
 #include <array>
@@ -146,8 +146,8 @@
   const Rules rules_;
   const Seconds began_;
   std::unordered_map<std::uint64_t, Record> records_;
-  std::map<std::string, std::vector<std::pair<Seconds, std::uint64_t>>>
-      effects_;  // attempts that ran, by idempotency key
+  // Attempts that ran, by idempotency key.
+  std::map<std::string, std::vector<std::pair<Seconds, std::uint64_t>>> effects_;
   std::map<std::pair<int, int>, EventTimes> event_times_;
   std::map<int, Seconds> server_starts_;
   struct ColdAttempt {
--- a/soak/plan.cpp
+++ b/soak/plan.cpp
@@ -122,7 +122,7 @@
                            .magnitude = 7200 * (uniform(random) - 0.5)});
   for (Seconds at = 0.5 + uniform(random); at < seconds - kFaultFreeEnd;) {
     // The faults of a group start at the same moment or within a second of each other.
-    const int together = 2 + static_cast<int>(3 * uniform(random)) + processes / 8;
+    const int group_size = 2 + static_cast<int>(3 * uniform(random)) + processes / 8;
     const int router = static_cast<int>(processes * uniform(random));
     // Further signals during a graceful shutdown.
     if (uniform(random) < 0.2) {
@@ -134,7 +134,7 @@
                                .duration = kind == FaultKind::stall ? 0.3 : 0,
                                .target = router});
     }
-    for (int n = 0; n < together; ++n) {
+    for (int n = 0; n < group_size; ++n) {
       auto fault = draw(random, plan, at + (uniform(random) < 0.5 ? 0 : uniform(random)));
       // About half of the faults that don't target servers hit the same router.
       if (fault_range(fault.kind).target != Target::server && fault.target >= 0 && uniform(random) < 0.5)
--- a/soak/shim.cpp
+++ b/soak/shim.cpp
@@ -1,6 +1,5 @@
 // Fault injection library for LD_PRELOAD. It offsets the wall clock of one process and makes its system calls
-// fail with errors that Linux documents, as set in FaultControl. Without that shared memory it changes
-// nothing.
+// fail with errors that Linux documents. FaultControl sets the faults; without it nothing changes.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -141,11 +141,11 @@
 
   // Measures how late this thread runs scheduled tasks; its observations may be equally late.
   Task measure_loop_lag() {
-    constexpr Seconds kBeat = 0.005;
-    Event beat(scheduler_);
+    constexpr Seconds kLagInterval = 0.005;
+    Event pause(scheduler_);
     for (;;) {
-      const Seconds due = unix_now() + kBeat;
-      co_await beat.wait(scheduler_.now() + kBeat);
+      const Seconds due = unix_now() + kLagInterval;
+      co_await pause.wait(scheduler_.now() + kLagInterval);
       oracle_.record_loop_lag(std::max(0.0, unix_now() - due));
     }
   }
@@ -352,8 +352,8 @@
 Result run_plan(const Plan& plan, const Programs& programs) {
   std::filesystem::remove_all(programs.folder);
   std::filesystem::create_directories(programs.folder);
-  Soak run(plan, programs);
-  return run.run();
+  Soak soak_run(plan, programs);
+  return soak_run.run();
 }
 
 Plan minimize_plan(const Plan& plan, const Programs& programs, int max_runs) {
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -28,7 +28,7 @@
 Result run_plan(const Plan& plan, const Programs& programs);
 
 // Removes faults from a failing plan while at least one of the same invariants is still violated. Runs the
-// plan at most about `max_runs` times.
+// plan once to find its violations, then candidates at most `max_runs` times.
 Plan minimize_plan(const Plan& plan, const Programs& programs, int max_runs);
 
 }  // namespace walkpaddle::soak
