--- a/soak/oracle.cpp
+++ b/soak/oracle.cpp
@@ -68,7 +68,7 @@
   records_[request.id] = {.request = request, .attempts = {}};
 }
 
-void Oracle::record_answer(std::uint64_t id, std::string_view word, std::string_view fields,
+void Oracle::record_answer(std::uint64_t id, std::string_view status, std::string_view fields,
                            std::string_view body) {
   const auto it = records_.find(id);
   if (it == records_.end()) return;
@@ -77,23 +77,23 @@
   ++counts_.checked[static_cast<int>(Invariant::answer_once)];
   if (r.answered_at >= 0)
     return report_violation(Invariant::answer_once, request.router, id,
-                            fmt::format("second answer: {}", word));
+                            fmt::format("second answer: {}", status));
   r.answered_at = unix_now();
   const Seconds allowed = request.sent + request.limit + request.read_pauses + kAnswerGrace + slack();
   ++counts_.checked[static_cast<int>(Invariant::answer_in_time)];
   if (r.left_at < 0 && r.answered_at > allowed + stalled_time(request.router, request.sent, r.answered_at))
-    report_violation(
-        Invariant::answer_in_time, request.router, id,
-        fmt::format("{} after {:.3f} s, limit {:.3f} s", word, r.answered_at - request.sent, request.limit));
+    report_violation(Invariant::answer_in_time, request.router, id,
+                     fmt::format("{} after {:.3f} s, limit {:.3f} s", status, r.answered_at - request.sent,
+                                 request.limit));
   const bool ran = std::ranges::any_of(r.attempts, &Attempt::ran);
-  if (word == "REJECT") {
+  if (status == "REJECT") {
     ++counts_.rejected, ++counts_.checked[static_cast<int>(Invariant::refusal_harmless)];
     if (ran && request.effect == Idempotency::non_idempotent)
       report_violation(Invariant::refusal_harmless, request.router, id,
                        "rejected although an attempt of it may have run");
     return;
   }
-  if (word != "RESULT") return void(++counts_.failed);
+  if (status != "RESULT") return void(++counts_.failed);
   ++counts_.served;
   latencies_.push_back(r.answered_at - request.sent);
   if (request.effect != Idempotency::idempotent) {
--- a/soak/oracle.h
+++ b/soak/oracle.h
@@ -84,7 +84,8 @@
 
   // Clients.
   void record_request(const Request& request);
-  void record_answer(std::uint64_t id, std::string_view word, std::string_view fields, std::string_view body);
+  void record_answer(std::uint64_t id, std::string_view status, std::string_view fields,
+                     std::string_view body);
   void record_cancellation(std::uint64_t id);            // by the client: it cancelled the request or closed
   void excuse(std::uint64_t id, std::string_view why);   // the protocol requires no answer
   void record_read_pause(std::uint64_t id, Seconds by);  // the client does not read for that long
--- a/soak/process.cpp
+++ b/soak/process.cpp
@@ -48,16 +48,16 @@
 
 void Process::start(const std::string& config) {
   configure(config);
-  std::vector<std::string> words;
-  for (char** word = environ; *word != nullptr; ++word)
-    if (const std::string_view w = *word; !w.starts_with("LB_") && !w.starts_with("LD_PRELOAD="))
-      words.emplace_back(w);
-  words.push_back("LB_CONFIG=" + setup_.folder + "/config.json");
-  words.push_back("LD_PRELOAD=" + setup_.shim);
-  words.push_back(fmt::format("{}={}/faults", kFaultControlVariable, setup_.folder));
+  std::vector<std::string> environment;
+  for (char** variable = environ; *variable != nullptr; ++variable)
+    if (const std::string_view v = *variable; !v.starts_with("LB_") && !v.starts_with("LD_PRELOAD="))
+      environment.emplace_back(v);
+  environment.push_back("LB_CONFIG=" + setup_.folder + "/config.json");
+  environment.push_back("LD_PRELOAD=" + setup_.shim);
+  environment.push_back(fmt::format("{}={}/faults", kFaultControlVariable, setup_.folder));
   std::vector<char*> env;
-  env.reserve(words.size() + 1);
-  for (auto& w : words) env.push_back(w.data());
+  env.reserve(environment.size() + 1);
+  for (auto& variable : environment) env.push_back(variable.data());
   env.push_back(nullptr);
   const char* args[] = {setup_.program.c_str(), nullptr};
   const auto log = log_path();
@@ -161,9 +161,9 @@
   constexpr int kUserField = 14, kSystemField = 15;  // proc(5)
   std::ifstream stat(fmt::format("/proc/{}/stat", pid_));
   double ticks = 0;
-  std::string word;
-  for (int field = 1; field <= kSystemField && stat >> word; ++field)
-    if (field >= kUserField) ticks += std::stod(word);
+  std::string value;
+  for (int field = 1; field <= kSystemField && stat >> value; ++field)
+    if (field >= kUserField) ticks += std::stod(value);
   return ticks / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
--- a/soak/shim.cpp
+++ b/soak/shim.cpp
@@ -72,8 +72,8 @@
   const int result = real(clock, at);
   if (result != 0 || (clock != CLOCK_REALTIME && clock != CLOCK_REALTIME_COARSE)) return result;
   constexpr std::int64_t kSecond = 1'000'000'000;
-  const std::int64_t moved = at->tv_sec * kSecond + at->tv_nsec + wall_offset();
-  at->tv_sec = moved / kSecond, at->tv_nsec = moved % kSecond;
+  const std::int64_t shifted = at->tv_sec * kSecond + at->tv_nsec + wall_offset();
+  at->tv_sec = shifted / kSecond, at->tv_nsec = shifted % kSecond;
   return 0;
 }
 
@@ -91,7 +91,7 @@
   return now.tv_sec;
 }
 
-ssize_t recv(int fd, void* room, size_t size, int flags) {
+ssize_t recv(int fd, void* buffer, size_t size, int flags) {
   static const auto real = next_function<ssize_t (*)(int, void*, size_t, int)>("recv");
   std::uint64_t nth = 0;
   if (fails(Call::recv_interrupted, nth)) return fail({EINTR}, nth);
@@ -101,7 +101,7 @@
     return fail({ETIMEDOUT, EHOSTUNREACH}, nth);
   }
   if (size > 1 && fails(Call::recv_short, nth)) size = 1;
-  return real(fd, room, size, flags);
+  return real(fd, buffer, size, flags);
 }
 
 ssize_t send(int fd, const void* bytes, size_t size, int flags) {
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -298,12 +298,12 @@
   // Reports the guard's refusals in the router's log as violations.
   void report_guard_refusals(const Process& p) {
     std::ifstream log(p.log_path());
-    const std::string mark = " guard: ";
+    const std::string prefix = " guard: ";
     for (std::string line; std::getline(log, line);)
-      if (const auto at = line.find(mark); at != std::string::npos)
+      if (const auto at = line.find(prefix); at != std::string::npos)
         oracle_.report_violation(Invariant::guard, p.number(),
-                                 std::stoull(line.substr(at + mark.size(), 16), nullptr, 16),
-                                 line.substr(at + mark.size()));
+                                 std::stoull(line.substr(at + prefix.size(), 16), nullptr, 16),
+                                 line.substr(at + prefix.size()));
   }
 
   // Returns all lines of the router's log that contain the request's id, or else the last lines of the log.
