--- a/soak/clients.cpp
+++ b/soak/clients.cpp
@@ -79,7 +79,7 @@
     if (connection->stream().error() != 0) continue;
     connection->write(net::resp_array_text({"ALIVE", "1", ""}));
     const Seconds until = scheduler_.now() + kAnswerTimeout;
-    while (scheduler_.now() < until && connection->stream().read() == Stream::Came::nothing)
+    while (scheduler_.now() < until && connection->stream().read() == Stream::ReadResult::nothing)
       co_await connection->stream().readable(until);
     if (connection->stream().in().find("\r\nREADY\r\n") != std::string_view::npos) process_.set_ready();
   }
@@ -200,7 +200,7 @@
     const bool stays_open = uniform() < 0.3;
     for (Seconds next = scheduler_.now();;) {
       const auto came = stream.read();
-      if (came == Stream::Came::end) {
+      if (came == Stream::ReadResult::end) {
         read_answers(c);
         if (stays_open && c.open.empty() && stream.error() == 0) {
           send_across_close(c);
@@ -209,7 +209,7 @@
         handle_connection_end(c);
         break;
       }
-      if (came == Stream::Came::bytes) {
+      if (came == Stream::ReadResult::bytes) {
         read_answers(c);
         continue;
       }
--- a/soak/discovery.cpp
+++ b/soak/discovery.cpp
@@ -183,9 +183,9 @@
   for (;;) {
     accept(w);
     if (w.connection) {
-      Stream::Came came;
-      while ((came = w.connection->stream().read()) == Stream::Came::bytes) continue;
-      if (came == Stream::Came::end)
+      Stream::ReadResult came;
+      while ((came = w.connection->stream().read()) == Stream::ReadResult::bytes) continue;
+      if (came == Stream::ReadResult::end)
         w.connection.reset();
       else
         write_due_events(w);
--- a/soak/endpoint.cpp
+++ b/soak/endpoint.cpp
@@ -136,8 +136,8 @@
     if (active(FaultKind::server_closes_idle) || active(FaultKind::server_resets_idle))
       close_idle_connections();
     const auto came = stream.read();
-    if (came == Stream::Came::end) break;
-    if (came == Stream::Came::nothing) {
+    if (came == Stream::ReadResult::end) break;
+    if (came == Stream::ReadResult::nothing) {
       exact = true;
       co_await stream.readable(scheduler_.now() + 0.25);
       continue;
