--- a/soak/shim.cpp
+++ b/soak/shim.cpp
@@ -1,5 +1,5 @@
-// A library for LD_PRELOAD: steps the wall clock of one process and lets its system calls fail as Linux
-// documents, as the soak's control page says. Without the page it changes nothing.
+// Fault injection library for LD_PRELOAD. It offsets the wall clock of one process and makes its system calls
+// fail with errors that Linux documents. FaultControl sets the faults; without it nothing changes.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
@@ -21,7 +21,7 @@
 using walkpaddle::soak::FaultControl;
 
 FaultControl* map_control() {
-  const char* path = std::getenv(walkpaddle::soak::kFaultControl);
+  const char* path = std::getenv(walkpaddle::soak::kFaultControlVariable);
   if (path == nullptr) return nullptr;
   const int fd = ::open(path, O_RDWR | O_CLOEXEC);
   if (fd < 0) return nullptr;
@@ -40,15 +40,16 @@
   return reinterpret_cast<F>(::dlsym(RTLD_NEXT, name));
 }
 
-// Whether this call is one that fails; how often it did is counted. The count of calls is the process's own.
+// Whether this call has to fail; sets `nth` to the number of earlier failures of its kind. Calls are counted
+// per process, failures in the shared memory.
 bool fails(Call call, std::uint64_t& nth) {
-  static std::atomic<std::uint64_t> calls[walkpaddle::soak::kCalls];
+  static std::atomic<std::uint64_t> calls[walkpaddle::soak::kCallCount];
   auto* page = control();
   if (page == nullptr) return false;
   const auto at = static_cast<std::size_t>(call);
-  const auto each = page->fails_each[at].load(std::memory_order_relaxed);
+  const auto each = page->failure_interval[at].load(std::memory_order_relaxed);
   if (each == 0 || ++calls[at] % each != 0) return false;
-  nth = page->failed[at]++;
+  nth = page->failure_count[at]++;
   return true;
 }
 
@@ -71,8 +72,8 @@
   const int result = real(clock, at);
   if (result != 0 || (clock != CLOCK_REALTIME && clock != CLOCK_REALTIME_COARSE)) return result;
   constexpr std::int64_t kSecond = 1'000'000'000;
-  const std::int64_t moved = at->tv_sec * kSecond + at->tv_nsec + wall_offset();
-  at->tv_sec = moved / kSecond, at->tv_nsec = moved % kSecond;
+  const std::int64_t shifted = at->tv_sec * kSecond + at->tv_nsec + wall_offset();
+  at->tv_sec = shifted / kSecond, at->tv_nsec = shifted % kSecond;
   return 0;
 }
 
@@ -90,17 +91,17 @@
   return now.tv_sec;
 }
 
-ssize_t recv(int fd, void* room, size_t size, int flags) {
+ssize_t recv(int fd, void* buffer, size_t size, int flags) {
   static const auto real = next_function<ssize_t (*)(int, void*, size_t, int)>("recv");
   std::uint64_t nth = 0;
   if (fails(Call::recv_interrupted, nth)) return fail({EINTR}, nth);
   if (fails(Call::recv_no_memory, nth)) return fail({ENOMEM}, nth);
   if (fails(Call::recv_timed_out, nth)) {
-    ::shutdown(fd, SHUT_RDWR);  // what such an error leaves is a dead connection
+    ::shutdown(fd, SHUT_RDWR);  // after such an error the connection is unusable
     return fail({ETIMEDOUT, EHOSTUNREACH}, nth);
   }
   if (size > 1 && fails(Call::recv_short, nth)) size = 1;
-  return real(fd, room, size, flags);
+  return real(fd, buffer, size, flags);
 }
 
 ssize_t send(int fd, const void* bytes, size_t size, int flags) {
@@ -131,7 +132,7 @@
   static const auto real = next_function<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
   std::uint64_t nth = 0;
   if (fails(Call::accept_failed, nth)) {
-    // Only ECONNABORTED takes the caller from the queue.
+    // Only ECONNABORTED removes a connection from the accept queue.
     if (nth % 4 == 0)
       if (const int aborted = real(fd, address, size, flags); aborted >= 0) ::close(aborted);
     return fail({ECONNABORTED, ENFILE, ENOBUFS, EPROTO}, nth);
