--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -9,12 +9,13 @@
 #include <set>
 
 using namespace walkpaddle;
-using lab::Changes;
-using Quality = Changes::Quality;
+using testbed::RolloutFleet;
+using Quality = RolloutFleet::Quality;
 
 namespace {
 
-// A quality function for Changes::Setup: `degrade` changes the quality of every generation other than g1.
+// A quality function for RolloutFleet::Setup: `degrade` changes the quality of every generation other than
+// g1.
 template <class F>
 auto degraded(F degrade) {
   return [degrade](const std::string& generation, int, Seconds) {
@@ -25,8 +26,8 @@
 }
 
 // A fleet that has already run for 15 s.
-struct RunningFleet : Changes {
-  explicit RunningFleet(Setup setup) : Changes(std::move(setup)) {
+struct RunningFleet : RolloutFleet {
+  explicit RunningFleet(Setup setup) : RolloutFleet(std::move(setup)) {
     until(15, [] { return false; });
   }
   // Proposes a rollout at one router, which has to accept it.
@@ -36,19 +37,19 @@
   }
   // Whether the rollout is done, or stopped and rolled back, within `max_time` seconds.
   bool finishes(const char* name = "c1", Seconds max_time = 900) {
-    return until(max_time, [&] { return done(name) || (stopped(name) && everywhere("g1")); });
+    return until(max_time, [&] { return done(name) || (stopped(name) && all_run("g1")); });
   }
 };
 
 rollout::RolloutPlan release_plan() {
-  auto plan = Changes::document();
+  auto plan = RolloutFleet::make_plan();
   plan.work = freeze::kRelease, plan.body = "/opt/walkpaddle/g2";
   return plan;
 }
 
 // A window at the sites that begins `in` seconds after `now`.
 freeze::Window late_window(const std::vector<std::string>& sites, Seconds now, Seconds in, Seconds lead = 0) {
-  // The default time in Changes::Setup is 2026-05-28 20:26:40 UTC.
+  // The default time in RolloutFleet::Setup is 2026-05-28 20:26:40 UTC.
   const auto minute = static_cast<int>((now + in - 1'780'000'000) / 60) + 26;
   return {.name = "late",
           .sites = sites,
@@ -65,23 +66,23 @@
   GIVEN("eight routers, with a twentieth of the datagrams lost") {
     RunningFleet fleet({.net = {.lost = 0.05, .twice = 0.05, .delay = 0.02}});
     WHEN("a rollout is proposed at one of them") {
-      fleet.propose(Changes::document());
+      fleet.propose(RolloutFleet::make_plan());
       THEN("every router runs the new generation, stage by stage, and the rollout is done") {
         CHECK(fleet.until(300, [&] { return fleet.done("c1"); }));
-        CHECK(fleet.everywhere("g2"));
+        CHECK(fleet.all_run("g2"));
         for (const char* line :
              {"stage 1 of 3, 1 of 8 routers", "stage 2 of 3, 2 of 8", "stage 3 of 3, 8 of 8"})
-          CHECK(fleet.anyone_said(line));
+          CHECK(fleet.any_router_logged(line));
         CHECK(fleet[0].fleet_generation() == "g2");
         CHECK(fleet.moves == 8);
         CHECK(fleet.memory.largest < 1472);  // bytes of a datagram that fits an Ethernet frame
       }
       AND_WHEN("a second rollout follows") {
         fleet.until(300, [&] { return fleet.done("c1"); });
-        fleet.propose(Changes::document("c2", "g2", "g3"), 5);
+        fleet.propose(RolloutFleet::make_plan("c2", "g2", "g3"), 5);
         THEN("it is done as well") {
           CHECK(fleet.until(300, [&] { return fleet.done("c2"); }));
-          CHECK(fleet.everywhere("g3"));
+          CHECK(fleet.all_run("g3"));
         }
       }
     }
@@ -91,7 +92,7 @@
     fleet.propose(release_plan());
     THEN("it is done, and at most a tenth of a site is down at a time") {
       CHECK(fleet.until(600, [&] { return fleet.done("c1"); }));
-      CHECK(fleet.everywhere("g2"));
+      CHECK(fleet.all_run("g2"));
       CHECK(fleet.most_moving >= 2);
       CHECK(fleet.most_moving <= 4);
     }
@@ -109,7 +110,7 @@
       {"a generation that fails three requests in ten", [](Quality& q) { q.failed = 0.3; }, "failed:"},
       {"a generation that answers two in five requests too late", [](Quality& q) { q.late = 0.4; }, "late:"},
       {"a generation that takes five times as long", [](Quality& q) { q.time = 0.25; }, "slow:"},
-      {"a generation that needs nearly two attempts for each request", [](Quality& q) { q.hops = 0.9; },
+      {"a generation that needs nearly two attempts for each request", [](Quality& q) { q.retries = 0.9; },
        "retries:"},
       {"a generation that fills the cache for each request", [](Quality& q) { q.fills = 1; }, "fills:"},
       {"a generation that uses more than twice the memory", [](Quality& q) { q.memory = 90; }, "memory:"},
@@ -123,13 +124,13 @@
   }));
   GIVEN(fault.name) {
     RunningFleet fleet({.routers = 30, .seed = 5, .quality = degraded(fault.degrade)});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     THEN("the rollout is stopped at the first stage, with its reason, and the fleet is rolled back") {
       CHECK(fleet.finishes());
       CHECK(fleet.stopped("c1"));
-      CHECK(fleet.everywhere("g1"));
+      CHECK(fleet.all_run("g1"));
       CHECK(fleet.stage("c1") == 1);
-      CHECK(fleet.standing(0, "c1").why.find(fault.why) != std::string::npos);
+      CHECK(fleet.rollout_status(0, "c1").why.find(fault.why) != std::string::npos);
       CHECK(fleet.harmed_share() < 0.01);
     }
   }
@@ -137,7 +138,7 @@
 
 SCENARIO("a generation that rejects a fifth of the requests is stopped by the second stage") {
   RunningFleet fleet({.routers = 100, .seed = 6, .quality = degraded([](Quality& q) { q.refused = 0.2; })});
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   CHECK(fleet.finishes());
   CHECK(fleet.stopped("c1"));
   CHECK(fleet.stage("c1") <= 2);
@@ -148,8 +149,8 @@
   RunningFleet fleet({.routers = 12, .quality = degraded([](Quality& q) { q.ready = false; })});
   fleet.propose(release_plan());
   CHECK(fleet.finishes());
-  CHECK(fleet.anyone_said("not ready: back to g1"));
-  CHECK(fleet.everywhere("g1"));
+  CHECK(fleet.any_router_logged("not ready: back to g1"));
+  CHECK(fleet.all_run("g1"));
 }
 
 SCENARIO("a disturbance that affects both generations does not stop a rollout") {
@@ -160,7 +161,7 @@
                           if (now > from && now < from + 60) q.refused = 0.33, q.time = 0.4;
                           return q;
                         }});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     fleet.until(100, [&] { return fleet.stage("c1") >= 2; });
     from = fleet.now();
     THEN("the rollout is done") {
@@ -174,13 +175,13 @@
     RunningFleet fleet(
         {.routers = 20, .seed = 8, .sites = 2, .quality = [&](const std::string&, int n, Seconds now) {
            Quality q;
-           if (now > from && Changes::site_of(n, 2) == site) q.refused = 0.33;
+           if (now > from && RolloutFleet::site_of(n, 2) == site) q.refused = 0.33;
            return q;
          }});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     fleet.until(100, [&] { return fleet.with("g2") == 1; });
     for (int n = 0; n < 20; ++n)
-      if (fleet[n].running() == "g2") site = Changes::site_of(n, 2);
+      if (fleet[n].running() == "g2") site = RolloutFleet::site_of(n, 2);
     from = fleet.now();
     THEN("the canary is compared with the other routers of its site, and the rollout is done") {
       CHECK(fleet.finishes());
@@ -197,7 +198,7 @@
                         return q;
                       }});
   fleet.run_for(60);
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   CHECK(fleet.finishes());
   CHECK(fleet.done("c1"));
 }
@@ -212,31 +213,31 @@
          if (since < 3.5) q.refused = 0.6;
          return q;
        }});
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   CHECK(fleet.finishes());
   CHECK(fleet.done("c1"));
 }
 
 SCENARIO("a rollout with too few requests to compare is stopped after the longest duration of a stage") {
   RunningFleet fleet({.routers = 8, .rate = 0.05});
-  auto plan = Changes::document();
+  auto plan = RolloutFleet::make_plan();
   plan.max_stage_time = 60;
   fleet.propose(plan);
   CHECK(fleet.finishes());
   CHECK(fleet.stopped("c1"));
-  CHECK(fleet.standing(0, "c1").why.find("too little evidence within the maximum time of stage 1") !=
+  CHECK(fleet.rollout_status(0, "c1").why.find("too little evidence within the maximum time of stage 1") !=
         std::string::npos);
 }
 
 SCENARIO("a fault that appears once half of the fleet runs the new generation stops the rollout") {
-  Changes* all = nullptr;
+  RolloutFleet* all = nullptr;
   RunningFleet fleet({.routers = 24, .seed = 11, .quality = [&](const std::string& generation, int, Seconds) {
                         Quality q;
                         if (generation == "g2" && all != nullptr && all->with("g2") > 12) q.refused = 0.3;
                         return q;
                       }});
   all = &fleet;
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   CHECK(fleet.finishes());
   CHECK(fleet.stopped("c1"));
   CHECK(fleet.stage("c1") == 4);  // stages of 1, 2, 6 and 24 routers
@@ -244,7 +245,7 @@
 
 SCENARIO("a driver that crashes or stalls is replaced, and no stage is skipped or repeated") {
   RunningFleet fleet({.routers = 9, .seed = 12, .store = GENERATE(true, false)});
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 1 && fleet.with("g2") == 1; }));
   const int first = fleet.driver();
   REQUIRE(first >= 0);
@@ -255,7 +256,7 @@
     THEN("another router takes over, and the rollout is done") {
       CHECK(fleet.finishes());
       CHECK(fleet.done("c1"));
-      CHECK(fleet.everywhere("g2"));
+      CHECK(fleet.all_run("g2"));
       CHECK(fleet.moves == 9);
     }
   }
@@ -279,7 +280,7 @@
 SCENARIO("a partition without a majority does not advance a rollout") {
   GIVEN("nine routers, partitioned into two and seven in the middle of a stage") {
     RunningFleet fleet({.routers = 9, .seed = 13});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2; }));
     // The driver and one other router are partitioned from the rest.
     std::vector<int> away;
@@ -300,12 +301,12 @@
       fleet.memory.cuts.clear();
       CHECK(fleet.finishes());
       CHECK(fleet.done("c1"));
-      CHECK(fleet.everywhere("g2"));
+      CHECK(fleet.all_run("g2"));
     }
   }
   GIVEN("eight routers, partitioned into halves") {
     RunningFleet fleet({.routers = 8, .seed = 14});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 1; }));
     fleet.memory.cut_off(0, 3);
     fleet.run_for(120);
@@ -321,16 +322,16 @@
 
 SCENARIO("any router can stop a rollout, and a stop is final") {
   GIVEN("twenty routers at the second stage, with a twentieth of the datagrams lost") {
-    RunningFleet fleet({.routers = 20, .seed = 15, .net = {.lost = 0.05, .delay = 0.01}, .pace = 0.01});
-    fleet.propose(Changes::document());
+    RunningFleet fleet({.routers = 20, .seed = 15, .net = {.lost = 0.05, .delay = 0.01}, .time_step = 0.01});
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2 && fleet.with("g2") >= 2; }));
     WHEN("one router stops it") {
       fleet[7].stop("c1", "an operator said so", fleet.now(7));
       THEN("all routers know the stop within half a second and are rolled back within 10 s") {
         CHECK(fleet.until(
             0.5, [&] { return fleet.stopped("c1"); }, 0.02));
-        CHECK(fleet.until(10, [&] { return fleet.everywhere("g1"); }));
-        CHECK(fleet.standing(0, "c1").why == "an operator said so");
+        CHECK(fleet.until(10, [&] { return fleet.all_run("g1"); }));
+        CHECK(fleet.rollout_status(0, "c1").why == "an operator said so");
         CHECK(fleet.driver() == -1);
       }
     }
@@ -343,7 +344,7 @@
       fleet.memory.cuts.clear();
       THEN("the stop applies to all routers once the partition heals, at whatever stage they are") {
         CHECK(reached >= 2);
-        CHECK(fleet.until(60, [&] { return fleet.stopped("c1") && fleet.everywhere("g1"); }));
+        CHECK(fleet.until(60, [&] { return fleet.stopped("c1") && fleet.all_run("g1"); }));
       }
     }
   }
@@ -352,7 +353,7 @@
 SCENARIO("a stop that is raised before the proposal of its rollout applies to it") {
   RunningFleet fleet({.routers = 8, .seed = 25});
   fleet[6].stop("c1", "not this one", fleet.now(6));
-  fleet.propose(Changes::document(), 1);
+  fleet.propose(RolloutFleet::make_plan(), 1);
   CHECK(fleet.until(10, [&] { return fleet.stopped("c1"); }));
   CHECK(fleet.moves == 0);
 }
@@ -372,7 +373,7 @@
     fleet.start(driver);
     fleet.start((driver + 1) % 12);
     THEN("all routers run the old generation") {
-      CHECK(fleet.until(120, [&] { return fleet.everywhere("g1"); }));
+      CHECK(fleet.until(120, [&] { return fleet.all_run("g1"); }));
       CHECK(fleet.most_moving <= 4);
     }
   }
@@ -380,15 +381,15 @@
 
 SCENARIO("a fleet that restarts as a whole during a rollout ends on one generation") {
   RunningFleet fleet({.routers = 8, .seed = 17, .store = GENERATE(true, false)});
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2 && fleet.with("g2") == 2; }));
   for (int n = 0; n < 8; ++n) fleet.crash(n);
   for (int n = 0; n < 8; ++n) fleet.start(n);
   fleet.run_for(400);
-  const bool all_new = fleet.everywhere("g2"), all_old = fleet.everywhere("g1");
+  const bool all_new = fleet.all_run("g2"), all_old = fleet.all_run("g1");
   CHECK((all_new || all_old));
   // Without a store no router knows of the rollout after the restart.
-  if (fleet.standing(0, "c1").stages == 0) CHECK(all_old);
+  if (fleet.rollout_status(0, "c1").stages == 0) CHECK(all_old);
 }
 
 SCENARIO("a router that was down takes the current generation of the fleet") {
@@ -405,18 +406,18 @@
     fleet.start(canary);
     THEN("it restarts with the new generation, learns of the stop and rolls back") {
       CHECK(fleet[canary].running() == "g2");
-      CHECK(fleet.until(20, [&] { return fleet.everywhere("g1"); }));
+      CHECK(fleet.until(20, [&] { return fleet.all_run("g1"); }));
     }
   }
   GIVEN("a router that is down during the whole rollout") {
     RunningFleet fleet({.routers = 9, .seed = 19});
     fleet.crash(4);
     fleet.run_for(20);
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     THEN("the rollout does not wait for it, and it takes the new generation when it restarts") {
       CHECK(fleet.until(400, [&] { return fleet.done("c1"); }));
       fleet.start(4);
-      CHECK(fleet.until(20, [&] { return fleet.everywhere("g2"); }));
+      CHECK(fleet.until(20, [&] { return fleet.all_run("g2"); }));
     }
   }
 }
@@ -426,26 +427,27 @@
     RunningFleet fleet({.routers = 8, .seed = 20});
     fleet.calendar(2).declare(late_window({}, fleet.now(), 3600));
     fleet.run_for(2);
-    auto plan = Changes::document();
+    auto plan = RolloutFleet::make_plan();
     plan.max_stage_time = 3000;
     fleet.propose(plan);
     fleet.run_for(60);
     THEN("a rollout whose longest duration does not fit before it does not start, and says why") {
       CHECK(fleet.stage("c1") == 0);
-      const auto why = fleet.standing(fleet.driver(), "c1").why;
+      const auto why = fleet.rollout_status(fleet.driver(), "c1").why;
       CHECK(why.find("would run into the freeze window late") != std::string::npos);
       CHECK_FALSE(fleet.stopped("c1"));
     }
   }
   GIVEN("a rollout under way when a window is declared") {
     RunningFleet fleet({.routers = 8, .seed = 21});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 1 && fleet.with("g2") == 1; }));
     WHEN("there is time for a rollback before the window") {
       fleet.calendar(5).declare(late_window({}, fleet.now(), 600));
       THEN("it rolls back") {
-        CHECK(fleet.until(60, [&] { return fleet.stopped("c1") && fleet.everywhere("g1"); }));
-        CHECK(fleet.standing(0, "c1").why.find("a freeze window was declared late") != std::string::npos);
+        CHECK(fleet.until(60, [&] { return fleet.stopped("c1") && fleet.all_run("g1"); }));
+        CHECK(fleet.rollout_status(0, "c1").why.find("a freeze window was declared late") !=
+              std::string::npos);
       }
     }
     WHEN("the window has already begun") {
@@ -457,14 +459,14 @@
         CHECK_FALSE(fleet.stopped("c1"));
         AND_THEN("a stop and its rollback are not blocked") {
           fleet[1].stop("c1", "after all", fleet.now(1));
-          CHECK(fleet.until(20, [&] { return fleet.everywhere("g1"); }));
+          CHECK(fleet.until(20, [&] { return fleet.all_run("g1"); }));
         }
       }
     }
   }
   GIVEN("two sites of which one is frozen") {
     RunningFleet fleet({.routers = 12, .seed = 22, .sites = 2});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2; }));
     for (int n = 0; n < 12; ++n)
       if (fleet[n].running() == "g1") {
@@ -474,7 +476,8 @@
     fleet.run_for(1);
     const auto moved_at_west = [&] {
       int count = 0;
-      for (int n = 0; n < 12; ++n) count += Changes::site_of(n, 2) == "west" && fleet[n].running() == "g2";
+      for (int n = 0; n < 12; ++n)
+        count += RolloutFleet::site_of(n, 2) == "west" && fleet[n].running() == "g2";
       return count;
     };
     const int before = moved_at_west();
@@ -505,49 +508,50 @@
   CHECK(fleet.stopped("c1"));
   CHECK(fleet.stage("c1") == 0);
   CHECK(fleet.moves == 0);
-  CHECK(fleet.standing(0, "c1").why ==
+  CHECK(fleet.rollout_status(0, "c1").why ==
         "refused: channel gossip, fleet.Fact.health: field 5 is removed (r2 reads version 1)");
 }
 
 SCENARIO("conflicting plans are not carried out together") {
   RunningFleet fleet({.routers = 8, .seed = 24});
   WHEN("two plans have the same name") {
-    auto other = Changes::document();
+    auto other = RolloutFleet::make_plan();
     other.body = "allowed.max_attempts=3";
-    fleet.propose(Changes::document(), 1);
+    fleet.propose(RolloutFleet::make_plan(), 1);
     fleet.propose(other, 6);
     THEN("the rollout is stopped, and all routers keep the same plan") {
       CHECK(fleet.until(30, [&] { return fleet.stopped("c1"); }));
       fleet.run_for(10);
-      for (int n = 1; n < 8; ++n) CHECK(fleet.standing(n, "c1").plan == fleet.standing(0, "c1").plan);
-      CHECK(fleet.everywhere("g1"));
+      for (int n = 1; n < 8; ++n)
+        CHECK(fleet.rollout_status(n, "c1").plan == fleet.rollout_status(0, "c1").plan);
+      CHECK(fleet.all_run("g1"));
       CHECK(fleet.moves == 0);
     }
   }
   WHEN("two plans start from the same generation") {
-    fleet.propose(Changes::document("c1", "g1", "g2"), 1);
-    fleet.propose(Changes::document("c2", "g1", "g3"), 6);
+    fleet.propose(RolloutFleet::make_plan("c1", "g1", "g2"), 1);
+    fleet.propose(RolloutFleet::make_plan("c2", "g1", "g3"), 6);
     THEN("one is carried out, and the other does not start") {
       CHECK(fleet.until(400, [&] { return fleet.done("c1") || fleet.done("c2"); }));
       fleet.run_for(60);
-      CHECK((fleet.everywhere("g2") || fleet.everywhere("g3")));
+      CHECK((fleet.all_run("g2") || fleet.all_run("g3")));
       CHECK(fleet.moves == 8);
     }
   }
   WHEN("a plan reuses the name of a generation") {
-    fleet.propose(Changes::document("c1", "g1", "g2"), 1);
+    fleet.propose(RolloutFleet::make_plan("c1", "g1", "g2"), 1);
     fleet.run_for(2);
     THEN("it is refused with a reason") {
-      CHECK_FALSE(fleet[1].propose(Changes::document("c9", "g1", "g2"), fleet.now(1)));
+      CHECK_FALSE(fleet[1].propose(RolloutFleet::make_plan("c9", "g1", "g2"), fleet.now(1)));
       fleet.run_for(1);
-      CHECK(fleet.anyone_said("refused: the name of generation g2 is already used by change c1"));
+      CHECK(fleet.any_router_logged("refused: the name of generation g2 is already used by change c1"));
     }
   }
 }
 
 SCENARIO("an invalid plan is refused with a reason") {
   const auto why = [](auto&& invalidate) {
-    auto d = Changes::document();
+    auto d = RolloutFleet::make_plan();
     invalidate(d);
     return refusal(d).value_or("");
   };
@@ -572,7 +576,7 @@
   std::vector<rollout::PlacedRouter> fleet;
   for (int n = 0; n < 300; ++n)
     fleet.push_back({static_cast<std::uint64_t>(n) * 7919, n % 3 == 0 ? "east" : "west"});
-  const auto plan = Changes::document();
+  const auto plan = RolloutFleet::make_plan();
   const auto order = rollout_order(plan, fleet);
   const auto sizes = stage_sizes(plan, fleet.size());
   CHECK(sizes == std::vector<std::size_t>{1, 3, 15, 75, 300});
@@ -585,20 +589,20 @@
   auto seen = order;
   std::ranges::sort(seen);
   CHECK(std::ranges::unique(seen).begin() == seen.end());
-  CHECK(rollout_order(Changes::document("c2"), fleet) != order);
+  CHECK(rollout_order(RolloutFleet::make_plan("c2"), fleet) != order);
   CHECK(stage_sizes(plan, 1) == std::vector<std::size_t>{1});
 }
 
 SCENARIO("of three hundred rollouts of an equivalent generation at most three are stopped") {
   int stopped = 0;
   for (unsigned seed = 0; seed < 300; ++seed) {
-    RunningFleet fleet(
-        {.routers = 12,
-         .seed = 1000 + seed,
-         .sites = 1 + static_cast<int>(seed % 2),
-         .quality = [seed](const std::string&, int n, Seconds now) { return Changes::uneven(seed, n, now); },
-         .pace = 0.1});
-    fleet.propose(Changes::document());
+    RunningFleet fleet({.routers = 12,
+                        .seed = 1000 + seed,
+                        .sites = 1 + static_cast<int>(seed % 2),
+                        .quality = [seed](const std::string&, int n,
+                                          Seconds now) { return RolloutFleet::uneven(seed, n, now); },
+                        .time_step = 0.1});
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.finishes());
     stopped += fleet.stopped("c1");
   }
@@ -616,7 +620,7 @@
                         .quality = degraded([is_faulty](Quality& q) {
                           if (is_faulty) q.refused = 0.25;
                         })});
-    const auto proposed = seed % 5 == 0 ? release_plan() : Changes::document();
+    const auto proposed = seed % 5 == 0 ? release_plan() : RolloutFleet::make_plan();
     fleet.propose(proposed);
     std::mt19937 random(seed);
     std::uint32_t last = 0;
@@ -666,7 +670,7 @@
     // again.
     fleet[3].propose(proposed, fleet.now(3));
     CHECK(fleet.until(1500, [&] {
-      return (fleet.done("c1") && fleet.everywhere("g2")) || (fleet.stopped("c1") && fleet.everywhere("g1"));
+      return (fleet.done("c1") && fleet.all_run("g2")) || (fleet.stopped("c1") && fleet.all_run("g1"));
     }));
     if (is_faulty) CHECK(fleet.stopped("c1"));
   }
