--- a/bench/changes.cpp
+++ b/bench/changes.cpp
@@ -3,8 +3,6 @@
 //   bench_changes faults [ROUTERS SEEDS]    planted faults, in memory: where they are stopped, whom they
 //   harm; blind beside bench_changes processes N [SEED]        N processes: bytes and CPU with and without a
 //   change, a stop, a driver's crash
-#include "lab/changes.h"
-
 #include <fmt/core.h>
 #include <signal.h>
 
@@ -14,33 +12,34 @@
 #include <string>
 #include <vector>
 
-#include "lab/fleet.h"
+#include "testbed/fleet.h"
+#include "testbed/rollout_fleet.h"
 
 using namespace walkpaddle;
-using lab::Changes;
-using Quality = Changes::Quality;
+using testbed::RolloutFleet;
+using Quality = RolloutFleet::Quality;
 
 namespace {
 
-void pass(Changes& fleet, Seconds seconds) {
+void pass(RolloutFleet& fleet, Seconds seconds) {
   fleet.until(seconds, [] { return false; });
 }
 
 void same(unsigned from, unsigned seeds) {
   int stopped = 0;
   for (unsigned seed = from; seed < from + seeds; ++seed) {
-    Changes fleet(
-        {.routers = 12,
-         .seed = 50000 + seed,
-         .sites = 1 + static_cast<int>(seed % 2),
-         .quality = [seed](const std::string&, int n, Seconds now) { return Changes::uneven(seed, n, now); },
-         .pace = 0.1});
+    RolloutFleet fleet({.routers = 12,
+                        .seed = 50000 + seed,
+                        .sites = 1 + static_cast<int>(seed % 2),
+                        .quality = [seed](const std::string&, int n,
+                                          Seconds now) { return RolloutFleet::uneven(seed, n, now); },
+                        .time_step = 0.1});
     pass(fleet, 15);
-    fleet[3].propose(Changes::document(), fleet.now(3));
+    fleet[3].propose(RolloutFleet::make_plan(), fleet.now(3));
     fleet.until(900, [&] { return fleet.done("c1") || fleet.stopped("c1"); });
     if (!fleet.stopped("c1")) continue;
     ++stopped;
-    fmt::print("  seed {}: {}\n", seed, fleet.standing(0, "c1").why);
+    fmt::print("  seed {}: {}\n", seed, fleet.rollout_status(0, "c1").why);
   }
   fmt::print("{} of {} changes that change nothing were stopped\n", stopped, seeds);
 }
@@ -62,20 +61,20 @@
     std::vector<double> harmed, took;
     std::vector<unsigned> stages;
     for (unsigned seed = 0; seed < seeds; ++seed) {
-      Changes fleet({.routers = routers,
-                     .seed = 70000 + seed,
-                     .quality =
-                         [&](const std::string& generation, int, Seconds) {
-                           Quality q;
-                           if (generation != "g1") f.spoil(q);
-                           return q;
-                         },
-                     .pace = 0.1});
+      RolloutFleet fleet({.routers = routers,
+                          .seed = 70000 + seed,
+                          .quality =
+                              [&](const std::string& generation, int, Seconds) {
+                                Quality q;
+                                if (generation != "g1") f.spoil(q);
+                                return q;
+                              },
+                          .time_step = 0.1});
       pass(fleet, 15);
       const Seconds from = fleet.now();
-      fleet[3].propose(Changes::document(), fleet.now(3));
+      fleet[3].propose(RolloutFleet::make_plan(), fleet.now(3));
       fleet.until(
-          900, [&] { return fleet.done("c1") || (fleet.stopped("c1") && fleet.everywhere("g1")); }, 0.5);
+          900, [&] { return fleet.done("c1") || (fleet.stopped("c1") && fleet.all_run("g1")); }, 0.5);
       harmed.push_back(fleet.harmed_share()), took.push_back(fleet.now() - from);
       stages.push_back(fleet.stopped("c1") ? fleet.stage("c1") : 99);
     }
@@ -97,7 +96,7 @@
 struct Play {
   Play(int routers, unsigned seed)
       : count(routers),
-        fleet({.routers = routers, .boxes = 20, .seed = seed, .clients = false, .changes = true}) {}
+        fleet({.routers = routers, .cache_servers = 20, .seed = seed, .clients = false, .changes = true}) {}
   // When each log first says it, on the wall clock; 0 where it does not.
   std::vector<Seconds> said(const std::string& words) const {
     std::vector<Seconds> times;
@@ -127,21 +126,21 @@
     };
     co_await e.wait(s.now() + 15);
     constexpr Seconds kCalm = 20;
-    auto bytes = fleet.between_routers();
+    auto bytes = fleet.bytes_between_routers();
     auto used = cpu();
     co_await e.wait(s.now() + kCalm);
     fmt::print("{} routers, calm: {:.0f} bytes a second sent by each, {:.3f}% of a core\n", count,
-               static_cast<double>(fleet.between_routers() - bytes) / kCalm / count,
+               static_cast<double>(fleet.bytes_between_routers() - bytes) / kCalm / count,
                (cpu() - used) / kCalm / count * 100);
-    fleet.document(
+    fleet.write_document(
         1, "c1",
         "change \"c1\" {\n before = g1\n after = g2\n by = ana\n settings = {\"allowed.max_attempts=3\"}\n"
         " txns = 1\n least = 2\n longest = 600\n}\n");
     co_await e.wait(s.now() + 20);  // to its canary, where it waits for txns that do not come
-    bytes = fleet.between_routers(), used = cpu();
+    bytes = fleet.bytes_between_routers(), used = cpu();
     co_await e.wait(s.now() + kCalm);
     fmt::print("a change under way: {:.0f} bytes a second sent by each, {:.3f}% of a core\n",
-               static_cast<double>(fleet.between_routers() - bytes) / kCalm / count,
+               static_cast<double>(fleet.bytes_between_routers() - bytes) / kCalm / count,
                (cpu() - used) / kCalm / count * 100);
     fleet.links().faults({.lost = 0.05, .twice = 0.02, .delay = 0.01});
     const auto drove = said("this router is the driver");
@@ -158,7 +157,7 @@
         again = t;
     fmt::print("driver killed: another drives after {:.1f} s\n", again - killed);
     const Seconds stop = day_time(s.now());
-    fleet.document(2, "stop", "stop \"c1\" { why = measured }\n");
+    fleet.write_document(2, "stop", "stop \"c1\" { why = measured }\n");
     co_await e.wait(s.now() + 6);
     std::vector<Seconds> heard, back;
     Seconds first = 1e9;  // the router that was told says it: what the laboratory took to tell it is left out
@@ -178,7 +177,7 @@
     s.stop();
   }
   const int count;
-  lab::Fleet fleet;
+  testbed::Fleet fleet;
 };
 
 }  // namespace
--- a/bench/replication.cpp
+++ b/bench/replication.cpp
@@ -1,5 +1,5 @@
 // What replication of the fleet's state costs and how fast it is, with routers as processes on loopback
-// (lab/fleet): how long a drain that one router's bus tells takes to reach every router, in calm, with
+// (testbed/fleet): how long a drain that one router's bus tells takes to reach every router, in calm, with
 // datagrams lost, with one router cut off from most; what each router sends in calm; a returner's catch-up
 // after 10 s; false suspicions. A measurement, not a test.
 //   bench_replication [--servers N] [--away S] [--calm S] [--lossy S] [ROUTERS ...]     default 10 30
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/fleet.h"
+#include "testbed/fleet.h"
 
 using namespace walkpaddle;
 
@@ -27,7 +27,8 @@
 struct Play {
   explicit Play(const Sizes& s)
       : sizes(s),
-        fleet({.routers = s.routers, .boxes = s.servers, .objects = 60, .seed = 1, .clients = false}) {}
+        fleet(
+            {.routers = s.routers, .cache_servers = s.servers, .objects = 60, .seed = 1, .clients = false}) {}
 
   int times(int n, const std::string& line) const {  // in its log, over all its starts
     const auto log = fleet.log_of(n);
@@ -42,7 +43,7 @@
     Event e(s);
     const auto line = fmt::format("s-{:08x}: draining according to the fleet", 0xb0 + box);
     const Seconds told = s.now();
-    fleet.says(from, box, lab::Fleet::Says::draining);
+    fleet.publish_state(from, box, testbed::Fleet::Says::draining);
     std::vector<Seconds> took(static_cast<std::size_t>(sizes.routers), -1);
     took[static_cast<std::size_t>(from)] = 0;
     while (std::ranges::count(took, -1) > 0 && s.now() < told + 10) {
@@ -66,7 +67,7 @@
     std::uint64_t raised = 0;
     const int step = std::max(1, sizes.routers / 10);
     for (int n = 0; n < sizes.routers; n += step) {
-      const auto word = fleet.word_of(n);
+      const auto word = fleet.fleet_status(n);
       const auto mark = word.find(" suspicions raised");
       if (mark != std::string::npos && n != 1)
         raised += std::stoul(word.substr(word.rfind(' ', mark - 1) + 1));
@@ -88,8 +89,8 @@
     // All see all: the last line of each router's log of members.
     const auto together = [&] {
       for (int n = 0; n < sizes.routers; n += std::max(1, sizes.routers / 10))
-        if (fleet.word_of(n).find(fmt::format("{} of {} others alive", sizes.routers - 1,
-                                              sizes.routers - 1)) == std::string::npos)
+        if (fleet.fleet_status(n).find(fmt::format("{} of {} others alive", sizes.routers - 1,
+                                                   sizes.routers - 1)) == std::string::npos)
           return false;
       return true;
     };
@@ -100,7 +101,7 @@
     co_await pause(10);
     const auto at_start = suspicions();
     co_await pause(1);
-    const auto before = fleet.between_routers();
+    const auto before = fleet.bytes_between_routers();
     std::vector<Seconds> cpu;
     for (int n = 0; n < sizes.routers; ++n) cpu.push_back(fleet.cpu_of(n));
     const Seconds calm = s.now();
@@ -109,7 +110,7 @@
     Seconds used = 0;
     for (int n = 0; n < sizes.routers; ++n) used += fleet.cpu_of(n) - cpu[static_cast<std::size_t>(n)];
     fmt::print("  calm: {:.0f} bytes a second sent by a router, {:.2f}% of a core\n",
-               static_cast<double>(fleet.between_routers() - before) / over / sizes.routers,
+               static_cast<double>(fleet.bytes_between_routers() - before) / over / sizes.routers,
                100 * used / over / sizes.routers);
 
     fmt::print("  suspicions raised by all: {} while they started, {} in calm\n", at_start,
@@ -144,15 +145,15 @@
     const auto of_none = suspicions();
     fleet.kill(1);
     for (int b = box; b < sizes.servers / 3; ++b)
-      fleet.says(2 + b % (sizes.routers - 2), b, lab::Fleet::Says::draining);
+      fleet.publish_state(2 + b % (sizes.routers - 2), b, testbed::Fleet::Says::draining);
     co_await pause(sizes.away);
     const int caught = times(1, "caught up");
-    const auto bytes = fleet.between_routers();
+    const auto bytes = fleet.bytes_between_routers();
     const Seconds started = s.now();
     fleet.start(1);
     while (times(1, "caught up") == caught && s.now() < started + 20) co_await e.wait(s.now() + 0.002);
     const Seconds took = s.now() - started;
-    const auto passed = static_cast<double>(fleet.between_routers() - bytes);
+    const auto passed = static_cast<double>(fleet.bytes_between_routers() - bytes);
     const auto log = fleet.log_of(1);
     const auto at = std::min(log.size(), log.rfind("caught up"));
     fmt::print(
@@ -166,7 +167,7 @@
   }
 
   const Sizes sizes;
-  lab::Fleet fleet;
+  testbed::Fleet fleet;
   Event done{fleet.scheduler()};
 };
 
--- a/bench/returner.cpp
+++ b/bench/returner.cpp
@@ -7,13 +7,13 @@
 
 #include <cstdlib>
 
-#include "lab/fleet.h"
+#include "testbed/fleet.h"
 
 using namespace walkpaddle;
 
 namespace {
 
-Task play(lab::Fleet& fleet, const char* what, double rate) {
+Task play(testbed::Fleet& fleet, const char* what, double rate) {
   auto& s = fleet.scheduler();
   Event e(s);
   fleet.clients(1, rate);
@@ -53,13 +53,13 @@
   const double rate = argc > 1 ? std::atof(argv[1]) : 1200;
   const Seconds hit = (argc > 2 ? std::atof(argv[2]) : 100) / 1e3;
   for (const bool share : {false, true}) {
-    lab::Fleet fleet({.routers = 4,
-                      .boxes = 6,
-                      .objects = 2000,
-                      .share = share,
-                      .seed = 1,
-                      .rate = 100,
-                      .habits = {.hit = hit, .fill = hit}});
+    testbed::Fleet fleet({.routers = 4,
+                          .cache_servers = 6,
+                          .objects = 2000,
+                          .share = share,
+                          .seed = 1,
+                          .rate = 100,
+                          .habits = {.hit = hit, .fill = hit}});
     fleet.start_all();
     fleet.scheduler().start(play(fleet, share ? "shared" : "blind", rate));
     fleet.scheduler().run();
--- a/lab/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet.h"
+#include "testbed/fleet.h"
 
 #include <fcntl.h>
 #include <fmt/core.h>
@@ -19,7 +19,7 @@
 #include "net/resp_parser.h"
 #include "tests/platform.h"
 
-namespace walkpaddle::lab {
+namespace walkpaddle::testbed {
 
 namespace {
 
@@ -37,17 +37,18 @@
   if (program_ == nullptr) throw std::runtime_error("WALKPADDLE is not set");
   folder_ = (std::filesystem::temp_directory_path() / fmt::format("walkpaddle-lab-{}", ::getpid())).string();
   std::filesystem::create_directory(folder_);
-  const int servers = setup_.boxes + 2;
+  const int servers = setup_.cache_servers + 2;
   for (int n = 0; n < servers; ++n)
-    boxes_.push_back(std::make_unique<standins::Server>(scheduler_, outbox_, box_id(n),
-                                                        n < setup_.boxes    ? standins::Server::Kind::box
-                                                        : n == setup_.boxes ? standins::Server::Kind::parent
-                                                                            : standins::Server::Kind::origin,
-                                                        setup_.habits));
+    servers_.push_back(
+        std::make_unique<standins::Server>(scheduler_, outbox_, box_id(n),
+                                           n < setup_.cache_servers    ? standins::Server::Kind::box
+                                           : n == setup_.cache_servers ? standins::Server::Kind::parent
+                                                                       : standins::Server::Kind::origin,
+                                           setup_.habits));
   std::vector<standins::Server*> all;
-  for (auto& s : boxes_) all.push_back(s.get());
-  for (auto& s : boxes_) s->know(all);
-  for (int n = 0; n < setup_.objects; ++n) boxes_.back()->change(object_name(n), {});
+  for (auto& s : servers_) all.push_back(s.get());
+  for (auto& s : servers_) s->know(all);
+  for (int n = 0; n < setup_.objects; ++n) servers_.back()->change(object_name(n), {});
   routers_.resize(static_cast<std::size_t>(setup_.routers));
   for (auto& r : routers_) {
     r.port = ports_.take();
@@ -68,12 +69,12 @@
 }
 
 std::string Fleet::member(int box, Says state, Seconds started) const {
-  const auto& s = *boxes_[static_cast<std::size_t>(box)];
-  const bool edge = box < setup_.boxes;
+  const auto& s = *servers_[static_cast<std::size_t>(box)];
+  const bool edge = box < setup_.cache_servers;
   return standins::member_record(std::stoul(s.id().substr(2), nullptr, 16), s.port(), state, edge ? 1 : 0,
-                                 edge                  ? 0
-                                 : box == setup_.boxes ? 1
-                                                       : 2,
+                                 edge                          ? 0
+                                 : box == setup_.cache_servers ? 1
+                                                               : 2,
                                  static_cast<std::uint64_t>(started * 1e3));
 }
 
@@ -82,13 +83,14 @@
   r.folder = fmt::format("{}/r{}", folder_, n);
   std::filesystem::create_directory(r.folder);
   std::string members;
-  for (int s = 0; s < setup_.boxes + 2; ++s) {
+  for (int s = 0; s < setup_.cache_servers + 2; ++s) {
     if (s > 0) members += ",";
-    members += member_text(boxes_[static_cast<std::size_t>(s)]->id(),
-                           boxes_[static_cast<std::size_t>(s)]->port(), s < setup_.boxes ? "edge" : "hub",
-                           s < setup_.boxes    ? "cache"
-                           : s == setup_.boxes ? "parent"
-                                               : "origin");
+    members +=
+        member_text(servers_[static_cast<std::size_t>(s)]->id(),
+                    servers_[static_cast<std::size_t>(s)]->port(), s < setup_.cache_servers ? "edge" : "hub",
+                    s < setup_.cache_servers    ? "cache"
+                    : s == setup_.cache_servers ? "parent"
+                                                : "origin");
   }
   std::ofstream(r.folder + "/config.json")
       << config_text(fmt::format("r{}", n), r.port, r.bus.port, members, R"({"sockets":128,"memory_mb":32})");
@@ -117,7 +119,7 @@
 // Two sites turn by turn.
 std::string Fleet::site_of(int n) const { return setup_.sites > 1 && n % 2 == 1 ? "west" : "east"; }
 
-void Fleet::document(int n, const std::string& name, const std::string& text) {
+void Fleet::write_document(int n, const std::string& name, const std::string& text) {
   auto& r = routers_[static_cast<std::size_t>(n)];
   const auto path = fmt::format("{}/changes/{}.conf", r.folder, name);
   std::ofstream(path + ".new") << text;
@@ -193,7 +195,7 @@
 
 void Fleet::cut(int a, int b, Seconds until) { switch_.cut(a, b, until), switch_.cut(b, a, until); }
 
-void Fleet::says(int router, int box, Says state, Seconds started) {
+void Fleet::publish_state(int router, int box, Says state, Seconds started) {
   frame(router, 2, member(box, state, started));
 }
 
@@ -203,7 +205,7 @@
   if (bus.stream) bus.stream->write(bus.events.back());
 }
 
-std::string Fleet::word_of(int n) const {
+std::string Fleet::fleet_status(int n) const {
   const auto command =
       fmt::format("{} fleet --socket {}/s 2>&1", program_, routers_[static_cast<std::size_t>(n)].folder);
   const std::unique_ptr<FILE, int (*)(FILE*)> out(::popen(command.c_str(), "r"), &::pclose);
@@ -314,4 +316,4 @@
   }
 }
 
-}  // namespace walkpaddle::lab
+}  // namespace walkpaddle::testbed
--- a/lab/fleet.h
+++ b/testbed/fleet.h
@@ -13,16 +13,16 @@
 #include <vector>
 
 #include "io/stream.h"
-#include "lab/switch.h"
 #include "standins/bus.h"
 #include "standins/world.h"
+#include "testbed/switch.h"
 
-namespace walkpaddle::lab {
+namespace walkpaddle::testbed {
 
 class Fleet {
  public:
   struct Setup {
-    int routers = 3, boxes = 4, objects = 60;
+    int routers = 3, cache_servers = 4, objects = 60;
     bool share = true;  // what is known of the servers goes between routers
     unsigned seed = 1;
     bool clients = true;
@@ -51,7 +51,7 @@
   void kill(int router);
   void stall(int router, bool stalled);
   // A document in the folder of one router, and SIGHUP to it.
-  void document(int router, const std::string& name, const std::string& text);
+  void write_document(int router, const std::string& name, const std::string& text);
   void program(int router, std::string path) {
     routers_[static_cast<std::size_t>(router)].program = std::move(path);
   }
@@ -60,16 +60,16 @@
   Switch& links() { return switch_; }
   // What one router's bus says: a box drains, is ready, is gone, or started anew at `started` (Unix time).
   using Says = standins::Says;
-  void says(int router, int box, Says state, Seconds started = 0);
+  void publish_state(int router, int box, Says state, Seconds started = 0);
 
-  int served(int box) const { return boxes_[static_cast<std::size_t>(box)]->counts().served; }
+  int served(int box) const { return servers_[static_cast<std::size_t>(box)]->counts().served; }
   void clients(int router, double rate);  // more of them
   const Counts& counts(int router) const { return routers_[static_cast<std::size_t>(router)].counts; }
   bool running(int router) const { return routers_[static_cast<std::size_t>(router)].pid > 0; }
-  std::string log_of(int router) const;                               // its standard error, as far as it came
-  std::string word_of(int router) const;                              // what `walkpaddle fleet` says of it
-  std::uint64_t between_routers() const { return switch_.passed(); }  // bytes
-  Seconds cpu_of(int router) const;                                   // processor time of its present process
+  std::string log_of(int router) const;        // its standard error, as far as it came
+  std::string fleet_status(int router) const;  // what `walkpaddle fleet` says of it
+  std::uint64_t bytes_between_routers() const { return switch_.passed(); }  // bytes
+  Seconds cpu_of(int router) const;  // processor time of its present process
 
  private:
   struct Bus {
@@ -101,10 +101,10 @@
   std::string folder_;
   Scheduler scheduler_;
   Outbox outbox_;
-  std::vector<std::unique_ptr<standins::Server>> boxes_;  // the boxes, then parent and origin
+  std::vector<std::unique_ptr<standins::Server>> servers_;  // the cache_servers, then parent and origin
   std::vector<Router> routers_;
   Switch switch_;
   std::uint64_t txns_ = 0;
 };
 
-}  // namespace walkpaddle::lab
+}  // namespace walkpaddle::testbed
--- a/lab/changes.cpp
+++ b/testbed/rollout_fleet.cpp
@@ -1,29 +1,29 @@
-#include "lab/changes.h"
+#include "testbed/rollout_fleet.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace walkpaddle::lab {
+namespace walkpaddle::testbed {
 
 using rollout::GenerationMove, rollout::RequestOutcome, rollout::Rollout, rollout::RolloutLimits,
     rollout::RolloutPlan, rollout::RolloutStatus;
 
-Changes::Changes(const Setup& setup)
+RolloutFleet::RolloutFleet(const Setup& setup)
     : memory(0, setup.seed, setup.net,
-             {.furnish = [this](Memory::Router& r, Seconds now) { furnish(r, now); },
-              .step = [this](Memory::Router& r, Seconds now) { step(r, now); }},
+             {.create_states = [this](SimulatedFleet::Router& r, Seconds now) { create_states(r, now); },
+              .step = [this](SimulatedFleet::Router& r, Seconds now) { step(r, now); }},
              setup.now, setup.routers),
       setup_(setup),
       chance_(setup.seed + 17),
       machines_(static_cast<std::size_t>(setup.routers)) {
-  memory.pace = setup.pace;
+  memory.time_step = setup.time_step;
   // A tenth see four times the mean, as hundreds of routers do.
   for (auto& m : machines_)
     m.share = chance_() % 10 == 0 ? 4 : 0.4 + 0.1 * static_cast<double>(chance_() % 7);
   for (int n = 0; n < setup.routers; ++n) start(n);
 }
 
-RolloutPlan Changes::document(const char* name, const char* before, const char* after) {
+RolloutPlan RolloutFleet::make_plan(const char* name, const char* before, const char* after) {
   return {.name = name,
           .work = freeze::kSettings,
           .before = before,
@@ -36,30 +36,31 @@
           .warm_up = 4};
 }
 
-Changes::Quality Changes::uneven(unsigned seed, int n, Seconds now) {
+RolloutFleet::Quality RolloutFleet::uneven(unsigned seed, int n, Seconds now) {
   Quality q;
   q.refused = 0.004 * (1 + (n + static_cast<int>(seed)) % 4) * (1.5 + std::sin(now / 20));
   q.late = 0.02 * (1.5 + std::sin(now / 33));
   return q;
 }
 
-Changes::Quality Changes::quality(const std::string& generation, int n, Seconds now) const {
+RolloutFleet::Quality RolloutFleet::quality(const std::string& generation, int n, Seconds now) const {
   return setup_.quality ? setup_.quality(generation, n, now) : Quality{};
 }
 
-void Changes::crash(int n) { memory.crash(n); }
+void RolloutFleet::crash(int n) { memory.crash(n); }
 
-void Changes::start(int n) {
+void RolloutFleet::start(int n) {
   machines_[static_cast<std::size_t>(n)].started = memory.now;
   memory.start(n);
 }
 
-void Changes::furnish(Memory::Router& r, Seconds now) {
+void RolloutFleet::create_states(SimulatedFleet::Router& r, Seconds now) {
   auto& m = machines_[static_cast<std::size_t>(r.number)];
-  auto calendar = std::make_unique<freeze::Calendar>(
-      Memory::Router::name(r.number), Memory::Router::all(setup_.routers), freeze::Calendar::Limits{});
+  auto calendar = std::make_unique<freeze::Calendar>(SimulatedFleet::Router::name(r.number),
+                                                     SimulatedFleet::Router::all(setup_.routers),
+                                                     freeze::Calendar::Limits{});
   Rollout::Setup s{
-      .self = {Memory::Router::name(r.number), site_of(r.number, setup_.sites)},
+      .self = {SimulatedFleet::Router::name(r.number), site_of(r.number, setup_.sites)},
       .peers = {},
       .generation = m.program,
       .seed = static_cast<std::uint32_t>(r.number) * 7 + setup_.seed,
@@ -71,7 +72,7 @@
           },
       .refusal = setup_.refuses ? setup_.refuses : [](const RolloutPlan&) { return std::string(); }};
   for (int p = 0; p < setup_.routers; ++p)
-    if (p != r.number) s.peers.push_back({Memory::Router::name(p), site_of(p, setup_.sites)});
+    if (p != r.number) s.peers.push_back({SimulatedFleet::Router::name(p), site_of(p, setup_.sites)});
   auto rollout = std::make_unique<Rollout>(s, *calendar, RolloutLimits{}, now);
   if (setup_.store) {
     if (const auto own = m.store.find("own"); own != m.store.end())
@@ -87,14 +88,14 @@
   m.dies_at = q.dies_after > 0 ? memory.now + q.dies_after : 0;
   m.fails_at = !m.trying.empty() && !q.ready ? memory.now + 2 : 0;
   if (m.fails_at == 0) m.trying.clear();
-  r.kinds.push_back(std::move(calendar));
-  r.kinds.push_back(std::move(rollout));
+  r.states.push_back(std::move(calendar));
+  r.states.push_back(std::move(rollout));
 }
 
-void Changes::traffic(Machine& m, const std::string& generation, int n, Seconds now) {
+void RolloutFleet::traffic(Machine& m, const std::string& generation, int n, Seconds now) {
   const auto q = quality(generation, n, now);
   const auto roll = [&] { return std::uniform_real_distribution<>(0, 1)(chance_); };
-  const int count = std::poisson_distribution<>(setup_.rate * m.share * setup_.pace)(chance_);
+  const int count = std::poisson_distribution<>(setup_.rate * m.share * setup_.time_step)(chance_);
   for (int t = 0; t < count; ++t) {
     const double fate = roll();
     const auto end = fate < q.refused              ? RequestOutcome::rejected
@@ -112,10 +113,10 @@
   m.metrics.load_measured(q.memory, m.cpu, now);
 }
 
-void Changes::step(Memory::Router& r, Seconds now) {
+void RolloutFleet::step(SimulatedFleet::Router& r, Seconds now) {
   auto& m = machines_[static_cast<std::size_t>(r.number)];
-  auto& calendar = static_cast<freeze::Calendar&>(*r.kinds[0]);
-  auto& rollout = static_cast<Rollout&>(*r.kinds[1]);
+  auto& calendar = static_cast<freeze::Calendar&>(*r.states[0]);
+  auto& rollout = static_cast<Rollout&>(*r.states[1]);
   if (!r.gossip.catching_up() && r.members.alive_count() + 1 >= calendar.majority())
     calendar.majority_contacted(now);
   calendar.set_clock_offset(r.gossip.clock_offset(now));
@@ -124,7 +125,7 @@
   for (auto& line : rollout.take_log_lines()) m.said.push_back(std::move(line));
   if (setup_.store) {
     m.store.clear();
-    for (auto& kind : r.kinds)
+    for (auto& kind : r.states)
       for (int range = 0; range < replica::ReplicatedState::kDigestRanges; ++range)
         for (const auto id : kind->ids_of_range(range))
           m.store[std::to_string(kind->number()) + (kind->number() == 1 ? "abc"[0] : 'x') +
@@ -136,9 +137,9 @@
 }
 
 // Settings at once; a program by an end and a start, back to the earlier one if it does not become ready.
-void Changes::carry_out(Memory::Router& r, const GenerationMove& move, Seconds now) {
+void RolloutFleet::carry_out(SimulatedFleet::Router& r, const GenerationMove& move, Seconds now) {
   auto& m = machines_[static_cast<std::size_t>(r.number)];
-  auto& rollout = static_cast<Rollout&>(*r.kinds[1]);
+  auto& rollout = static_cast<Rollout&>(*r.states[1]);
   ++moves;
   if (move.plan.work == freeze::kSettings) {
     if (!quality(move.to, r.number, now).ready) return rollout.move_failed("refused by the module");
@@ -154,7 +155,7 @@
 }
 
 // What a machine does when its router ends: starts it again where it was moving, or fell.
-void Changes::supervise() {
+void RolloutFleet::supervise() {
   int moving = 0;
   for (int n = 0; n < setup_.routers; ++n) {
     auto& m = machines_[static_cast<std::size_t>(n)];
@@ -168,7 +169,7 @@
   most_moving = std::max(most_moving, moving);
 }
 
-bool Changes::until(Seconds most, const std::function<bool()>& holds, Seconds look) {
+bool RolloutFleet::until(Seconds most, const std::function<bool()>& holds, Seconds look) {
   for (const Seconds end = memory.now + most; memory.now < end;) {
     if (holds()) return true;
     go(look);
@@ -185,13 +186,13 @@
   return holds();
 }
 
-int Changes::with(const std::string& generation) {
+int RolloutFleet::with(const std::string& generation) {
   int count = 0;
   for (int n = 0; n < setup_.routers; ++n) count += up(n) && (*this)[n].running() == generation;
   return count;
 }
 
-int Changes::driver() {
+int RolloutFleet::driver() {
   int best = -1;
   for (int n = 0; n < setup_.routers; ++n)
     if (up(n) && !memory[n].stalled && (*this)[n].driving() &&
@@ -200,36 +201,36 @@
   return best;
 }
 
-RolloutStatus Changes::standing(int n, const std::string& change) {
+RolloutStatus RolloutFleet::rollout_status(int n, const std::string& change) {
   for (const auto& s : (*this)[n].status(now(n)))
     if (s.plan.name == change) return s;
   return {};
 }
 
-bool Changes::stopped(const std::string& change) {
+bool RolloutFleet::stopped(const std::string& change) {
   for (int n = 0; n < setup_.routers; ++n)
-    if (up(n) && !standing(n, change).stopped) return false;
+    if (up(n) && !rollout_status(n, change).stopped) return false;
   return true;
 }
 
-bool Changes::done(const std::string& change) {
+bool RolloutFleet::done(const std::string& change) {
   for (int n = 0; n < setup_.routers; ++n)
-    if (up(n) && !standing(n, change).done) return false;
+    if (up(n) && !rollout_status(n, change).done) return false;
   return true;
 }
 
-std::uint32_t Changes::stage(const std::string& change) {
+std::uint32_t RolloutFleet::stage(const std::string& change) {
   std::uint32_t most = 0;
   for (int n = 0; n < setup_.routers; ++n)
-    if (up(n)) most = std::max(most, standing(n, change).stage);
+    if (up(n)) most = std::max(most, rollout_status(n, change).stage);
   return most;
 }
 
-bool Changes::anyone_said(const std::string& words) const {
+bool RolloutFleet::any_router_logged(const std::string& words) const {
   return std::ranges::any_of(machines_, [&](const Machine& m) {
     return std::ranges::any_of(m.said,
                                [&](const auto& line) { return line.find(words) != std::string::npos; });
   });
 }
 
-}  // namespace walkpaddle::lab
+}  // namespace walkpaddle::testbed
--- a/lab/changes.h
+++ b/testbed/rollout_fleet.h
@@ -1,6 +1,6 @@
 // A fleet in memory whose routers take part in rolling changes: each with a calendar and a rollout, traffic
 // of its own, generations of differing quality, a machine that keeps its program and, if wanted, its store
-// over a crash. On top of lab/memory.h; virtual time, seeded, no socket, no process.
+// over a crash. On top of testbed/simulated_fleet.h; virtual time, seeded, no socket, no process.
 #pragma once
 
 #include <functional>
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "lab/memory.h"
 #include "rollout/rollout.h"
+#include "testbed/simulated_fleet.h"
 
-namespace walkpaddle::lab {
+namespace walkpaddle::testbed {
 
-class Changes {
+class RolloutFleet {
  public:
   // What a router of a generation does to its txns, at a moment.
   struct Quality {
@@ -30,27 +30,27 @@
   struct Setup {
     int routers = 8;
     unsigned seed = 1;
-    MemoryNet net{};
+    NetworkConditions net{};
     double rate = 20;  // txns a second of the mean router; some see several times that
     bool store = true;
     int sites = 1;
     Seconds now = 1'780'000'000;
     std::function<Quality(const std::string& generation, int router, Seconds now)> quality{};
     std::function<std::string(const rollout::RolloutPlan&)> refuses{};
-    Seconds pace = 0.05;
+    Seconds time_step = 0.05;
   };
-  explicit Changes(const Setup& setup);
-  static rollout::RolloutPlan document(const char* name = "c1", const char* before = "g1",
-                                       const char* after = "g2");
+  explicit RolloutFleet(const Setup& setup);
+  static rollout::RolloutPlan make_plan(const char* name = "c1", const char* before = "g1",
+                                        const char* after = "g2");
   // No generation differs, but routers do, and the day goes up and down.
   static Quality uneven(unsigned seed, int n, Seconds now);
   static std::string site_of(int n, int sites) { return sites > 1 && n % sites == 1 ? "west" : "east"; }
 
   rollout::Rollout& operator[](int n) {
-    return *static_cast<rollout::Rollout*>(memory.operator[](n).kinds[1].get());
+    return *static_cast<rollout::Rollout*>(memory.operator[](n).states[1].get());
   }
   freeze::Calendar& calendar(int n) {
-    return *static_cast<freeze::Calendar*>(memory.operator[](n).kinds[0].get());
+    return *static_cast<freeze::Calendar*>(memory.operator[](n).states[0].get());
   }
   Seconds now(int n = 0) { return memory.now + memory[n].skew; }
   void go(Seconds seconds) { memory.go(seconds); }
@@ -62,19 +62,19 @@
   bool up(int n) const { return memory.up(n); }
 
   int with(const std::string& generation);  // routers that run it
-  bool everywhere(const std::string& generation) { return with(generation) == memory.size(); }
+  bool all_run(const std::string& generation) { return with(generation) == memory.size(); }
   int driver();  // -1: nobody drives; the one that says so with the greatest term
-  rollout::RolloutStatus standing(int n, const std::string& change);
+  rollout::RolloutStatus rollout_status(int n, const std::string& change);
   bool stopped(const std::string& change);  // at every router that is up
   bool done(const std::string& change);
   std::uint32_t stage(const std::string& change);  // the furthest that any router knows
   const std::vector<std::string>& said(int n) const { return machines_[static_cast<std::size_t>(n)].said; }
-  bool anyone_said(const std::string& words) const;
+  bool any_router_logged(const std::string& words) const;
   double harmed_share() const {
     return all_ > 0 ? static_cast<double>(harmed_) / static_cast<double>(all_) : 0;
   }
 
-  Memory memory;
+  SimulatedFleet memory;
   int most_moving = 0;    // at a time
   std::size_t moves = 0;  // carried out, back ones too
 
@@ -89,10 +89,10 @@
     std::string trying;  // a program that is being started for the first time; the earlier one if it fails
     std::string earlier;
   };
-  void furnish(Memory::Router& r, Seconds now);
-  void step(Memory::Router& r, Seconds now);
+  void create_states(SimulatedFleet::Router& r, Seconds now);
+  void step(SimulatedFleet::Router& r, Seconds now);
   void traffic(Machine& m, const std::string& generation, int n, Seconds now);
-  void carry_out(Memory::Router& r, const rollout::GenerationMove& move, Seconds now);
+  void carry_out(SimulatedFleet::Router& r, const rollout::GenerationMove& move, Seconds now);
   Quality quality(const std::string& generation, int n, Seconds now) const;
   void supervise();
 
@@ -102,4 +102,4 @@
   std::uint64_t all_ = 0, harmed_ = 0;
 };
 
-}  // namespace walkpaddle::lab
+}  // namespace walkpaddle::testbed
--- a/lab/memory.h
+++ b/testbed/simulated_fleet.h
@@ -17,44 +17,45 @@
 
 #include "gossip/gossip.h"
 
-namespace walkpaddle::lab {
+namespace walkpaddle::testbed {
 
 constexpr std::uint64_t kServer = 77;  // the first of the servers that all lists name
 
-struct MemoryNet {
+struct NetworkConditions {
   double lost = 0, twice = 0;
   Seconds delay = 0.002;
 };
 
-class Memory {
+class SimulatedFleet {
  public:
-  using Net = MemoryNet;
+  using Net = NetworkConditions;
   struct Router {
     Router(int n, int routers, Seconds now, unsigned seed, Seconds skew);
     static std::uint64_t name(int n) { return 1000 + static_cast<std::uint64_t>(n); }
     static std::vector<std::uint64_t> others(int n, int routers);
     static std::vector<std::uint64_t> all(int routers);
-    replica::Health takes_for(Seconds now, std::uint64_t server = kServer) const;
+    replica::Health health_of(Seconds now, std::uint64_t server = kServer) const;
     const int number;
     Seconds skew;  // of its clock
     replica::ObservationTracker tracker;
     membership::Membership members;
     gossip::SnapshotReplicas snapshot_replicas;
     gossip::Gossip gossip;
-    std::vector<std::unique_ptr<replica::ReplicatedState>> kinds;
+    std::vector<std::unique_ptr<replica::ReplicatedState>> states;
     std::optional<gossip::ReplicatedSnapshot> recovered;  // what it had learnt before its start
-    bool stalled = false, bus = true;
+    bool stalled = false, discovery_connected = true;
     std::vector<std::pair<int, std::string>> held;  // came while it was stalled
   };
   // What a test's routers have beside the rest, and what they do at each step.
   struct Hooks {
     std::function<void(Router&, Seconds now)>
-        furnish;  // at a start: kinds are made; gossip carries them afterwards
+        create_states;  // at a start: kinds are made; gossip carries them afterwards
     std::function<void(Router&, Seconds now)> step;  // on the router's own clock
   };
-  Memory(int routers, unsigned seed, Net net = {}) : Memory(routers, seed, net, Hooks(), 1000) {}
+  SimulatedFleet(int routers, unsigned seed, Net net = {})
+      : SimulatedFleet(routers, seed, net, Hooks(), 1000) {}
   // size: of the fleet, where fewer than that start at once.
-  Memory(int routers, unsigned seed, Net net, Hooks hooks, Seconds now, int size = 0);
+  SimulatedFleet(int routers, unsigned seed, Net net, Hooks hooks, Seconds now, int size = 0);
   Router& operator[](int n) { return *routers_[static_cast<std::size_t>(n)]; }
   bool up(int n) const { return routers_[static_cast<std::size_t>(n)] != nullptr; }
   int size() const { return count; }
@@ -64,8 +65,8 @@
   void cut_off(int first, int last);  // these from all others
   void skew(int n, Seconds by);       // of its clock, from its next start on
   // What one router's bus says of the first server.
-  void bus(int n, EndpointState state, Seconds started = 0);
-  static gossip::ReplicatedSnapshot learnt_by(int n);
+  void set_listing(int n, EndpointState state, Seconds started = 0);
+  static gossip::ReplicatedSnapshot sample_snapshot(int n);
   void go(Seconds seconds);
   template <class F>
   bool all(F&& holds) {
@@ -73,19 +74,19 @@
       if (up(n) && !holds((*this)[n])) return false;
     return true;
   }
-  bool all_take_for(replica::Health h) {
-    return all([&](Router& r) { return r.takes_for(now + r.skew) == h; });
+  bool all_see_health(replica::Health h) {
+    return all([&](Router& r) { return r.health_of(now + r.skew) == h; });
   }
-  bool equal();
+  bool converged();
 
   Net net;
   std::mt19937 chance;
   const int count;
   Seconds now;
-  Seconds pace = 0.005;  // of a step
-  std::multimap<Seconds, std::tuple<int, int, std::string>> flying;
+  Seconds time_step = 0.005;  // of a step
+  std::multimap<Seconds, std::tuple<int, int, std::string>> in_transit;
   std::set<std::pair<int, int>> cuts;
-  std::uint64_t sent = 0, facts_sent = 0;
+  std::uint64_t sent = 0, observations_sent = 0;
   std::size_t largest = 0;
   void take(Router& r, const std::string& bytes);  // a datagram
 
@@ -96,4 +97,4 @@
   std::vector<std::unique_ptr<Router>> routers_;
 };
 
-}  // namespace walkpaddle::lab
+}  // namespace walkpaddle::testbed
--- a/lab/switch.cpp
+++ b/testbed/switch.cpp
@@ -1,4 +1,4 @@
-#include "lab/switch.h"
+#include "testbed/switch.h"
 
 #include <netinet/in.h>
 #include <sys/eventfd.h>
@@ -7,7 +7,7 @@
 
 #include "standins/world.h"
 
-namespace walkpaddle::lab {
+namespace walkpaddle::testbed {
 
 namespace {
 
@@ -117,4 +117,4 @@
   }
 }
 
-}  // namespace walkpaddle::lab
+}  // namespace walkpaddle::testbed
--- a/lab/switch.h
+++ b/testbed/switch.h
@@ -17,7 +17,7 @@
 #include "io/listener.h"
 #include "io/stream.h"
 
-namespace walkpaddle::lab {
+namespace walkpaddle::testbed {
 
 class Switch {
  public:
@@ -68,4 +68,4 @@
   std::thread thread_;
 };
 
-}  // namespace walkpaddle::lab
+}  // namespace walkpaddle::testbed
--- a/tests/change_sockets.cpp
+++ b/tests/change_sockets.cpp
@@ -11,7 +11,7 @@
 #include <functional>
 #include <string>
 
-#include "lab/fleet.h"
+#include "testbed/fleet.h"
 
 using namespace walkpaddle;
 
@@ -51,9 +51,9 @@
 }
 
 struct RolloutTest {
-  explicit RolloutTest(lab::Fleet::Setup setup) : fleet(std::move(setup)) {}
+  explicit RolloutTest(testbed::Fleet::Setup setup) : fleet(std::move(setup)) {}
 
-  std::string status(int n) const { return fleet.running(n) ? fleet.word_of(n) : ""; }
+  std::string status(int n) const { return fleet.running(n) ? fleet.fleet_status(n) : ""; }
   bool reports(int n, const std::string& words) const { return status(n).find(words) != std::string::npos; }
   bool all_report(const std::string& words) const {
     for (int n = 0; n < kRouters; ++n)
@@ -103,7 +103,7 @@
     check("all eight routers run g1 and their calendars are current",
           all_report("runs g1, the fleet stands at g1; its calendar is current"));
 
-    fleet.document(3, "c1", settings_text("c1", "g1", "g2"));
+    fleet.write_document(3, "c1", settings_text("c1", "g1", "g2"));
     for (const Seconds until = scheduler.now() + 40;
          scheduler.now() < until && !(driver() >= 0 && all_report("stage 1 of 3"));)
       co_await pause(0.3);
@@ -152,13 +152,13 @@
     check("after all routers are killed and started again, the fleet runs g2",
           all_report("runs g2, the fleet stands at g2"));
 
-    fleet.document(5, "c2", settings_text("c2", "g2", "g3"));
+    fleet.write_document(5, "c2", settings_text("c2", "g2", "g3"));
     for (const Seconds until = scheduler.now() + 60; scheduler.now() < until && !all_report("stage 2 of 3");)
       co_await pause(0.3);
     const bool reached = all_report("stage 2 of 3");
     fleet.kill(6);
     const Seconds stopped = scheduler.now();
-    fleet.document(1, "stop", "stop \"c2\" { why = \"the pager rang\" }\n");
+    fleet.write_document(1, "stop", "stop \"c2\" { why = \"the pager rang\" }\n");
     for (const Seconds until = scheduler.now() + 20;
          scheduler.now() < until && !all_report("runs g2, the fleet stands at g2");)
       co_await pause(0.1);
@@ -174,14 +174,15 @@
 
     for (int x = 0; x < 4; ++x)
       for (int y = 4; y < kRouters; ++y) fleet.cut(x, y, 1e15);
-    fleet.document(0, "w",
-                   "window \"trade\" {\n zone = \"UTC\"\n from = \"01-01 00:00\"\n until = \"11-20 00:00\"\n "
-                   "by = \"bo\"\n}\n"
-                   "window \"rest\" {\n zone = \"UTC\"\n from = \"11-20 00:30\"\n until = \"12-31 23:30\"\n "
-                   "by = \"bo\"\n}\n");
+    fleet.write_document(
+        0, "w",
+        "window \"trade\" {\n zone = \"UTC\"\n from = \"01-01 00:00\"\n until = \"11-20 00:00\"\n "
+        "by = \"bo\"\n}\n"
+        "window \"rest\" {\n zone = \"UTC\"\n from = \"11-20 00:30\"\n until = \"12-31 23:30\"\n "
+        "by = \"bo\"\n}\n");
     co_await pause(3);
     const bool partitioned = reports(2, "freeze window trade") && !reports(5, "freeze window trade");
-    fleet.document(5, "c3", settings_text("c3", "g2", "g4"));
+    fleet.write_document(5, "c3", settings_text("c3", "g2", "g4"));
     co_await pause(10);
     const bool none_moved = all_report("runs g2");
     for (int x = 0; x < 4; ++x)
@@ -206,7 +207,7 @@
     const auto pause = [&](Seconds duration) { return timer.wait(scheduler.now() + duration); };
     co_await pause(8);
     const auto before = request_totals();
-    fleet.document(2, "c1", release_text("present", program, true));
+    fleet.write_document(2, "c1", release_text("present", program, true));
     for (const Seconds until = scheduler.now() + 200;
          scheduler.now() < until && !all_report("runs present, the fleet stands at present");)
       co_await pause(0.5);
@@ -242,7 +243,7 @@
     Event timer(scheduler);
     const auto pause = [&](Seconds duration) { return timer.wait(scheduler.now() + duration); };
     co_await pause(8);
-    fleet.document(2, "c1", release_text("present", program, false));
+    fleet.write_document(2, "c1", release_text("present", program, false));
     for (const Seconds until = scheduler.now() + 100;
          scheduler.now() < until && !(all_report("STOPPED") && all_report("runs g1"));)
       co_await pause(0.5);
@@ -258,7 +259,7 @@
     auto& scheduler = fleet.scheduler();
     Event timer(scheduler);
     co_await timer.wait(scheduler.now() + 8);
-    fleet.document(2, "c1", release_text("broken", program, false));
+    fleet.write_document(2, "c1", release_text("broken", program, false));
     for (const Seconds until = scheduler.now() + 40; scheduler.now() < until && !all_report("STOPPED");)
       co_await timer.wait(scheduler.now() + 0.5);
     check(
@@ -275,7 +276,7 @@
     auto& scheduler = fleet.scheduler();
     Event timer(scheduler);
     co_await timer.wait(scheduler.now() + 8);
-    fleet.document(2, "c1", settings_text("c1", "g1", "g2"));
+    fleet.write_document(2, "c1", settings_text("c1", "g1", "g2"));
     for (const Seconds until = scheduler.now() + 30; scheduler.now() < until && !reports(0, "STOPPED");)
       co_await timer.wait(scheduler.now() + 0.5);
     bool named = true;
@@ -287,7 +288,7 @@
     scheduler.stop();
   }
 
-  lab::Fleet fleet;
+  testbed::Fleet fleet;
 };
 
 // Copies the protocol folder and adds a release that publishes milliseconds in place of seconds.
@@ -317,7 +318,7 @@
   if (protocol == nullptr || faulty == nullptr) return 2;
   const auto folder = mode == "broken" ? protocol_with_incompatible_release(protocol) : std::string(protocol);
   RolloutTest test({.routers = kRouters,
-                    .boxes = 4,
+                    .cache_servers = 4,
                     .objects = 60,
                     .seed = argc > at ? static_cast<unsigned>(std::atoi(argv[at])) : 1,
                     .rate = 40,
--- a/tests/gossip_parts.cpp
+++ b/tests/gossip_parts.cpp
@@ -1,6 +1,6 @@
 // Membership, endpoint observations, gossip and snapshot replicas in a fleet of routers in memory
-// (lab/memory.h), with datagrams lost, duplicated and delayed, partitions, crashes, restarts, stalls and late
-// discovery. Prints one line for each property that must hold.
+// (testbed/simulated_fleet.h), with datagrams lost, duplicated and delayed, partitions, crashes, restarts,
+// stalls and late discovery. Prints one line for each property that must hold.
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -13,14 +13,14 @@
 
 #include "base/text.h"
 #include "gossip/codec.h"
-#include "lab/memory.h"
+#include "testbed/simulated_fleet.h"
 
 using namespace walkpaddle;
 using namespace walkpaddle::gossip;
-using lab::kServer;
 using replica::EndpointObservation, replica::EndpointObservations, replica::Health, replica::HybridTimestamp,
     replica::ObservationTracker;
-using World = lab::Memory;
+using testbed::kServer;
+using World = testbed::SimulatedFleet;
 
 namespace {
 
@@ -96,31 +96,31 @@
   {
     World w(50, 5, {.lost = 0.2, .twice = 0.2, .delay = 0.02});
     w.go(5);
-    const auto sent_before = w.facts_sent;
-    w.bus(0, EndpointState::draining);
+    const auto sent_before = w.observations_sent;
+    w.set_listing(0, EndpointState::draining);
     w.go(0.5);
-    const bool known = w.all_take_for(Health::draining);
+    const bool known = w.all_see_health(Health::draining);
     report(
         "a drain in one router's list reaches fifty routers in half a second, with datagrams lost, "
         "duplicated and reordered",
         sent_before == 0 && known);
     w.go(20);
-    report("the drain stays in force while that list has it", w.all_take_for(Health::draining));
-    w.bus(0, EndpointState::ready);
+    report("the drain stays in force while that list has it", w.all_see_health(Health::draining));
+    w.set_listing(0, EndpointState::ready);
     w.go(1);
-    report("the drain ends with a later observation by the same observer", w.all_take_for(Health::ready));
+    report("the drain ends with a later observation by the same observer", w.all_see_health(Health::ready));
   }
   {
     World w(100, 6);
     w.go(5);
-    for (int n = 0; n < 100; ++n) w.bus(n, EndpointState::draining);  // all lists at once
+    for (int n = 0; n < 100; ++n) w.set_listing(n, EndpointState::draining);  // all lists at once
     w.go(3);
     const auto observations = w[50].tracker.observations().size();
     report("a drain in a hundred lists at once takes at most fifty observations",
            observations >= 1 && observations <= 50);
-    for (int n = 0; n < 100; ++n) w.bus(n, EndpointState::ready);
+    for (int n = 0; n < 100; ++n) w.set_listing(n, EndpointState::ready);
     w.go(2);
-    report("all routers see the end of that drain", w.all_take_for(Health::ready) && w.equal());
+    report("all routers see the end of that drain", w.all_see_health(Health::ready) && w.converged());
   }
   {
     World w(40, 7);
@@ -145,57 +145,57 @@
     w.go(3);
     for (int a = 0; a < 8; ++a)
       for (int b = 8; b < 16; ++b) w.cut(a, b);
-    w.bus(0, EndpointState::draining);
+    w.set_listing(0, EndpointState::draining);
     w.go(20);  // by now each side takes the other for dead
     bool sides_differ = true;
     for (int n = 0; n < 16; ++n)
-      sides_differ = sides_differ && (w[n].takes_for(w.now) == Health::draining) == (n < 8);
+      sides_differ = sides_differ && (w[n].health_of(w.now) == Health::draining) == (n < 8);
     const bool dead = count_of(w, 0, State::dead) == 8;
     w.cuts.clear();
     w.go(12);
     report("two sides of a partition work apart, and agree again after it",
-           sides_differ && dead && w.all_take_for(Health::draining) && w.equal() &&
+           sides_differ && dead && w.all_see_health(Health::draining) && w.converged() &&
                w.all([](World::Router& r) { return r.members.alive_count() == 15; }));
   }
   for (const Seconds downtime : {10.0, 600.0}) {
     World w(10, 9, {.lost = 0.05});
     w.go(3);
     w.crash(3);
-    w.bus(0, EndpointState::draining);
+    w.set_listing(0, EndpointState::draining);
     w.go(downtime);
     w.start(3);
     w.go(1);
     report(downtime < 60 ? "a router that was down for 10 s has caught up a second after its start"
                          : "a router that was down for 10 minutes has caught up a second after its start",
-           w[3].takes_for(w.now + w[3].skew) == Health::draining && !w[3].gossip.catching_up());
+           w[3].health_of(w.now + w[3].skew) == Health::draining && !w[3].gossip.catching_up());
   }
   {
     // Router 2 loses its discovery while its list has a drain, stalls for a minute and resumes.
     World w(10, 10);
     w.go(3);
-    w.bus(2, EndpointState::draining);
+    w.set_listing(2, EndpointState::draining);
     w.go(1);
-    w[2].bus = false;
+    w[2].discovery_connected = false;
     w[2].stalled = true;
     w.go(60);
     const bool expired =
-        w.all([&](World::Router& r) { return &r == &w[2] || r.takes_for(w.now) == Health::ready; });
+        w.all([&](World::Router& r) { return &r == &w[2] || r.health_of(w.now) == Health::ready; });
     w[2].stalled = false;
     w.go(30);
-    const bool not_published = w.all([&](World::Router& r) { return r.takes_for(w.now) == Health::ready; });
-    w[2].bus = true;
+    const bool not_published = w.all([&](World::Router& r) { return r.health_of(w.now) == Health::ready; });
+    w[2].discovery_connected = true;
     w.go(2);
     report("a router that resumes after a stall does not publish its old list until discovery is in contact",
-           expired && not_published && w.all_take_for(Health::draining));
+           expired && not_published && w.all_see_health(Health::draining));
   }
   {
     World w(10, 11);
     w.go(3);
-    w.bus(0, EndpointState::draining);
+    w.set_listing(0, EndpointState::draining);
     w.go(2);
-    w.bus(1, EndpointState::ready, w.now);  // restarted at the same address
+    w.set_listing(1, EndpointState::ready, w.now);  // restarted at the same address
     w.go(1);
-    const bool cold = w.all_take_for(Health::cold);
+    const bool cold = w.all_see_health(Health::cold);
     // An observation of the run before the restart arrives late.
     w[5].tracker.receive({.endpoint = kServer,
                           .observer = World::Router::name(0),
@@ -204,19 +204,19 @@
                          w.now);
     w.go(2);
     report("a restarted endpoint is cold for all, whatever an observation from before the restart says",
-           cold && w.all_take_for(Health::cold));
+           cold && w.all_see_health(Health::cold));
   }
   {
     World w(24, 12);
     w.go(3);
-    w.bus(0, EndpointState::draining);
+    w.set_listing(0, EndpointState::draining);
     w.go(2);
     for (int n = 0; n < 24; ++n) w.crash(n);
     for (int n = 0; n < 24; ++n) w.start(n);
-    w.bus(0, EndpointState::draining);
+    w.set_listing(0, EndpointState::draining);
     w.go(4);
     report("a fleet that starts all at once sees all members alive and knows of the drain",
-           w.all_take_for(Health::draining) && w.all([](World::Router& r) {
+           w.all_see_health(Health::draining) && w.all([](World::Router& r) {
              return r.members.alive_count() == 23 && !r.gossip.catching_up();
            }));
   }
@@ -239,13 +239,13 @@
                  if (w.up(n)) w[n].stalled = !w[n].stalled;
                  break;
                case 4:
-                 if (w.up(n)) w.bus(n, EndpointState::draining);
+                 if (w.up(n)) w.set_listing(n, EndpointState::draining);
                  break;
                case 5:
-                 if (w.up(n)) w.bus(n, EndpointState::ready);
+                 if (w.up(n)) w.set_listing(n, EndpointState::ready);
                  break;
                case 6:
-                 if (w.up(n)) w.bus(n, EndpointState::ready, w.now);
+                 if (w.up(n)) w.set_listing(n, EndpointState::ready, w.now);
                  break;
              }
              w.go(0.5 + 0.1 * (w.chance() % 40));
@@ -257,9 +257,9 @@
              w[n].stalled = false;
            }
            // All lists end up equal, as they come from one discovery service; the final state follows them.
-           for (int n = 0; n < 8; ++n) w.bus(n, EndpointState::ready, 990);
+           for (int n = 0; n < 8; ++n) w.set_listing(n, EndpointState::ready, 990);
            w.go(25);
-           const bool agree = w.equal() || (w.go(2), w.equal()) || (w.go(2), w.equal());
+           const bool agree = w.converged() || (w.go(2), w.converged()) || (w.go(2), w.converged());
            RC_ASSERT(agree);
            RC_ASSERT(w.all([](World::Router& r) { return r.members.alive_count() == 7; }));
          }));
@@ -281,7 +281,7 @@
   w.start(4);
   w.go(2);
   const auto& recovered = w[4].recovered;
-  const auto expected = World::learnt_by(4);
+  const auto expected = World::sample_snapshot(4);
   bool own_recovered = recovered && recovered->router == World::Router::name(4) &&
                        recovered->link_limit == expected.link_limit &&
                        recovered->miss_ratio == expected.miss_ratio &&
@@ -307,7 +307,7 @@
   replicas.receive(2, snapshot, w.now);
   report("a snapshot of a third router, with invalid part numbers or from the future is dropped",
          replicas.replica_count() == 0);
-  replicas.restore(World::learnt_by(0));
+  replicas.restore(World::sample_snapshot(0));
   report("a snapshot without a time is not recovered", !replicas.take_recovered());
   ReplicatedSnapshot old{.router = 2, .taken_at = w.now};
   replicas.receive(2, old, w.now);
--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -1,16 +1,16 @@
 // Rolling changes: in stages, old and new side by side, stopped when worse, gone back from; drivers that
 // fall, cuts, freezes, and routers that were away.
-#include "lab/changes.h"
-
 #include <algorithm>
 #include <array>
 #include <catch2/catch.hpp>
 #include <cmath>
 #include <set>
 
+#include "testbed/rollout_fleet.h"
+
 using namespace walkpaddle;
-using lab::Changes;
-using Quality = Changes::Quality;
+using testbed::RolloutFleet;
+using Quality = RolloutFleet::Quality;
 
 namespace {
 
@@ -25,8 +25,8 @@
 }
 
 // Routers that have run for some time.
-struct Grown : Changes {
-  explicit Grown(Setup setup) : Changes(std::move(setup)) {
+struct Grown : RolloutFleet {
+  explicit Grown(Setup setup) : RolloutFleet(std::move(setup)) {
     until(15, [] { return false; });
   }
   // Proposed at one of them; whether it came to hold in time.
@@ -35,18 +35,18 @@
     until(seconds, [] { return false; });
   }
   bool over(const char* c = "c1", Seconds most = 900) {
-    return until(most, [&] { return done(c) || (stopped(c) && everywhere("g1")); });
+    return until(most, [&] { return done(c) || (stopped(c) && all_run("g1")); });
   }
 };
 
 rollout::RolloutPlan release_document() {
-  auto d = Changes::document();
+  auto d = RolloutFleet::make_plan();
   d.work = freeze::kRelease, d.body = "/opt/walkpaddle/g2";
   return d;
 }
 
 freeze::Window frozen_now(const std::vector<std::string>& sites, Seconds now, Seconds in, Seconds lead = 0) {
-  // Changes::Setup's now is of 2026-05-28 20:26:40 UTC.
+  // RolloutFleet::Setup's now is of 2026-05-28 20:26:40 UTC.
   const auto minute = static_cast<int>((now + in - 1'780'000'000) / 60) + 26;
   return {.name = "late",
           .sites = sites,
@@ -63,23 +63,23 @@
   GIVEN("eight routers, a twentieth of the datagrams lost") {
     Grown fleet({.net = {.lost = 0.05, .twice = 0.05, .delay = 0.02}});
     WHEN("it is proposed at one of them") {
-      fleet.propose(Changes::document());
+      fleet.propose(RolloutFleet::make_plan());
       THEN("every router comes to run it, stage by stage, and the change is done") {
         CHECK(fleet.until(300, [&] { return fleet.done("c1"); }));
-        CHECK(fleet.everywhere("g2"));
+        CHECK(fleet.all_run("g2"));
         for (const char* line :
              {"stage 1 of 3, 1 of 8 routers", "stage 2 of 3, 2 of 8", "stage 3 of 3, 8 of 8"})
-          CHECK(fleet.anyone_said(line));
+          CHECK(fleet.any_router_logged(line));
         CHECK(fleet[0].fleet_generation() == "g2");
         CHECK(fleet.moves == 8);
         CHECK(fleet.memory.largest < 1472);  // bytes of a datagram: a frame
       }
       AND_WHEN("a second one follows it") {
         fleet.until(300, [&] { return fleet.done("c1"); });
-        fleet.propose(Changes::document("c2", "g2", "g3"), 5);
+        fleet.propose(RolloutFleet::make_plan("c2", "g2", "g3"), 5);
         THEN("it goes through as well") {
           CHECK(fleet.until(300, [&] { return fleet.done("c2"); }));
-          CHECK(fleet.everywhere("g3"));
+          CHECK(fleet.all_run("g3"));
         }
       }
     }
@@ -89,7 +89,7 @@
     fleet.propose(release_document());
     THEN("it goes through, and never more than a tenth of a site is away at once") {
       CHECK(fleet.until(600, [&] { return fleet.done("c1"); }));
-      CHECK(fleet.everywhere("g2"));
+      CHECK(fleet.all_run("g2"));
       CHECK(fleet.most_moving >= 2);
       CHECK(fleet.most_moving <= 4);
     }
@@ -119,13 +119,13 @@
   }));
   GIVEN(fault.name) {
     Grown fleet({.routers = 30, .seed = 5, .quality = worse(fault.spoil)});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     THEN("it is stopped before a second router has it, with its reason, and the fleet is back") {
       CHECK(fleet.over());
       CHECK(fleet.stopped("c1"));
-      CHECK(fleet.everywhere("g1"));
+      CHECK(fleet.all_run("g1"));
       CHECK(fleet.stage("c1") == 1);
-      CHECK(fleet.standing(0, "c1").why.find(fault.why) != std::string::npos);
+      CHECK(fleet.rollout_status(0, "c1").why.find(fault.why) != std::string::npos);
       CHECK(fleet.harmed_share() < 0.01);
     }
   }
@@ -133,7 +133,7 @@
 
 SCENARIO("refusals of a fifth more are stopped by the stage of five in a hundred") {
   Grown fleet({.routers = 100, .seed = 6, .quality = worse([](Quality& q) { q.refused = 0.2; })});
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   CHECK(fleet.over());
   CHECK(fleet.stopped("c1"));
   CHECK(fleet.stage("c1") <= 2);
@@ -144,8 +144,8 @@
   Grown fleet({.routers = 12, .quality = worse([](Quality& q) { q.ready = false; })});
   fleet.propose(release_document());
   CHECK(fleet.over());
-  CHECK(fleet.anyone_said("not ready: back to g1"));
-  CHECK(fleet.everywhere("g1"));
+  CHECK(fleet.any_router_logged("not ready: back to g1"));
+  CHECK(fleet.all_run("g1"));
 }
 
 SCENARIO("a trouble that hits both sides stops nothing") {
@@ -156,7 +156,7 @@
                    if (now > from && now < from + 60) q.refused = 0.33, q.time = 0.4;
                    return q;
                  }});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     fleet.until(100, [&] { return fleet.stage("c1") >= 2; });
     from = fleet.now();
     THEN("the change goes through") {
@@ -170,13 +170,13 @@
     Grown fleet(
         {.routers = 20, .seed = 8, .sites = 2, .quality = [&](const std::string&, int n, Seconds now) {
            Quality q;
-           if (now > from && Changes::site_of(n, 2) == site) q.refused = 0.33;
+           if (now > from && RolloutFleet::site_of(n, 2) == site) q.refused = 0.33;
            return q;
          }});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     fleet.until(100, [&] { return fleet.with("g2") == 1; });
     for (int n = 0; n < 20; ++n)
-      if (fleet[n].running() == "g2") site = Changes::site_of(n, 2);
+      if (fleet[n].running() == "g2") site = RolloutFleet::site_of(n, 2);
     from = fleet.now();
     THEN("the canary is compared with the others there, and the change goes through") {
       CHECK(fleet.over());
@@ -192,7 +192,7 @@
                  return q;
                }});
   fleet.pass(60);
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   CHECK(fleet.over());
   CHECK(fleet.done("c1"));
 }
@@ -206,31 +206,31 @@
                  if (since < 3.5) q.refused = 0.6;
                  return q;
                }});
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   CHECK(fleet.over());
   CHECK(fleet.done("c1"));
 }
 
 SCENARIO("too little evidence is never a reason to go on") {
   Grown fleet({.routers = 8, .rate = 0.05});
-  auto d = Changes::document();
+  auto d = RolloutFleet::make_plan();
   d.max_stage_time = 60;
   fleet.propose(d);
   CHECK(fleet.over());
   CHECK(fleet.stopped("c1"));
-  CHECK(fleet.standing(0, "c1").why.find("too little evidence within the maximum time of stage 1") !=
+  CHECK(fleet.rollout_status(0, "c1").why.find("too little evidence within the maximum time of stage 1") !=
         std::string::npos);
 }
 
 SCENARIO("what is worse only once half the fleet has it is still caught there") {
-  Changes* all = nullptr;
+  RolloutFleet* all = nullptr;
   Grown fleet({.routers = 24, .seed = 11, .quality = [&](const std::string& generation, int, Seconds) {
                  Quality q;
                  if (generation == "g2" && all != nullptr && all->with("g2") > 12) q.refused = 0.3;
                  return q;
                }});
   all = &fleet;
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   CHECK(fleet.over());
   CHECK(fleet.stopped("c1"));
   CHECK(fleet.stage("c1") == 4);  // of 1, 2, 6 and 24 routers
@@ -238,7 +238,7 @@
 
 SCENARIO("a driver that falls is replaced, and no stage is skipped or done twice") {
   Grown fleet({.routers = 9, .seed = 12, .store = GENERATE(true, false)});
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 1 && fleet.with("g2") == 1; }));
   const int first = fleet.driver();
   REQUIRE(first >= 0);
@@ -249,7 +249,7 @@
     THEN("another took over, and the change is done") {
       CHECK(fleet.over());
       CHECK(fleet.done("c1"));
-      CHECK(fleet.everywhere("g2"));
+      CHECK(fleet.all_run("g2"));
       CHECK(fleet.moves == 9);
     }
   }
@@ -273,7 +273,7 @@
 SCENARIO("a side without a majority holds where it stands") {
   GIVEN("nine routers, cut into two and seven in the middle of a stage") {
     Grown fleet({.routers = 9, .seed = 13});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2; }));
     // The two that change last, so that the driver is among them.
     std::vector<int> away;
@@ -294,12 +294,12 @@
       fleet.memory.cuts.clear();
       CHECK(fleet.over());
       CHECK(fleet.done("c1"));
-      CHECK(fleet.everywhere("g2"));
+      CHECK(fleet.all_run("g2"));
     }
   }
   GIVEN("eight routers, cut into halves") {
     Grown fleet({.routers = 8, .seed = 14});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 1; }));
     fleet.memory.cut_off(0, 3);
     fleet.pass(120);
@@ -315,16 +315,16 @@
 
 SCENARIO("a stop needs nobody's leave, and nothing takes it back") {
   GIVEN("twenty routers at their second stage, a twentieth of the datagrams lost") {
-    Grown fleet({.routers = 20, .seed = 15, .net = {.lost = 0.05, .delay = 0.01}, .pace = 0.01});
-    fleet.propose(Changes::document());
+    Grown fleet({.routers = 20, .seed = 15, .net = {.lost = 0.05, .delay = 0.01}, .time_step = 0.01});
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2 && fleet.with("g2") >= 2; }));
     WHEN("one router raises it") {
       fleet[7].stop("c1", "an operator said so", fleet.now(7));
       THEN("all heed it within half a second, and are back soon after, the newest first") {
         CHECK(fleet.until(
             0.5, [&] { return fleet.stopped("c1"); }, 0.02));
-        CHECK(fleet.until(10, [&] { return fleet.everywhere("g1"); }));
-        CHECK(fleet.standing(0, "c1").why == "an operator said so");
+        CHECK(fleet.until(10, [&] { return fleet.all_run("g1"); }));
+        CHECK(fleet.rollout_status(0, "c1").why == "an operator said so");
         CHECK(fleet.driver() == -1);
       }
     }
@@ -337,7 +337,7 @@
       fleet.memory.cuts.clear();
       THEN("it holds for all once the cut is over, however far they came") {
         CHECK(reached >= 2);
-        CHECK(fleet.until(60, [&] { return fleet.stopped("c1") && fleet.everywhere("g1"); }));
+        CHECK(fleet.until(60, [&] { return fleet.stopped("c1") && fleet.all_run("g1"); }));
       }
     }
   }
@@ -346,7 +346,7 @@
 SCENARIO("a stop that is told before its change is known holds it") {
   Grown fleet({.routers = 8, .seed = 25});
   fleet[6].stop("c1", "not this one", fleet.now(6));
-  fleet.propose(Changes::document(), 1);
+  fleet.propose(RolloutFleet::make_plan(), 1);
   CHECK(fleet.until(10, [&] { return fleet.stopped("c1"); }));
   CHECK(fleet.moves == 0);
 }
@@ -366,7 +366,7 @@
     fleet.start(driver);
     fleet.start((driver + 1) % 12);
     THEN("all are back") {
-      CHECK(fleet.until(120, [&] { return fleet.everywhere("g1"); }));
+      CHECK(fleet.until(120, [&] { return fleet.all_run("g1"); }));
       CHECK(fleet.most_moving <= 4);
     }
   }
@@ -374,15 +374,15 @@
 
 SCENARIO("the whole fleet restarted in the middle of a change ends on one generation") {
   Grown fleet({.routers = 8, .seed = 17, .store = GENERATE(true, false)});
-  fleet.propose(Changes::document());
+  fleet.propose(RolloutFleet::make_plan());
   REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2 && fleet.with("g2") == 2; }));
   for (int n = 0; n < 8; ++n) fleet.crash(n);
   for (int n = 0; n < 8; ++n) fleet.start(n);
   fleet.pass(400);
-  const bool forth = fleet.everywhere("g2"), back = fleet.everywhere("g1");
+  const bool forth = fleet.all_run("g2"), back = fleet.all_run("g1");
   CHECK((forth || back));
   // Without a store nobody knows of the change any more.
-  if (fleet.standing(0, "c1").stages == 0) CHECK(back);
+  if (fleet.rollout_status(0, "c1").stages == 0) CHECK(back);
 }
 
 SCENARIO("a router that was away takes the generation that the fleet stands at") {
@@ -399,18 +399,18 @@
     fleet.start(canary);
     THEN("it goes back, though it knows of no stop from its own time") {
       CHECK(fleet[canary].running() == "g2");
-      CHECK(fleet.until(20, [&] { return fleet.everywhere("g1"); }));
+      CHECK(fleet.until(20, [&] { return fleet.all_run("g1"); }));
     }
   }
   GIVEN("one that was away over the whole change, and one that comes in the midst of it") {
     Grown fleet({.routers = 9, .seed = 19});
     fleet.crash(4);
     fleet.pass(20);
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     THEN("the change does not wait for it, and it has the new generation when it is back") {
       CHECK(fleet.until(400, [&] { return fleet.done("c1"); }));
       fleet.start(4);
-      CHECK(fleet.until(20, [&] { return fleet.everywhere("g2"); }));
+      CHECK(fleet.until(20, [&] { return fleet.all_run("g2"); }));
     }
   }
 }
@@ -420,26 +420,27 @@
     Grown fleet({.routers = 8, .seed = 20});
     fleet.calendar(2).declare(frozen_now({}, fleet.now(), 3600));
     fleet.pass(2);
-    auto d = Changes::document();
+    auto d = RolloutFleet::make_plan();
     d.max_stage_time = 3000;
     fleet.propose(d);
     fleet.pass(60);
     THEN("a change whose longest time does not fit does not begin, and says why") {
       CHECK(fleet.stage("c1") == 0);
-      const auto why = fleet.standing(fleet.driver(), "c1").why;
+      const auto why = fleet.rollout_status(fleet.driver(), "c1").why;
       CHECK(why.find("would run into the freeze window late") != std::string::npos);
       CHECK_FALSE(fleet.stopped("c1"));
     }
   }
   GIVEN("a change under way that a late declaration overtakes") {
     Grown fleet({.routers = 8, .seed = 21});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 1 && fleet.with("g2") == 1; }));
     WHEN("there is time for the way back") {
       fleet.calendar(5).declare(frozen_now({}, fleet.now(), 600));
       THEN("it goes back") {
-        CHECK(fleet.until(60, [&] { return fleet.stopped("c1") && fleet.everywhere("g1"); }));
-        CHECK(fleet.standing(0, "c1").why.find("a freeze window was declared late") != std::string::npos);
+        CHECK(fleet.until(60, [&] { return fleet.stopped("c1") && fleet.all_run("g1"); }));
+        CHECK(fleet.rollout_status(0, "c1").why.find("a freeze window was declared late") !=
+              std::string::npos);
       }
     }
     WHEN("there is none") {
@@ -451,14 +452,14 @@
         CHECK_FALSE(fleet.stopped("c1"));
         AND_THEN("a stop and its return are not blocked") {
           fleet[1].stop("c1", "after all", fleet.now(1));
-          CHECK(fleet.until(20, [&] { return fleet.everywhere("g1"); }));
+          CHECK(fleet.until(20, [&] { return fleet.all_run("g1"); }));
         }
       }
     }
   }
   GIVEN("a site that is frozen, and another that is not") {
     Grown fleet({.routers = 12, .seed = 22, .sites = 2});
-    fleet.propose(Changes::document());
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.until(100, [&] { return fleet.stage("c1") == 2; }));
     for (int n = 0; n < 12; ++n)
       if (fleet[n].running() == "g1") {
@@ -468,7 +469,8 @@
     fleet.pass(1);
     const auto at_west = [&] {
       int count = 0;
-      for (int n = 0; n < 12; ++n) count += Changes::site_of(n, 2) == "west" && fleet[n].running() == "g2";
+      for (int n = 0; n < 12; ++n)
+        count += RolloutFleet::site_of(n, 2) == "west" && fleet[n].running() == "g2";
       return count;
     };
     const int before = at_west();
@@ -499,49 +501,50 @@
   CHECK(fleet.stopped("c1"));
   CHECK(fleet.stage("c1") == 0);
   CHECK(fleet.moves == 0);
-  CHECK(fleet.standing(0, "c1").why ==
+  CHECK(fleet.rollout_status(0, "c1").why ==
         "refused: channel gossip, fleet.Fact.health: field 5 is removed (r2 reads version 1)");
 }
 
 SCENARIO("documents that contradict each other change nothing") {
   Grown fleet({.routers = 8, .seed = 24});
   WHEN("two have one name") {
-    auto other = Changes::document();
+    auto other = RolloutFleet::make_plan();
     other.body = "allowed.max_attempts=3";
-    fleet.propose(Changes::document(), 1);
+    fleet.propose(RolloutFleet::make_plan(), 1);
     fleet.propose(other, 6);
     THEN("both are stopped, with the same document at all") {
       CHECK(fleet.until(30, [&] { return fleet.stopped("c1"); }));
       fleet.pass(10);
-      for (int n = 1; n < 8; ++n) CHECK(fleet.standing(n, "c1").plan == fleet.standing(0, "c1").plan);
-      CHECK(fleet.everywhere("g1"));
+      for (int n = 1; n < 8; ++n)
+        CHECK(fleet.rollout_status(n, "c1").plan == fleet.rollout_status(0, "c1").plan);
+      CHECK(fleet.all_run("g1"));
       CHECK(fleet.moves == 0);
     }
   }
   WHEN("two start from one generation") {
-    fleet.propose(Changes::document("c1", "g1", "g2"), 1);
-    fleet.propose(Changes::document("c2", "g1", "g3"), 6);
+    fleet.propose(RolloutFleet::make_plan("c1", "g1", "g2"), 1);
+    fleet.propose(RolloutFleet::make_plan("c2", "g1", "g3"), 6);
     THEN("one goes through, and the other does not begin") {
       CHECK(fleet.until(400, [&] { return fleet.done("c1") || fleet.done("c2"); }));
       fleet.pass(60);
-      CHECK((fleet.everywhere("g2") || fleet.everywhere("g3")));
+      CHECK((fleet.all_run("g2") || fleet.all_run("g3")));
       CHECK(fleet.moves == 8);
     }
   }
   WHEN("a generation's name is used again") {
-    fleet.propose(Changes::document("c1", "g1", "g2"), 1);
+    fleet.propose(RolloutFleet::make_plan("c1", "g1", "g2"), 1);
     fleet.pass(2);
     THEN("the second is refused with its reason") {
-      CHECK_FALSE(fleet[1].propose(Changes::document("c9", "g1", "g2"), fleet.now(1)));
+      CHECK_FALSE(fleet[1].propose(RolloutFleet::make_plan("c9", "g1", "g2"), fleet.now(1)));
       fleet.pass(1);
-      CHECK(fleet.anyone_said("refused: the name of generation g2 is already used by change c1"));
+      CHECK(fleet.any_router_logged("refused: the name of generation g2 is already used by change c1"));
     }
   }
 }
 
 SCENARIO("a document that makes no sense is refused with its reason") {
   const auto why = [](auto&& spoil) {
-    auto d = Changes::document();
+    auto d = RolloutFleet::make_plan();
     spoil(d);
     return refusal(d).value_or("");
   };
@@ -566,7 +569,7 @@
   std::vector<rollout::PlacedRouter> fleet;
   for (int n = 0; n < 300; ++n)
     fleet.push_back({static_cast<std::uint64_t>(n) * 7919, n % 3 == 0 ? "east" : "west"});
-  const auto d = Changes::document();
+  const auto d = RolloutFleet::make_plan();
   const auto order = rollout_order(d, fleet);
   const auto sizes = stage_sizes(d, fleet.size());
   CHECK(sizes == std::vector<std::size_t>{1, 3, 15, 75, 300});
@@ -579,20 +582,20 @@
   auto seen = order;
   std::ranges::sort(seen);
   CHECK(std::ranges::unique(seen).begin() == seen.end());
-  CHECK(rollout_order(Changes::document("c2"), fleet) != order);
+  CHECK(rollout_order(RolloutFleet::make_plan("c2"), fleet) != order);
   CHECK(stage_sizes(d, 1) == std::vector<std::size_t>{1});
 }
 
 SCENARIO("of three hundred changes that change nothing hardly one is stopped") {
   int stopped = 0;
   for (unsigned seed = 0; seed < 300; ++seed) {
-    Grown fleet(
-        {.routers = 12,
-         .seed = 1000 + seed,
-         .sites = 1 + static_cast<int>(seed % 2),
-         .quality = [seed](const std::string&, int n, Seconds now) { return Changes::uneven(seed, n, now); },
-         .pace = 0.1});
-    fleet.propose(Changes::document());
+    Grown fleet({.routers = 12,
+                 .seed = 1000 + seed,
+                 .sites = 1 + static_cast<int>(seed % 2),
+                 .quality = [seed](const std::string&, int n,
+                                   Seconds now) { return RolloutFleet::uneven(seed, n, now); },
+                 .time_step = 0.1});
+    fleet.propose(RolloutFleet::make_plan());
     REQUIRE(fleet.over());
     stopped += fleet.stopped("c1");
   }
@@ -609,7 +612,7 @@
                  .quality = worse([bad](Quality& q) {
                    if (bad) q.refused = 0.25;
                  })});
-    const auto proposed = seed % 5 == 0 ? release_document() : Changes::document();
+    const auto proposed = seed % 5 == 0 ? release_document() : RolloutFleet::make_plan();
     fleet.propose(proposed);
     std::mt19937 chance(seed);
     std::uint32_t last = 0;
@@ -656,7 +659,7 @@
     // Where the one that proposed it fell before it told anybody, it reads it in its folder again.
     fleet[3].propose(proposed, fleet.now(3));
     CHECK(fleet.until(1500, [&] {
-      return (fleet.done("c1") && fleet.everywhere("g2")) || (fleet.stopped("c1") && fleet.everywhere("g1"));
+      return (fleet.done("c1") && fleet.all_run("g2")) || (fleet.stopped("c1") && fleet.all_run("g1"));
     }));
     if (bad) CHECK(fleet.stopped("c1"));
   }
--- a/tests/stories/freeze.cpp
+++ b/tests/stories/freeze.cpp
@@ -5,7 +5,7 @@
 
 #include "base/text.h"
 #include "freeze/calendar.h"
-#include "lab/memory.h"
+#include "testbed/simulated_fleet.h"
 
 using namespace walkpaddle;
 using namespace walkpaddle::freeze;
@@ -42,34 +42,35 @@
 
 // Routers with a calendar each.
 struct Fleet {
-  explicit Fleet(int routers, unsigned seed = 1, lab::Memory::Net net = {},
+  explicit Fleet(int routers, unsigned seed = 1, testbed::SimulatedFleet::Net net = {},
                  Seconds now = utc(2026, 12, 2, 12))
       : memory(routers, seed, net,
-               {.furnish =
-                    [routers](lab::Memory::Router& r, Seconds) {
-                      r.kinds.push_back(std::make_unique<Calendar>(lab::Memory::Router::name(r.number),
-                                                                   lab::Memory::Router::all(routers),
-                                                                   Calendar::Limits{}));
+               {.create_states =
+                    [routers](testbed::SimulatedFleet::Router& r, Seconds) {
+                      r.states.push_back(std::make_unique<Calendar>(
+                          testbed::SimulatedFleet::Router::name(r.number),
+                          testbed::SimulatedFleet::Router::all(routers), Calendar::Limits{}));
                     },
                 .step =
-                    [](lab::Memory::Router& r, Seconds own) {
-                      auto& c = static_cast<Calendar&>(*r.kinds[0]);
+                    [](testbed::SimulatedFleet::Router& r, Seconds own) {
+                      auto& c = static_cast<Calendar&>(*r.states[0]);
                       if (!r.gossip.catching_up() && r.members.alive_count() + 1 >= c.majority())
                         c.majority_contacted(own);
                       c.set_clock_offset(r.gossip.clock_offset(own));
                     }},
                now) {
-    memory.pace = 0.02;
+    memory.time_step = 0.02;
   }
-  Calendar& operator[](int n) { return static_cast<Calendar&>(*memory[n].kinds[0]); }
+  Calendar& operator[](int n) { return static_cast<Calendar&>(*memory[n].states[0]); }
   Permission ask(int n, Action action = Action::go_on) {
     return (*this)[n].decide(action, kTenMinutes, memory.now + memory[n].skew);
   }
   template <class F>
   bool all(F&& holds) {
-    return memory.all([&](lab::Memory::Router& r) { return holds(static_cast<Calendar&>(*r.kinds[0])); });
+    return memory.all(
+        [&](testbed::SimulatedFleet::Router& r) { return holds(static_cast<Calendar&>(*r.states[0])); });
   }
-  lab::Memory memory;
+  testbed::SimulatedFleet memory;
 };
 
 }  // namespace
@@ -317,7 +318,7 @@
       fleet.memory.go(2);
       THEN("none goes on") {
         for (int n = 0; n < 20; ++n) CHECK(fleet.ask(n).outcome == Outcome::not_before);
-        CHECK(fleet.memory.equal());
+        CHECK(fleet.memory.converged());
       }
     }
   }
@@ -337,7 +338,7 @@
       fleet.memory.cuts.clear();
       fleet.memory.go(30);
       THEN("after the cut all heed the longer") {
-        CHECK(fleet.memory.equal());
+        CHECK(fleet.memory.converged());
         CHECK(fleet.all([&](Calendar& c) { return c.is_site_frozen("east", kSettings, utc(2026, 12, 15)); }));
       }
       AND_WHEN("a later version says the shorter") {
@@ -386,7 +387,7 @@
       }
     }
     WHEN("a stranger and one router alone claim to hold it") {
-      Calendar c(1000, lab::Memory::Router::all(9), {});
+      Calendar c(1000, testbed::SimulatedFleet::Router::all(9), {});
       c.declare(window("sale", "2026-12-01 00:00", "2026-12-20 00:00", "UTC"));
       CHECK(c.withdraw("sale", 1));
       CHECK_FALSE(c.withdraw("sale", 1));
