--- a/testbed/rollout_fleet.cpp
+++ b/testbed/rollout_fleet.cpp
@@ -102,7 +102,7 @@
                      : fate < q.refused + q.failed ? RequestOutcome::failed
                                                    : RequestOutcome::served;
     const Seconds took = roll() < q.late ? 1.5 : -q.time * std::log(std::max(1e-9, roll()));
-    const int hops = 1 + (roll() < q.hops);
+    const int hops = 1 + (roll() < q.retries);
     m.metrics.request_ended(end, took, 1, hops, now);
     m.metrics.attempt_ended({.filled = roll() < q.fills, .rejected = false}, now);
     m.cpu += q.cpu;
--- a/testbed/rollout_fleet.h
+++ b/testbed/rollout_fleet.h
@@ -20,8 +20,8 @@
   // What a router of a generation does to its txns, at a moment.
   struct Quality {
     double refused = 0.002, failed = 0.0005, late = 0.01;
-    double time = 0.05;               // mean answer, s
-    double hops = 0.05, fills = 0.2;  // past the first; a txn
+    double time = 0.05;                  // mean answer, s
+    double retries = 0.05, fills = 0.2;  // past the first; a txn
     double memory = 40, cpu = 0.01;
     bool ready = true;       // a start of it becomes so
     Seconds dies_after = 0;  // of a start; 0: never
--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -107,7 +107,7 @@
       {"it fails a third", [](Quality& q) { q.failed = 0.3; }, "failed:"},
       {"it answers too late", [](Quality& q) { q.late = 0.4; }, "late:"},
       {"it takes five times as long", [](Quality& q) { q.time = 0.25; }, "slow:"},
-      {"it hops twice", [](Quality& q) { q.hops = 0.9; }, "retries:"},
+      {"it hops twice", [](Quality& q) { q.retries = 0.9; }, "retries:"},
       {"it fills always", [](Quality& q) { q.fills = 1; }, "fills:"},
       {"it leaks", [](Quality& q) { q.memory = 90; }, "memory:"},
       {"it takes three times the processor time", [](Quality& q) { q.cpu = 0.03; },
