--- a/testbed/rollout_fleet.cpp
+++ b/testbed/rollout_fleet.cpp
@@ -17,7 +17,7 @@
       chance_(setup.seed + 17),
       machines_(static_cast<std::size_t>(setup.routers)) {
   memory.time_step = setup.time_step;
-  // A tenth see four times the mean, as hundreds of routers do.
+  // One router in ten receives four times the mean traffic, like the uneven load of hundreds of routers.
   for (auto& m : machines_)
     m.share = chance_() % 10 == 0 ? 4 : 0.4 + 0.1 * static_cast<double>(chance_() % 7);
   for (int n = 0; n < setup.routers; ++n) start(n);
@@ -97,17 +97,17 @@
   const auto roll = [&] { return std::uniform_real_distribution<>(0, 1)(chance_); };
   const int count = std::poisson_distribution<>(setup_.rate * m.share * setup_.time_step)(chance_);
   for (int t = 0; t < count; ++t) {
-    const double fate = roll();
-    const auto end = fate < q.refused              ? RequestOutcome::rejected
-                     : fate < q.refused + q.failed ? RequestOutcome::failed
-                                                   : RequestOutcome::served;
+    const double draw = roll();
+    const auto outcome = draw < q.refused              ? RequestOutcome::rejected
+                         : draw < q.refused + q.failed ? RequestOutcome::failed
+                                                       : RequestOutcome::served;
     const Seconds took = roll() < q.late ? 1.5 : -q.time * std::log(std::max(1e-9, roll()));
-    const int hops = 1 + (roll() < q.retries);
-    m.metrics.request_ended(end, took, 1, hops, now);
+    const int attempts = 1 + (roll() < q.retries);
+    m.metrics.request_ended(outcome, took, 1, attempts, now);
     m.metrics.attempt_ended({.filled = roll() < q.fills, .rejected = false}, now);
     m.cpu += q.cpu;
     ++all_;
-    harmed_ += generation != "g1" && (end != RequestOutcome::served || took > 1);
+    harmed_ += generation != "g1" && (outcome != RequestOutcome::served || took > 1);
   }
   if (q.breaks_rule && count > 0) m.metrics.invariant_violated();
   m.metrics.load_measured(q.memory, m.cpu, now);
@@ -122,7 +122,7 @@
   calendar.set_clock_offset(r.gossip.clock_offset(now));
   traffic(m, rollout.running(), r.number, now);
   rollout.set_metrics(m.metrics.metrics());
-  for (auto& line : rollout.take_log_lines()) m.said.push_back(std::move(line));
+  for (auto& line : rollout.take_log_lines()) m.log_lines.push_back(std::move(line));
   if (setup_.store) {
     m.store.clear();
     for (auto& kind : r.states)
@@ -136,13 +136,14 @@
   if (r.number == 0) supervise();
 }
 
-// Settings at once; a program by an end and a start, back to the earlier one if it does not become ready.
+// Changes of settings take effect at once. A release takes an exit and a start of the router; supervise()
+// returns to the earlier program if the new one does not become ready.
 void RolloutFleet::carry_out(SimulatedFleet::Router& r, const GenerationMove& move, Seconds now) {
   auto& m = machines_[static_cast<std::size_t>(r.number)];
   auto& rollout = static_cast<Rollout&>(*r.states[1]);
   ++moves;
   if (move.plan.work == freeze::kSettings) {
-    if (!quality(move.to, r.number, now).ready) return rollout.move_failed("refused by the module");
+    if (!quality(move.to, r.number, now).ready) return rollout.move_failed("refused by the routing policy");
     rollout.moved();
     m.metrics.begin(static_cast<std::uint64_t>(now * 1e6), now + move.plan.warm_up);
     const auto q = quality(move.to, r.number, now);
@@ -151,10 +152,11 @@
   }
   m.earlier = m.program, m.program = move.to, m.trying = move.to;
   m.back_at = memory.now + 1;
-  m.dies_at = memory.now;  // ends with this step
+  m.dies_at = memory.now;  // until() crashes the router after this step
 }
 
-// What a machine does when its router ends: starts it again where it was moving, or fell.
+// Counts the routers that are due to start again. A router whose new program did not become ready
+// exits and comes back with its earlier program.
 void RolloutFleet::supervise() {
   int moving = 0;
   for (int n = 0; n < setup_.routers; ++n) {
@@ -163,7 +165,7 @@
     if (m.fails_at > 0 && memory.now >= m.fails_at) {
       m.program = m.earlier, m.trying.clear(), m.fails_at = 0;
       m.dies_at = memory.now, m.back_at = memory.now + 1;
-      m.said.push_back("not ready: back to " + m.program);
+      m.log_lines.push_back("not ready: back to " + m.program);
     }
   }
   most_moving = std::max(most_moving, moving);
@@ -226,10 +228,10 @@
   return most;
 }
 
-bool RolloutFleet::any_router_logged(const std::string& words) const {
+bool RolloutFleet::any_router_logged(const std::string& text) const {
   return std::ranges::any_of(machines_, [&](const Machine& m) {
-    return std::ranges::any_of(m.said,
-                               [&](const auto& line) { return line.find(words) != std::string::npos; });
+    return std::ranges::any_of(m.log_lines,
+                               [&](const auto& line) { return line.find(text) != std::string::npos; });
   });
 }
 
--- a/testbed/simulated_fleet.cpp
+++ b/testbed/simulated_fleet.cpp
@@ -89,7 +89,7 @@
       if (!up(to)) continue;
       auto& r = (*this)[to];
       if (r.stalled)
-        r.held.emplace_back(from, bytes);
+        r.queued.emplace_back(from, bytes);
       else
         take(r, bytes);
     }
@@ -97,7 +97,7 @@
       if (!up(n) || (*this)[n].stalled) continue;
       auto& r = (*this)[n];
       const Seconds own = now + r.skew;
-      for (const auto& [from, bytes] : std::exchange(r.held, {})) take(r, bytes);
+      for (const auto& [from, bytes] : std::exchange(r.queued, {})) take(r, bytes);
       if (r.discovery_connected) r.tracker.note_discovery_message(own);
       while (const auto packet = r.gossip.next(own))
         send(n, gossip::encode_packet(*packet, r.members.self()), *packet);
--- a/testbed/simulated_fleet.h
+++ b/testbed/simulated_fleet.h
@@ -1,7 +1,8 @@
-// The laboratory's fleet in memory: routers in virtual time, each with its membership, its observation
-// tracker, its replicas of snapshots, its gossip and the kinds of state that a test gives it, over a network
-// that loses, doubles, delays and cuts, with crashes, starts, stalls, late buses and clocks that are off;
-// every datagram goes through its bytes. No socket, no process; chance is seeded.
+// A simulated fleet: routers in memory, in virtual time. Each router has a membership, an observation
+// tracker, snapshot replicas, gossip and the replicated states that a test adds. The simulated network loses,
+// duplicates, delays and blocks datagrams, which are encoded and decoded as on the wire. Tests can crash,
+// start and stall routers, disconnect them from discovery and offset their clocks. No sockets, no processes;
+// the random generator is seeded.
 #pragma once
 
 #include <functional>
@@ -19,11 +20,11 @@
 
 namespace walkpaddle::testbed {
 
-constexpr std::uint64_t kServer = 77;  // the first of the servers that all lists name
+constexpr std::uint64_t kServer = 77;  // hash of the first endpoint in every router's endpoint list
 
 struct NetworkConditions {
-  double lost = 0, twice = 0;
-  Seconds delay = 0.002;
+  double lost = 0, twice = 0;  // shares of datagrams that are lost and delivered twice
+  Seconds delay = 0.002;       // each delivery takes 0.2 to 1.2 of it, at random
 };
 
 class SimulatedFleet {
@@ -36,25 +37,28 @@
     static std::vector<std::uint64_t> all(int routers);
     replica::Health health_of(Seconds now, std::uint64_t server = kServer) const;
     const int number;
-    Seconds skew;  // of its clock
+    Seconds skew;  // offset of its clock from the simulation's
     replica::ObservationTracker tracker;
     membership::Membership members;
     gossip::SnapshotReplicas snapshot_replicas;
     gossip::Gossip gossip;
     std::vector<std::unique_ptr<replica::ReplicatedState>> states;
-    std::optional<gossip::ReplicatedSnapshot> recovered;  // what it had learnt before its start
+    // Its snapshot from before its last start, once peers returned it.
+    std::optional<gossip::ReplicatedSnapshot> recovered;
     bool stalled = false, discovery_connected = true;
-    std::vector<std::pair<int, std::string>> held;  // came while it was stalled
+    // Datagrams that arrived while it was stalled, with their senders.
+    std::vector<std::pair<int, std::string>> queued;
   };
-  // What a test's routers have beside the rest, and what they do at each step.
+  // A test's additions to each router.
   struct Hooks {
-    std::function<void(Router&, Seconds now)>
-        create_states;  // at a start: kinds are made; gossip carries them afterwards
-    std::function<void(Router&, Seconds now)> step;  // on the router's own clock
+    // Fills Router::states when a router starts; gossip replicates them from then on.
+    std::function<void(Router&, Seconds now)> create_states;
+    // Called in each time step; `now` is by the router's clock.
+    std::function<void(Router&, Seconds now)> step;
   };
   SimulatedFleet(int routers, unsigned seed, Net net = {})
       : SimulatedFleet(routers, seed, net, Hooks(), 1000) {}
-  // size: of the fleet, where fewer than that start at once.
+  // Starts the first `routers` routers of a fleet of max(routers, size).
   SimulatedFleet(int routers, unsigned seed, Net net, Hooks hooks, Seconds now, int size = 0);
   Router& operator[](int n) { return *routers_[static_cast<std::size_t>(n)]; }
   bool up(int n) const { return routers_[static_cast<std::size_t>(n)] != nullptr; }
@@ -62,9 +66,9 @@
   void start(int n);
   void crash(int n) { routers_[static_cast<std::size_t>(n)].reset(); }
   void cut(int a, int b, bool both = true);
-  void cut_off(int first, int last);  // these from all others
-  void skew(int n, Seconds by);       // of its clock, from its next start on
-  // What one router's bus says of the first server.
+  void cut_off(int first, int last);  // isolates these routers from all others
+  void skew(int n, Seconds by);       // clock offset from the router's next start on
+  // Updates the first endpoint in one router's endpoint list; `started` is its start time, 0 if unknown.
   void set_listing(int n, EndpointState state, Seconds started = 0);
   static gossip::ReplicatedSnapshot sample_snapshot(int n);
   void go(Seconds seconds);
@@ -77,18 +81,19 @@
   bool all_see_health(replica::Health h) {
     return all([&](Router& r) { return r.health_of(now + r.skew) == h; });
   }
+  // Whether all running routers have the same observations and digests.
   bool converged();
 
   Net net;
   std::mt19937 chance;
   const int count;
   Seconds now;
-  Seconds time_step = 0.005;  // of a step
-  std::multimap<Seconds, std::tuple<int, int, std::string>> in_transit;
-  std::set<std::pair<int, int>> cuts;
-  std::uint64_t sent = 0, observations_sent = 0;
-  std::size_t largest = 0;
-  void take(Router& r, const std::string& bytes);  // a datagram
+  Seconds time_step = 0.005;                                             // virtual time per step
+  std::multimap<Seconds, std::tuple<int, int, std::string>> in_transit;  // by arrival: from, to, bytes
+  std::set<std::pair<int, int>> cuts;                                    // blocked links, as (from, to)
+  std::uint64_t sent = 0, observations_sent = 0;                         // sent: bytes
+  std::size_t largest = 0;                                               // bytes of the largest datagram
+  void take(Router& r, const std::string& bytes);                        // delivers a datagram
 
  private:
   void send(int from, const std::string& bytes, const gossip::Packet& packet);
