--- a/testbed/faulty.cpp
+++ b/testbed/faulty.cpp
@@ -1,8 +1,11 @@
-// The program with a fault planted, as a release that should not have been: WALKPADDLE_FAULT says which. It
-// is built from the same sources; the fault stands where the optional listeners do.
-//   slow      each turn takes 15 ms more         fall      it ends by a fault 5 s after its start
-//   refuse    it forgets every server            unready   it never begins to serve
-//   leak      30 MB a second                     (none)    a program that differs in nothing
+// A faulty release for tests: the program with the fault that WALKPADDLE_FAULT names. It is built from the
+// same sources except for add_optional_listeners(), which injects the fault.
+//   slow      each turn of the scheduler takes 15 ms longer
+//   refuse    the endpoint list is emptied every 0.1 s
+//   leak      leaks 30 MB per second
+//   fall      aborts 5 s after its start
+//   unready   never starts to serve
+//   (unset)   no fault
 #include <unistd.h>
 
 #include <cstdlib>
@@ -16,24 +19,25 @@
 namespace {
 
 struct Fault {
-  explicit Fault(const server::ListenerContext& p, const std::string& kind) : parts(p), kind(kind) {
-    if (kind == "slow") p.scheduler.at_turns_end([] { ::usleep(15000); });
-    if (kind == "refuse" || kind == "fall" || kind == "leak") p.scheduler.start(work());
+  explicit Fault(const server::ListenerContext& context, const std::string& kind)
+      : context(context), kind(kind) {
+    if (kind == "slow") context.scheduler.at_turns_end([] { ::usleep(15000); });
+    if (kind == "refuse" || kind == "fall" || kind == "leak") context.scheduler.start(inject());
   }
-  Task work() {
-    Event wait(parts.scheduler);
-    const Seconds started = parts.scheduler.now();
+  Task inject() {
+    Event wait(context.scheduler);
+    const Seconds started = context.scheduler.now();
     for (;;) {
-      co_await wait.wait(parts.scheduler.now() + 0.1);
-      if (kind == "fall" && parts.scheduler.now() > started + 5) std::abort();
-      if (kind == "leak") held.emplace_back(3 << 20, 'x');
+      co_await wait.wait(context.scheduler.now() + 0.1);
+      if (kind == "fall" && context.scheduler.now() > started + 5) std::abort();
+      if (kind == "leak") leaked.emplace_back(3 << 20, 'x');
       if (kind == "refuse")
-        parts.dispatcher.input().begin_endpoint_list(true), parts.dispatcher.input().end_endpoint_list();
+        context.dispatcher.input().begin_endpoint_list(true), context.dispatcher.input().end_endpoint_list();
     }
   }
-  const server::ListenerContext parts;
+  const server::ListenerContext context;
   const std::string kind;
-  std::vector<std::string> held;
+  std::vector<std::string> leaked;
 };
 
 }  // namespace
--- a/testbed/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -27,7 +27,7 @@
 
 std::string object_name(int n) { return fmt::format("{:016x}", 0x2000 + n); }
 
-std::string box_id(int n) { return fmt::format("s-{:08x}", 0xb0 + n); }
+std::string server_id(int n) { return fmt::format("s-{:08x}", 0xb0 + n); }
 
 }  // namespace
 
@@ -35,12 +35,13 @@
     : setup_(setup), chance_(setup.seed), outbox_(scheduler_, 64 << 20), switch_(setup.seed + 1) {
   program_ = std::getenv("WALKPADDLE");
   if (program_ == nullptr) throw std::runtime_error("WALKPADDLE is not set");
-  folder_ = (std::filesystem::temp_directory_path() / fmt::format("walkpaddle-lab-{}", ::getpid())).string();
+  folder_ =
+      (std::filesystem::temp_directory_path() / fmt::format("walkpaddle-testbed-{}", ::getpid())).string();
   std::filesystem::create_directory(folder_);
   const int servers = setup_.cache_servers + 2;
   for (int n = 0; n < servers; ++n)
     servers_.push_back(
-        std::make_unique<standins::Server>(scheduler_, outbox_, box_id(n),
+        std::make_unique<standins::Server>(scheduler_, outbox_, server_id(n),
                                            n < setup_.cache_servers    ? standins::Server::Kind::box
                                            : n == setup_.cache_servers ? standins::Server::Kind::parent
                                                                        : standins::Server::Kind::origin,
@@ -53,8 +54,8 @@
   for (auto& r : routers_) {
     r.port = ports_.take();
     r.fleet_port = ports_.take();
-    r.bus.listener = listen_on(Address{kLoopback, 0});
-    r.bus.port = standins::port_of(r.bus.listener.get());
+    r.discovery.listener = listen_on(Address{kLoopback, 0});
+    r.discovery.port = standins::port_of(r.discovery.listener.get());
   }
   for (auto& r : routers_) r.peer_port = switch_.add(r.fleet_port);
   switch_.start();
@@ -68,13 +69,13 @@
   std::filesystem::remove_all(folder_);
 }
 
-std::string Fleet::member(int box, Says state, Seconds started) const {
-  const auto& s = *servers_[static_cast<std::size_t>(box)];
-  const bool edge = box < setup_.cache_servers;
+std::string Fleet::member_payload(int server, Says state, Seconds started) const {
+  const auto& s = *servers_[static_cast<std::size_t>(server)];
+  const bool edge = server < setup_.cache_servers;
   return standins::member_record(std::stoul(s.id().substr(2), nullptr, 16), s.port(), state, edge ? 1 : 0,
-                                 edge                          ? 0
-                                 : box == setup_.cache_servers ? 1
-                                                               : 2,
+                                 edge                             ? 0
+                                 : server == setup_.cache_servers ? 1
+                                                                  : 2,
                                  static_cast<std::uint64_t>(started * 1e3));
 }
 
@@ -92,8 +93,8 @@
                     : s == setup_.cache_servers ? "parent"
                                                 : "origin");
   }
-  std::ofstream(r.folder + "/config.json")
-      << config_text(fmt::format("r{}", n), r.port, r.bus.port, members, R"({"sockets":128,"memory_mb":32})");
+  std::ofstream(r.folder + "/config.json") << config_text(fmt::format("r{}", n), r.port, r.discovery.port,
+                                                          members, R"({"sockets":128,"memory_mb":32})");
   if (setup_.store) std::filesystem::create_directory(r.folder + "/store");
   std::ofstream file(r.folder + "/walkpaddle.conf");
   if (!setup_.share) return;
@@ -116,7 +117,7 @@
   if (setup_.store) file << fmt::format("store {{\n folder = \"{}/store\"\n megabytes = 16\n}}\n", r.folder);
 }
 
-// Two sites turn by turn.
+// Odd routers are in the second site, if there is one.
 std::string Fleet::site_of(int n) const { return setup_.sites > 1 && n % 2 == 1 ? "west" : "east"; }
 
 void Fleet::write_document(int n, const std::string& name, const std::string& text) {
@@ -127,7 +128,7 @@
   if (r.pid > 0) ::kill(r.pid, SIGHUP);
 }
 
-// What a machine's own keeper does: a router that ends by itself is started again, as its machine has it.
+// Starts routers that exit again, as a process supervisor does.
 Task Fleet::supervise() {
   Event wait(scheduler_);
   for (;;) {
@@ -145,14 +146,15 @@
   if (setup_.changes) scheduler_.start(supervise());
   for (int n = 0; n < setup_.routers; ++n) {
     start(n);
-    scheduler_.start(follow(n));
+    scheduler_.start(serve_discovery(n));
     if (setup_.clients) clients(n, setup_.rate);
   }
 }
 
 void Fleet::clients(int n, double rate) {
-  constexpr double kEach = 50;  // a second over one connection: its 32 open at a time last 0.6 s
-  for (; rate > 0; rate -= kEach) scheduler_.start(clients_of(n, std::min(rate, kEach)));
+  constexpr double kRatePerConnection = 50;  // per second; 32 outstanding requests then cover 0.6 s
+  for (; rate > 0; rate -= kRatePerConnection)
+    scheduler_.start(run_clients(n, std::min(rate, kRatePerConnection)));
 }
 
 void Fleet::start(int n) {
@@ -160,7 +162,8 @@
   if (r.pid > 0) return;
   const std::string config = r.folder + "/config.json", file = r.folder + "/walkpaddle.conf",
                     log = r.folder + "/log";
-  // Made before the fork: after it, with the switch's thread about, only what is safe in a signal handler is.
+  // The environment is built before fork(): the switch runs a thread, so only async-signal-safe calls are
+  // allowed between fork() and execve().
   std::vector<std::string> words;
   for (char** word = environ; *word != nullptr; ++word)
     if (const std::string_view w = *word; !w.starts_with("LB_")) words.emplace_back(w);
@@ -174,7 +177,7 @@
   const char* args[] = {program, "run", "--file", file.c_str(), nullptr};
   r.pid = ::fork();
   if (r.pid != 0) return;
-  ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that ends midway leaves no router to other tests
+  ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // no router outlives a test that ends early
   const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
   ::dup2(out, 1), ::dup2(out, 2);
   ::execve(program, const_cast<char* const*>(args), env.data());
@@ -195,14 +198,14 @@
 
 void Fleet::cut(int a, int b, Seconds until) { switch_.cut(a, b, until), switch_.cut(b, a, until); }
 
-void Fleet::publish_state(int router, int box, Says state, Seconds started) {
-  frame(router, 2, member(box, state, started));
+void Fleet::publish_state(int router, int server, Says state, Seconds started) {
+  send_event(router, 2, member_payload(server, state, started));
 }
 
-void Fleet::frame(int n, int kind, const std::string& payload) {
-  auto& bus = routers_[static_cast<std::size_t>(n)].bus;
-  bus.events.push_back(standins::frame_text(bus.events.size() + 2, kind, payload));
-  if (bus.stream) bus.stream->write(bus.events.back());
+void Fleet::send_event(int n, int kind, const std::string& payload) {
+  auto& discovery = routers_[static_cast<std::size_t>(n)].discovery;
+  discovery.events.push_back(standins::frame_text(discovery.events.size() + 2, kind, payload));
+  if (discovery.stream) discovery.stream->write(discovery.events.back());
 }
 
 std::string Fleet::fleet_status(int n) const {
@@ -210,9 +213,9 @@
       fmt::format("{} fleet --socket {}/s 2>&1", program_, routers_[static_cast<std::size_t>(n)].folder);
   const std::unique_ptr<FILE, int (*)(FILE*)> out(::popen(command.c_str(), "r"), &::pclose);
   std::string text;
-  char room[4096];
-  for (std::size_t got; out && (got = std::fread(room, 1, sizeof room, out.get())) > 0;)
-    text.append(room, got);
+  char buffer[4096];
+  for (std::size_t got; out && (got = std::fread(buffer, 1, sizeof buffer, out.get())) > 0;)
+    text.append(buffer, got);
   return text;
 }
 
@@ -221,7 +224,7 @@
   std::string word;
   Seconds ticks = 0;
   for (int field = 1; field <= 15 && in >> word; ++field)
-    if (field >= 14) ticks += std::stod(word);  // user, system
+    if (field >= 14) ticks += std::stod(word);  // user and system time
   return ticks / static_cast<Seconds>(::sysconf(_SC_CLK_TCK));
 }
 
@@ -232,13 +235,14 @@
   return text.str();
 }
 
-// The bus of one router: a connection at a time, the newest; the router says the last event it holds. An
-// empty frame every half second, as the platform's bus sends one each second at least.
-Task Fleet::follow(int n) {
-  auto& bus = routers_[static_cast<std::size_t>(n)].bus;
+// The discovery server of one router. It serves the newest connection only, on which the router first sends
+// the number of the last event that it has. An empty frame is sent after each pause of 50 ms; the platform
+// sends one every second at least.
+Task Fleet::serve_discovery(int n) {
+  auto& discovery = routers_[static_cast<std::size_t>(n)].discovery;
   Event wait(scheduler_);
   for (;;) {
-    if (Fd fd{::accept4(bus.listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)}) {
+    if (Fd fd{::accept4(discovery.listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)}) {
       auto stream = std::make_unique<Stream>(scheduler_, outbox_, std::move(fd));
       const Seconds until = scheduler_.now() + 2;
       while (stream->in().size() < 8 && scheduler_.now() < until) {
@@ -249,22 +253,23 @@
         std::uint64_t last = 0;
         for (int b = 0; b < 8; ++b) last = last << 8 | static_cast<unsigned char>(stream->in()[b]);
         stream->consume(8);
-        for (auto n = std::max<std::uint64_t>(last, 1) - 1; n < bus.events.size(); ++n)
-          stream->write(bus.events[n]);
-        bus.stream = std::move(stream);
+        for (auto n = std::max<std::uint64_t>(last, 1) - 1; n < discovery.events.size(); ++n)
+          stream->write(discovery.events[n]);
+        discovery.stream = std::move(stream);
       }
       continue;
     }
-    if (bus.stream) {
-      while (bus.stream->read() == Stream::Came::bytes) bus.stream->consume(bus.stream->in().size());
-      bus.stream->write(standins::frame_text(bus.events.size() + 1, 0, ""));
+    if (discovery.stream) {
+      while (discovery.stream->read() == Stream::Came::bytes)
+        discovery.stream->consume(discovery.stream->in().size());
+      discovery.stream->write(standins::frame_text(discovery.events.size() + 1, 0, ""));
     }
     co_await wait.wait(scheduler_.now() + 0.05);
   }
 }
 
-// Open-loop clients over one connection, over objects of which some are asked for more often.
-Task Fleet::clients_of(int n, double rate) {
+// Open-loop clients on one connection; objects with low numbers are requested more often.
+Task Fleet::run_clients(int n, double rate) {
   auto& r = routers_[static_cast<std::size_t>(n)];
   Event wait(scheduler_);
   std::uniform_real_distribution<> roll(0, 1);
@@ -304,9 +309,9 @@
           const int object = static_cast<int>(setup_.objects * roll(chance_) * roll(chance_));
           const auto t = std::to_string(++tag);
           open[t] = scheduler_.now(), ++r.counts.asked;
-          stream.write(net::resp_array_text(
-              {"EXEC", t, "page",
-               fmt::format("txn={:016x},limit=2000,item={},seg=0,bucket=1", ++txns_, object_name(object))}));
+          stream.write(net::resp_array_text({"EXEC", t, "page",
+                                             fmt::format("txn={:016x},limit=2000,item={},seg=0,bucket=1",
+                                                         ++requests_, object_name(object))}));
         }
         continue;
       }
--- a/testbed/fleet.h
+++ b/testbed/fleet.h
@@ -1,8 +1,8 @@
-// The laboratory's fleet: routers as processes of `walkpaddle` on loopback, among stand-in cache servers, a
-// parent and an origin, each router with an event bus of its own, all datagrams between routers through a
-// switch that loses, delays, doubles and cuts; clients at every router. Faults on call: a cut link, a stalled
-// router (SIGSTOP, SIGCONT), a crash (SIGKILL) and a start again. All in one process
-// on the project's scheduler, bounded in count and time; what it started it ends.
+// A fleet of `walkpaddle` processes on loopback, with fake cache servers, a parent and an origin. Each router
+// has a discovery server of its own and open-loop clients. Datagrams between routers pass through a switch
+// that can lose, delay, duplicate and block them. Tests can cut links, stall routers (SIGSTOP, SIGCONT), kill
+// them (SIGKILL) and start them again. Everything but the routers runs in the test's process; the destructor
+// kills the routers and removes their files.
 #pragma once
 
 #include <sys/types.h>
@@ -23,76 +23,75 @@
  public:
   struct Setup {
     int routers = 3, cache_servers = 4, objects = 60;
-    bool share = true;  // what is known of the servers goes between routers
+    bool share = true;  // routers replicate their state: they have the section `fleet`
     unsigned seed = 1;
     bool clients = true;
-    double rate = 50;    // txns a second that clients bring to each router, over a connection for each 50
-    bool store = false;  // each router's facts last on disk
+    double rate = 50;    // requests per second from clients to each router, at most 50 per connection
+    bool store = false;  // each router keeps a store on disk
     standins::Server::Habits habits{};  // of the servers
-    // Rolling changes: documents in a folder of each router; who dies by itself is started again.
+    // Rollouts: each router has a folder for change documents, and routers that exit are started again.
     bool changes = false;
-    int sites = 1, without = -1;  // without: a router that takes no part
-    std::string protocol{};       // what releases publish
-    std::string fault{};          // that a faulty program plants
+    int sites = 1, without = -1;  // without: a router that takes no part in rollouts
+    std::string protocol{};       // folder of what releases publish
+    std::string fault{};          // WALKPADDLE_FAULT of all routers
   };
   struct Counts {
-    int asked = 0, answered = 0, refused = 0, unsent = 0;  // unsent: too many were open
+    int asked = 0, answered = 0, refused = 0, unsent = 0;  // unsent: 32 were outstanding on the connection
   };
 
-  explicit Fleet(const Setup& setup);  // WALKPADDLE names the program
+  explicit Fleet(const Setup& setup);  // the environment's WALKPADDLE is the program
   ~Fleet();
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
   Scheduler& scheduler() { return scheduler_; }
   void start_all();
-  // Faults.
   void start(int router);
   void kill(int router);
   void stall(int router, bool stalled);
-  // A document in the folder of one router, and SIGHUP to it.
+  // Writes a change document to a router's folder and sends it SIGHUP.
   void write_document(int router, const std::string& name, const std::string& text);
   void program(int router, std::string path) {
     routers_[static_cast<std::size_t>(router)].program = std::move(path);
   }
   int starts(int router) const { return routers_[static_cast<std::size_t>(router)].starts; }
-  void cut(int a, int b, Seconds until);  // both ways between two routers; 0 heals it
+  void cut(int a, int b, Seconds until);  // blocks both directions until a Unix time; 0 unblocks them
   Switch& links() { return switch_; }
-  // What one router's bus says: a box drains, is ready, is gone, or started anew at `started` (Unix time).
+  // Publishes the state of a cache server to one router. `started`: Unix time of its start, 0: long ago.
   using Says = standins::Says;
-  void publish_state(int router, int box, Says state, Seconds started = 0);
+  void publish_state(int router, int server, Says state, Seconds started = 0);
 
-  int served(int box) const { return servers_[static_cast<std::size_t>(box)]->counts().served; }
-  void clients(int router, double rate);  // more of them
+  int served(int server) const { return servers_[static_cast<std::size_t>(server)]->counts().served; }
+  void clients(int router, double rate);  // adds clients
   const Counts& counts(int router) const { return routers_[static_cast<std::size_t>(router)].counts; }
   bool running(int router) const { return routers_[static_cast<std::size_t>(router)].pid > 0; }
-  std::string log_of(int router) const;        // its standard error, as far as it came
-  std::string fleet_status(int router) const;  // what `walkpaddle fleet` says of it
-  std::uint64_t bytes_between_routers() const { return switch_.passed(); }  // bytes
-  Seconds cpu_of(int router) const;  // processor time of its present process
+  std::string log_of(int router) const;        // its output so far, over all its starts
+  std::string fleet_status(int router) const;  // output of `walkpaddle fleet`
+  std::uint64_t bytes_between_routers() const { return switch_.passed(); }
+  Seconds cpu_of(int router) const;  // processor time of its current process
 
  private:
-  struct Bus {
+  struct Discovery {
     Fd listener;
     int port = 0;
     std::unique_ptr<Stream> stream;
-    std::vector<std::string> events;  // frames from number 2 on: a router asks from the last it holds
+    std::vector<std::string> events;  // frames, numbered from 2; a router resumes after the last that it has
   };
   struct Router {
-    int port = 0, fleet_port = 0, peer_port = 0;  // peer_port: of the switch, for it
+    int port = 0, fleet_port = 0, peer_port = 0;  // peer_port: the switch's port for this router
     pid_t pid = -1;
-    std::string folder, program;  // program: in place of WALKPADDLE's
+    std::string folder, program;  // program: empty for WALKPADDLE's
     int starts = 0;
-    Bus bus;
+    Discovery discovery;
     Counts counts;
   };
   void write_files(int n);
   std::string site_of(int n) const;
-  void frame(int router, int kind, const std::string& payload);
-  std::string member(int box, Says state, Seconds started) const;
-  Task follow(int router);
+  void send_event(int router, int kind, const std::string& payload);
+  std::string member_payload(int server, Says state, Seconds started) const;
+  Task serve_discovery(int router);
   Task supervise();
-  Task clients_of(int router, double rate);
+  Task run_clients(int router, double rate);
 
   const Setup setup_;
   std::mt19937 chance_;
@@ -101,10 +100,10 @@
   std::string folder_;
   Scheduler scheduler_;
   Outbox outbox_;
-  std::vector<std::unique_ptr<standins::Server>> servers_;  // the cache_servers, then parent and origin
+  std::vector<std::unique_ptr<standins::Server>> servers_;  // the cache servers, then parent and origin
   std::vector<Router> routers_;
   Switch switch_;
-  std::uint64_t txns_ = 0;
+  std::uint64_t requests_ = 0;
 };
 
 }  // namespace walkpaddle::testbed
--- a/testbed/simulated_fleet.h
+++ b/testbed/simulated_fleet.h
@@ -68,7 +68,7 @@
   void cut(int a, int b, bool both = true);
   void cut_off(int first, int last);  // isolates these routers from all others
   void skew(int n, Seconds by);       // clock offset from the router's next start on
-  // Updates the first endpoint in one router's endpoint list; `started` is its start time, 0 if unknown.
+  // Updates the first endpoint in one router's endpoint list; `started` is its start, 0: long ago.
   void set_listing(int n, EndpointState state, Seconds started = 0);
   static gossip::ReplicatedSnapshot sample_snapshot(int n);
   void go(Seconds seconds);
