--- a/bench/purges.cpp
+++ b/bench/purges.cpp
@@ -1,4 +1,5 @@
-// What a txn pays for the purges in force, what they take of memory, and a restart with many.
+// Measures what the purges in force cost a request and in memory, how long a restart with many of them takes,
+// and how many fills purges cause.
 #include <benchmark/benchmark.h>
 #include <fmt/core.h>
 #include <malloc.h>
@@ -26,8 +27,9 @@
   return s;
 }
 
-// Nine in ten by object, the others by tag, sixty by pattern; half of the objects' tags are known.
-void cost_a_txn(benchmark::State& state) {
+// One call of valid_since() with range(0) purges in force: about one in ten by tag, 60 by pattern, the others
+// by object. The tags of half of the objects are known.
+void cost_per_request(benchmark::State& state) {
   const auto before = mallinfo2().uordblks;
   purge::PurgeRegistry purges(setup(200'000), 1e9);
   const auto count = static_cast<std::uint64_t>(state.range(0));
@@ -54,9 +56,9 @@
     benchmark::DoNotOptimize(purges.valid_since(hash, 3, name, 1e9 + 201));
   }
 }
-BENCHMARK(cost_a_txn)->Arg(0)->Arg(1000)->Arg(100'000);
+BENCHMARK(cost_per_request)->Arg(0)->Arg(1000)->Arg(100'000);
 
-// From an open of the store to all purges in force.
+// Time from opening the store until all of its purges are in force.
 void restart(benchmark::State& state) {
   const auto folder = (std::filesystem::temp_directory_path() / "walkpaddle-bench-store").string();
   std::filesystem::remove_all(folder);
@@ -64,7 +66,7 @@
   Scheduler scheduler;
   {
     store::Store store({folder, 1024});
-    purge::PurgeLog book({.entries = 2});
+    purge::PurgeLog log({.entries = 2});
     for (std::uint64_t n = 1; n <= count; ++n) {
       const purge::PurgeEntry e{
           {scheduler.now(), 1, n}, PurgeKind::object, object_name(n), scheduler.now(), n};
@@ -82,21 +84,21 @@
     store::Store store({folder, 1024});
     purge::PurgeRegistry purges(s, scheduler.now());
     replication::PurgePersister persister(scheduler, log, purges, store);
-    if (purges.log().size() != count) state.SkipWithError("not all came back");
+    if (purges.log().size() != count) state.SkipWithError("not all purges were restored");
   }
   std::filesystem::remove_all(folder);
 }
 BENCHMARK(restart)->Arg(10'000)->Arg(1'000'000)->Iterations(1)->Unit(benchmark::kMillisecond);
 
-// Fills of one router's objects at one box that keeps everything: ten minutes, 200 txns a second on 2,000
-// objects of unequal popularity, each with two of 200 tags, a purge by tag each second. Arguments: share of
-// objects whose tags are known in per cent; age that a router without trust lets pass, in milliseconds, 0 for
-// one that trusts its book.
+// Fills at one cache server that keeps all copies: ten minutes of 200 requests per second for 2,000 objects
+// of unequal popularity, each with two of 200 tags, and a purge by tag every second. Arguments: percentage of
+// objects whose tags are known; maximum age in milliseconds of copies that a router accepts while it does not
+// trust its purge log, 0 for a router that trusts it.
 void fills(benchmark::State& state) {
-  constexpr int kObjects = 2000, kTags = 200, kSeconds = 600, kTxns = 200;
-  int filled = 0, asked = 0;
+  constexpr int kObjects = 2000, kTags = 200, kSeconds = 600, kRequestsPerSecond = 200;
+  int filled = 0, requests = 0;
   for (auto _ : state) {
-    filled = asked = 0;
+    filled = requests = 0;
     std::mt19937 chance(1);
     std::uniform_real_distribution<> roll(0, 1);
     auto s = setup(65536);
@@ -111,8 +113,8 @@
     }
     for (int second = 0; second < kSeconds; ++second) {
       purges.issue(PurgeKind::tag, fmt::format("t{}", chance() % kTags), 1e9 + second);
-      for (int t = 0; t < kTxns; ++t, ++asked) {
-        const Seconds now = 1e9 + second + static_cast<Seconds>(t) / kTxns;
+      for (int t = 0; t < kRequestsPerSecond; ++t, ++requests) {
+        const Seconds now = 1e9 + second + static_cast<Seconds>(t) / kRequestsPerSecond;
         const double u = roll(chance);
         const int n = static_cast<int>(kObjects * u * u * u);
         const Seconds limit = static_cast<Seconds>(state.range(1)) / 1e3;
@@ -122,7 +124,7 @@
       }
     }
   }
-  state.counters["fills_a_txn"] = static_cast<double>(filled) / asked;
+  state.counters["fills_per_request"] = static_cast<double>(filled) / requests;
 }
 BENCHMARK(fills)
     ->Args({100, 0})
--- a/bench/returner.cpp
+++ b/bench/returner.cpp
@@ -1,7 +1,9 @@
-// What a router rejects in the first seconds after a crash, at a high rate, among others that live: with the
-// fleet's state shared and without. A measurement, not a test.
-//   bench_returner [RATE [MS]]     txns a second at the router that returns, default 1200; what a hit takes,
-//   100
+// Measures how many requests a router rejects in the first seconds after a crash, at a high rate, while the
+// other routers keep running: with replication of the fleet's state and without. Not a test.
+//   bench_returner [RATE [MS]]
+//     RATE   requests per second at the restarted router, default 1200
+//     MS     service time of hits and fills in milliseconds, default 100
+// LAB_LOG, if set, prints the restarted router's log to standard error.
 #include <fmt/core.h>
 #include <signal.h>
 
@@ -13,7 +15,7 @@
 
 namespace {
 
-Task play(testbed::Fleet& fleet, const char* what, double rate) {
+Task measure(testbed::Fleet& fleet, const char* what, double rate) {
   auto& s = fleet.scheduler();
   Event e(s);
   fleet.clients(1, rate);
@@ -21,23 +23,24 @@
   const auto start = fleet.counts(1);
   const Seconds used = fleet.cpu_of(1);
   co_await e.wait(s.now() + 10);
-  fmt::print("{}: {:.0f} us of processor a txn in calm\n", what,
+  fmt::print("{}: {:.0f} us of processor time per request in steady state\n", what,
              1e6 * (fleet.cpu_of(1) - used) / std::max(1, fleet.counts(1).answered - start.answered));
-  for (const Seconds away : {1.0, 10.0}) {
+  for (const Seconds downtime : {1.0, 10.0}) {
     co_await e.wait(s.now() + 15);
     fleet.kill(1);
-    co_await e.wait(s.now() + away);
+    co_await e.wait(s.now() + downtime);
     const auto before = fleet.counts(1);
     fleet.start(1);
     auto last = before;
     for (int second = 1; second <= 4; ++second) {
       co_await e.wait(s.now() + 1);
       const auto& now = fleet.counts(1);
-      fmt::print("{}, away {:.0f} s, second {}: asked {}, answered {}, refused {} ({:.1f}%), not sent {}\n",
-                 what, away, second, now.asked - last.asked, now.answered - last.answered,
-                 now.refused - last.refused,
-                 100.0 * (now.refused - last.refused) / std::max(1, now.asked - last.asked),
-                 now.unsent - last.unsent);
+      fmt::print(
+          "{}, down for {:.0f} s, second {}: sent {}, answered {}, rejected {} ({:.1f}%), not sent {}\n",
+          what, downtime, second, now.asked - last.asked, now.answered - last.answered,
+          now.refused - last.refused,
+          100.0 * (now.refused - last.refused) / std::max(1, now.asked - last.asked),
+          now.unsent - last.unsent);
       last = now;
     }
   }
@@ -61,7 +64,7 @@
                           .rate = 100,
                           .habits = {.hit = hit, .fill = hit}});
     fleet.start_all();
-    fleet.scheduler().start(play(fleet, share ? "shared" : "blind", rate));
+    fleet.scheduler().start(measure(fleet, share ? "with replication" : "without replication", rate));
     fleet.scheduler().run();
   }
 }
--- a/bench/size.cpp
+++ b/bench/size.cpp
@@ -1,7 +1,7 @@
-// What a request costs as the number of cache servers grows: one router, the same requests a second, 200, 800
-// and 3,200 servers, 900 routers by the settings. Processor time for a request, median and 99th of the
-// answer's time, memory, connections. The start, which reads the list, is taken off by a play without
-// requests. Not a test.
+// Measures what a request costs as the number of cache servers grows: one router, constant request rate, 200,
+// 800 and 3,200 servers, a fleet of 900 routers by the configuration. Prints processor time per request,
+// median and 99th percentile of the response time, memory and connections. The processor time of a run
+// without requests, which reads the same endpoint list, is subtracted. Not a test.
 //   bench_size [PROGRAM]
 #include <fmt/core.h>
 #include <unistd.h>
@@ -16,7 +16,7 @@
 int main(int argc, char** argv) {
   const auto folder = std::filesystem::temp_directory_path() / fmt::format("walkpaddle-size-{}", ::getpid());
   const soak::Programs programs{argc > 1 ? argv[1] : WALKPADDLE_PROGRAM, WALKPADDLE_SHIM, folder.string()};
-  constexpr double kQuiet = 0.01;  // requests a second: none
+  constexpr double kIdleRate = 0.01;  // requests per second: practically none
   for (const double rate : {60.0, 300.0})
     for (const int servers : {200, 800, 3200}) {
       soak::Plan plan{.seed = 3,
@@ -27,20 +27,19 @@
                       .sockets = 544,
                       .fleet = 900};
       auto result = soak::play(plan, programs);
-      plan.rate = kQuiet;
+      plan.rate = kIdleRate;
       const auto idle = soak::play(plan, programs);
       std::ranges::sort(result.took);
-      const auto at = [&](double part) {
+      const auto percentile = [&](double part) {
         return result.took[static_cast<std::size_t>(part * static_cast<double>(result.took.size() - 1))] *
                1e3;
       };
       const auto requests = static_cast<double>(result.counts.sent);
       fmt::print(
-          "{} a second, {} servers: {:.0f} us a request ({:.2f} s idle), median {:.1f} ms, 99th {:.1f} ms, "
-          "{:.1f} "
-          "MB, {} connections, {} of {:.0f} served\n",
-          rate, servers, (result.cpu - idle.cpu) / requests * 1e6, idle.cpu, at(0.5), at(0.99),
-          result.memory_mb, result.connections, result.counts.served, requests);
+          "{} requests/s, {} servers: {:.0f} us of processor time per request ({:.2f} s without requests), "
+          "median {:.1f} ms, 99th percentile {:.1f} ms, {:.1f} MB, {} connections, {} of {:.0f} served\n",
+          rate, servers, (result.cpu - idle.cpu) / requests * 1e6, idle.cpu, percentile(0.5),
+          percentile(0.99), result.memory_mb, result.connections, result.counts.served, requests);
     }
   std::filesystem::remove_all(folder);
 }
