--- a/bench/replication.cpp
+++ b/bench/replication.cpp
@@ -1,7 +1,6 @@
 // Measures cost and speed of replicating the fleet's state, with router processes on loopback. Prints:
 //   - the time until a drain that one router's discovery reports has reached every router: without faults,
-//   with
-//     datagrams lost, and with most of that router's links cut;
+//     with datagrams lost, and with most of that router's links cut;
 //   - the bytes that each router sends, and its processor time, without faults;
 //   - the time that a restarted router takes to catch up;
 //   - the number of false suspicions.
@@ -10,9 +9,8 @@
 //     --servers   number of cache servers, default 40
 //     --away      downtime of the restarted router, default 10 s
 //     --calm      duration of the measurement without faults, default 10 s
-//     --lossy     counts suspicions and routers taken for dead with 0, 5 and 20% of the datagrams lost, for
-//     this
-//                 long each; default 0: not at all
+//     --lossy     counts suspicions and routers taken for dead with 0, 5 and 20% of the datagrams lost;
+//                 duration of each in seconds, default 0: not at all
 //     ROUTERS     sizes of the fleets, default 10 30
 #include <fmt/core.h>
 #include <signal.h>
@@ -200,18 +198,18 @@
   Sizes sizes;
   std::vector<int> routers;
   for (int a = 1; a < argc; ++a) {
-    const std::string word = argv[a];
+    const std::string argument = argv[a];
     const bool more = a + 1 < argc;
-    if (word == "--servers" && more)
+    if (argument == "--servers" && more)
       sizes.servers = std::atoi(argv[++a]);
-    else if (word == "--away" && more)
+    else if (argument == "--away" && more)
       sizes.away = std::atof(argv[++a]);
-    else if (word == "--calm" && more)
+    else if (argument == "--calm" && more)
       sizes.calm = std::atof(argv[++a]);
-    else if (word == "--lossy" && more)
+    else if (argument == "--lossy" && more)
       sizes.lossy = std::atof(argv[++a]);
     else
-      routers.push_back(std::atoi(word.c_str()));
+      routers.push_back(std::atoi(argument.c_str()));
   }
   if (routers.empty()) routers = {10, 30};
   for (const int n : routers) {
--- a/testbed/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -164,15 +164,15 @@
                     log = r.folder + "/log";
   // The environment is built before fork(): the switch runs a thread, so only async-signal-safe calls are
   // allowed between fork() and execve().
-  std::vector<std::string> words;
-  for (char** word = environ; *word != nullptr; ++word)
-    if (const std::string_view w = *word; !w.starts_with("LB_")) words.emplace_back(w);
-  words.push_back("LB_CONFIG=" + config);
-  if (!setup_.fault.empty()) words.push_back("WALKPADDLE_FAULT=" + setup_.fault);
+  std::vector<std::string> variables;
+  for (char** variable = environ; *variable != nullptr; ++variable)
+    if (const std::string_view w = *variable; !w.starts_with("LB_")) variables.emplace_back(w);
+  variables.push_back("LB_CONFIG=" + config);
+  if (!setup_.fault.empty()) variables.push_back("WALKPADDLE_FAULT=" + setup_.fault);
   const char* program = r.program.empty() ? program_ : r.program.c_str();
   ++r.starts;
   std::vector<char*> env;
-  for (auto& w : words) env.push_back(w.data());
+  for (auto& w : variables) env.push_back(w.data());
   env.push_back(nullptr);
   const char* args[] = {program, "run", "--file", file.c_str(), nullptr};
   r.pid = ::fork();
@@ -221,10 +221,10 @@
 
 Seconds Fleet::cpu_of(int n) const {
   std::ifstream in(fmt::format("/proc/{}/stat", routers_[static_cast<std::size_t>(n)].pid));
-  std::string word;
+  std::string value;
   Seconds ticks = 0;
-  for (int field = 1; field <= 15 && in >> word; ++field)
-    if (field >= 14) ticks += std::stod(word);  // user and system time
+  for (int field = 1; field <= 15 && in >> value; ++field)
+    if (field >= 14) ticks += std::stod(value);  // user and system time
   return ticks / static_cast<Seconds>(::sysconf(_SC_CLK_TCK));
 }
 
@@ -288,9 +288,9 @@
     std::unordered_map<std::string, Seconds> open;
     int tag = 0;
     for (Seconds next = scheduler_.now(); r.pid > 0;) {
-      const auto came = stream.read();
-      if (came == Stream::Came::end) break;
-      if (came == Stream::Came::bytes) {
+      const auto received = stream.read();
+      if (received == Stream::Came::end) break;
+      if (received == Stream::Came::bytes) {
         net::RespArray words;
         for (;;) {
           net::read_resp_array(stream.in(), 8, 1 << 20, words);
--- a/testbed/fleet.h
+++ b/testbed/fleet.h
@@ -57,8 +57,8 @@
   int starts(int router) const { return routers_[static_cast<std::size_t>(router)].starts; }
   void cut(int a, int b, Seconds until);  // blocks both directions until a Unix time; 0 unblocks them
   Switch& links() { return switch_; }
-  // Publishes the state of a cache server to one router. `started`: Unix time of its start, 0: long ago.
   using Says = standins::Says;
+  // Publishes the state of a cache server to one router. `started`: Unix time of its start, 0: long ago.
   void publish_state(int router, int server, Says state, Seconds started = 0);
 
   int served(int server) const { return servers_[static_cast<std::size_t>(server)]->counts().served; }
--- a/testbed/rollout_fleet.h
+++ b/testbed/rollout_fleet.h
@@ -21,9 +21,9 @@
   struct Quality {
     double refused = 0.002, failed = 0.0005, late = 0.01;
     double time = 0.05;                  // mean response time of requests that are not late, s
-    double retries = 0.05, fills = 0.2;  // requests with a second attempt; attempts that filled
+    double retries = 0.05, fills = 0.2;  // with a second attempt; with a fill
     double memory = 40, cpu = 0.01;      // resident MB; processor time of a request, s
-    bool ready = true;                   // whether a router that starts with it becomes ready
+    bool ready = true;                   // whether a router becomes ready with it
     Seconds dies_after = 0;    // time from the start or switch to it until the router crashes; 0: never
     bool breaks_rule = false;  // violates an invariant
   };
@@ -79,7 +79,7 @@
   }
 
   SimulatedFleet memory;
-  int most_moving = 0;    // routers that were being restarted for a move at the same time, at most
+  int most_moving = 0;    // the greatest number of routers that were due to start again at one time
   std::size_t moves = 0;  // moves carried out, rollbacks included
 
  private:
