--- a/testbed/faulty.cpp
+++ b/testbed/faulty.cpp
@@ -21,7 +21,7 @@
 struct Fault {
   explicit Fault(const server::ListenerContext& context, const std::string& kind)
       : context(context), kind(kind) {
-    if (kind == "slow") context.scheduler.at_turns_end([] { ::usleep(15000); });
+    if (kind == "slow") context.scheduler.call_at_turn_end([] { ::usleep(15000); });
     if (kind == "refuse" || kind == "fall" || kind == "leak") context.scheduler.start(inject());
   }
   Task inject() {
--- a/testbed/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -86,15 +86,15 @@
   std::string members;
   for (int s = 0; s < setup_.cache_servers + 2; ++s) {
     if (s > 0) members += ",";
-    members +=
-        member_text(servers_[static_cast<std::size_t>(s)]->id(),
-                    servers_[static_cast<std::size_t>(s)]->port(), s < setup_.cache_servers ? "edge" : "hub",
-                    s < setup_.cache_servers    ? "cache"
-                    : s == setup_.cache_servers ? "parent"
-                                                : "origin");
+    members += endpoint_json(servers_[static_cast<std::size_t>(s)]->id(),
+                             servers_[static_cast<std::size_t>(s)]->port(),
+                             s < setup_.cache_servers ? "edge" : "hub",
+                             s < setup_.cache_servers    ? "cache"
+                             : s == setup_.cache_servers ? "parent"
+                                                         : "origin");
   }
-  std::ofstream(r.folder + "/config.json") << config_text(fmt::format("r{}", n), r.port, r.discovery.port,
-                                                          members, R"({"sockets":128,"memory_mb":32})");
+  std::ofstream(r.folder + "/config.json") << platform_config_json(
+      fmt::format("r{}", n), r.port, r.discovery.port, members, R"({"sockets":128,"memory_mb":32})");
   if (setup_.store) std::filesystem::create_directory(r.folder + "/store");
   std::ofstream file(r.folder + "/walkpaddle.conf");
   if (!setup_.share) return;
@@ -246,7 +246,7 @@
       auto stream = std::make_unique<Stream>(scheduler_, outbox_, std::move(fd));
       const Seconds until = scheduler_.now() + 2;
       while (stream->in().size() < 8 && scheduler_.now() < until) {
-        if (stream->read() == Stream::Came::end) break;
+        if (stream->read() == Stream::ReadResult::end) break;
         if (stream->in().size() < 8) co_await stream->readable(until);
       }
       if (stream->in().size() >= 8) {
@@ -260,7 +260,7 @@
       continue;
     }
     if (discovery.stream) {
-      while (discovery.stream->read() == Stream::Came::bytes)
+      while (discovery.stream->read() == Stream::ReadResult::bytes)
         discovery.stream->consume(discovery.stream->in().size());
       discovery.stream->write(standins::frame_text(discovery.events.size() + 1, 0, ""));
     }
@@ -289,8 +289,8 @@
     int tag = 0;
     for (Seconds next = scheduler_.now(); r.pid > 0;) {
       const auto received = stream.read();
-      if (received == Stream::Came::end) break;
-      if (received == Stream::Came::bytes) {
+      if (received == Stream::ReadResult::end) break;
+      if (received == Stream::ReadResult::bytes) {
         net::RespArray words;
         for (;;) {
           net::read_resp_array(stream.in(), 8, 1 << 20, words);
--- a/testbed/switch.cpp
+++ b/testbed/switch.cpp
@@ -27,7 +27,7 @@
 
 int Switch::add(int router_port) {
   const int n = static_cast<int>(routers_.size());
-  routers_.push_back(std::make_unique<Router>(scheduler_, datagrams_on(Address{kLoopback, 0})));
+  routers_.push_back(std::make_unique<Router>(scheduler_, bind_udp(Address{kLoopback, 0})));
   routers_.back()->port = router_port;
   by_port_[router_port] = n;
   return standins::port_of(routers_.back()->socket.fd());
@@ -77,7 +77,7 @@
         forward(from->second, to, {buffer, static_cast<std::size_t>(got)});
     }
     if (waits)
-      co_await routers_[static_cast<std::size_t>(to)]->socket.came.wait();
+      co_await routers_[static_cast<std::size_t>(to)]->socket.input_ready.wait();
     else
       co_await next.wait(scheduler_.now());
   }
