--- a/tests/change_sockets.cpp
+++ b/tests/change_sockets.cpp
@@ -11,7 +11,7 @@
 #include <functional>
 #include <string>
 
-#include "lab/fleet.h"
+#include "testbed/fleet.h"
 
 using namespace walkpaddle;
 
--- a/tests/gossip_parts.cpp
+++ b/tests/gossip_parts.cpp
@@ -13,7 +13,7 @@
 
 #include "base/text.h"
 #include "gossip/codec.h"
-#include "lab/memory.h"
+#include "testbed/simulated_fleet.h"
 
 using namespace walkpaddle;
 using namespace walkpaddle::gossip;
--- a/tests/replica_sockets.cpp
+++ b/tests/replica_sockets.cpp
@@ -8,7 +8,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "lab/fleet.h"
+#include "testbed/fleet.h"
 
 using namespace walkpaddle;
 
--- a/tests/stories/changes.cpp
+++ b/tests/stories/changes.cpp
@@ -1,13 +1,13 @@
 // Rollouts finishes simulated fleets: stages, comparison of the new generation with the old, stops and
 // rollbacks, under crashes of drivers, partitions, freeze windows and absent routers.
-#include "lab/changes.h"
-
 #include <algorithm>
 #include <array>
 #include <catch2/catch.hpp>
 #include <cmath>
 #include <set>
 
+#include "testbed/rollout_fleet.h"
+
 using namespace walkpaddle;
 using testbed::RolloutFleet;
 using Quality = RolloutFleet::Quality;
--- a/tests/stories/freeze.cpp
+++ b/tests/stories/freeze.cpp
@@ -5,7 +5,7 @@
 
 #include "base/text.h"
 #include "freeze/calendar.h"
-#include "lab/memory.h"
+#include "testbed/simulated_fleet.h"
 
 using namespace walkpaddle;
 using namespace walkpaddle::freeze;
