--- a/bench/replication.cpp
+++ b/bench/replication.cpp
@@ -52,7 +52,7 @@
     Event e(s);
     const auto line = fmt::format("s-{:08x}: draining according to the fleet", 0xb0 + server);
     const Seconds published_at = s.now();
-    fleet.publish_state(from, server, testbed::Fleet::Says::draining);
+    fleet.publish_state(from, server, testbed::Fleet::AnnouncedState::draining);
     std::vector<Seconds> took(static_cast<std::size_t>(sizes.routers), -1);
     took[static_cast<std::size_t>(from)] = 0;
     while (std::ranges::count(took, -1) > 0 && s.now() < published_at + 10) {
@@ -159,7 +159,7 @@
     const auto before_kill = suspicions();
     fleet.kill(1);
     for (int b = server; b < sizes.servers / 3; ++b)
-      fleet.publish_state(2 + b % (sizes.routers - 2), b, testbed::Fleet::Says::draining);
+      fleet.publish_state(2 + b % (sizes.routers - 2), b, testbed::Fleet::AnnouncedState::draining);
     co_await pause(sizes.away);
     const int catch_ups = count_in_log(1, "caught up");
     const auto bytes = fleet.bytes_between_routers();
--- a/soak/discovery.h
+++ b/soak/discovery.h
@@ -20,10 +20,10 @@
 class Discovery {
  public:
   Discovery(Scheduler& scheduler, Outbox& outbox, Oracle& oracle, PurgeHistory& purges, int routers,
-            standins::Ports& ports, unsigned seed);
+            fakes::Ports& ports, unsigned seed);
 
   // Add an event that is delivered to all routers.
-  void publish_endpoint(const Endpoint& endpoint, standins::Says state);
+  void publish_endpoint(const Endpoint& endpoint, fakes::AnnouncedState state);
   void publish_purge(const std::string& item, int group);
   // Returns the state for the configuration of that process start, as JSON. All events up to now then count
   // as delivered to it.
@@ -38,7 +38,7 @@
     int kind;  // type of its frame
     std::string payload;
     int server = -1;
-    standins::Says state = standins::Says::ready;
+    fakes::AnnouncedState state = fakes::AnnouncedState::ready;
     Seconds started = 0;
     std::string item;
     int group = 0;
@@ -73,7 +73,7 @@
   Outbox& outbox_;
   Oracle& oracle_;
   PurgeHistory& purges_;
-  standins::Ports& ports_;
+  fakes::Ports& ports_;
   std::mt19937 random_;
   std::vector<Change> events_;  // event n is at index n - 2; event 1 is the full list
   std::vector<std::unique_ptr<Watch>> watches_;
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -199,7 +199,7 @@
   }
 
   Task inject_at_server(int n, Fault t, Seconds until) {
-    using standins::Says;
+    using fakes::AnnouncedState;
     auto& s = *servers_[static_cast<std::size_t>(n)];
     const bool lifecycle = t.kind == FaultKind::server_crashes || t.kind == FaultKind::server_drains ||
                            t.kind == FaultKind::server_replaced;
@@ -213,24 +213,24 @@
     busy_until = until + kDetectionTime;
     Event wait(scheduler_);
     if (t.kind == FaultKind::server_drains) {
-      discovery_.publish_endpoint(s, Says::draining);
+      discovery_.publish_endpoint(s, AnnouncedState::draining);
       co_await wait.wait(until);
-      discovery_.publish_endpoint(s, Says::ready);
+      discovery_.publish_endpoint(s, AnnouncedState::ready);
       co_return;
     }
     if (t.kind == FaultKind::server_replaced) {
-      discovery_.publish_endpoint(s, Says::gone);
+      discovery_.publish_endpoint(s, AnnouncedState::gone);
       co_await wait.wait(until);
       s.crash();
     } else {
       s.crash();
       co_await wait.wait(std::min(until, scheduler_.now() + kDetectionTime));
-      if (scheduler_.now() < until) discovery_.publish_endpoint(s, Says::gone);
+      if (scheduler_.now() < until) discovery_.publish_endpoint(s, AnnouncedState::gone);
       co_await wait.wait(until);
     }
     s.start_cold();
     oracle_.record_server_start(n, s.started());
-    discovery_.publish_endpoint(s, Says::ready);
+    discovery_.publish_endpoint(s, AnnouncedState::ready);
   }
 
   static Call faulted_call(FaultKind kind) {
@@ -326,7 +326,7 @@
   const Plan plan_;
   const Programs programs_;
   const Rules rules_;
-  standins::Ports ports_;
+  fakes::Ports ports_;
   Scheduler scheduler_;
   Outbox outbox_;
   const Seconds began_, started_ = scheduler_.now() + 0.5;
--- a/testbed/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -40,13 +40,13 @@
   std::filesystem::create_directory(folder_);
   const int servers = setup_.cache_servers + 2;
   for (int n = 0; n < servers; ++n)
-    servers_.push_back(
-        std::make_unique<standins::Server>(scheduler_, outbox_, server_id(n),
-                                           n < setup_.cache_servers    ? standins::Server::Kind::box
-                                           : n == setup_.cache_servers ? standins::Server::Kind::parent
-                                                                       : standins::Server::Kind::origin,
-                                           setup_.habits));
-  std::vector<standins::Server*> all;
+    servers_.push_back(std::make_unique<fakes::Server>(scheduler_, outbox_, server_id(n),
+                                                       n < setup_.cache_servers ? fakes::Server::Kind::cache
+                                                       : n == setup_.cache_servers
+                                                           ? fakes::Server::Kind::parent
+                                                           : fakes::Server::Kind::origin,
+                                                       setup_.habits));
+  std::vector<fakes::Server*> all;
   for (auto& s : servers_) all.push_back(s.get());
   for (auto& s : servers_) s->know(all);
   for (int n = 0; n < setup_.objects; ++n) servers_.back()->change(object_name(n), {});
@@ -55,7 +55,7 @@
     r.port = ports_.take();
     r.fleet_port = ports_.take();
     r.discovery.listener = listen_on(Address{kLoopback, 0});
-    r.discovery.port = standins::port_of(r.discovery.listener.get());
+    r.discovery.port = fakes::local_port(r.discovery.listener.get());
   }
   for (auto& r : routers_) r.peer_port = switch_.add(r.fleet_port);
   switch_.start();
@@ -69,14 +69,14 @@
   std::filesystem::remove_all(folder_);
 }
 
-std::string Fleet::member_payload(int server, Says state, Seconds started) const {
+std::string Fleet::member_payload(int server, AnnouncedState state, Seconds started) const {
   const auto& s = *servers_[static_cast<std::size_t>(server)];
   const bool edge = server < setup_.cache_servers;
-  return standins::member_record(std::stoul(s.id().substr(2), nullptr, 16), s.port(), state, edge ? 1 : 0,
-                                 edge                             ? 0
-                                 : server == setup_.cache_servers ? 1
-                                                                  : 2,
-                                 static_cast<std::uint64_t>(started * 1e3));
+  return fakes::endpoint_record(std::stoul(s.id().substr(2), nullptr, 16), s.port(), state, edge ? 1 : 0,
+                                edge                             ? 0
+                                : server == setup_.cache_servers ? 1
+                                                                 : 2,
+                                static_cast<std::uint64_t>(started * 1e3));
 }
 
 void Fleet::write_files(int n) {
@@ -198,13 +198,13 @@
 
 void Fleet::cut(int a, int b, Seconds until) { switch_.cut(a, b, until), switch_.cut(b, a, until); }
 
-void Fleet::publish_state(int router, int server, Says state, Seconds started) {
+void Fleet::publish_state(int router, int server, AnnouncedState state, Seconds started) {
   send_event(router, 2, member_payload(server, state, started));
 }
 
 void Fleet::send_event(int n, int kind, const std::string& payload) {
   auto& discovery = routers_[static_cast<std::size_t>(n)].discovery;
-  discovery.events.push_back(standins::frame_text(discovery.events.size() + 2, kind, payload));
+  discovery.events.push_back(fakes::discovery_frame(discovery.events.size() + 2, kind, payload));
   if (discovery.stream) discovery.stream->write(discovery.events.back());
 }
 
@@ -262,7 +262,7 @@
     if (discovery.stream) {
       while (discovery.stream->read() == Stream::ReadResult::bytes)
         discovery.stream->consume(discovery.stream->in().size());
-      discovery.stream->write(standins::frame_text(discovery.events.size() + 1, 0, ""));
+      discovery.stream->write(fakes::discovery_frame(discovery.events.size() + 1, 0, ""));
     }
     co_await wait.wait(scheduler_.now() + 0.05);
   }
--- a/testbed/fleet.h
+++ b/testbed/fleet.h
@@ -28,7 +28,7 @@
     bool clients = true;
     double rate = 50;    // requests per second from clients to each router, at most 50 per connection
     bool store = false;  // each router keeps a store on disk
-    standins::Server::Habits habits{};  // of the servers
+    fakes::Server::Options habits{};  // of the servers
     // Rollouts: each router has a folder for change documents, and routers that exit are started again.
     bool changes = false;
     int sites = 1, without = -1;  // without: a router that takes no part in rollouts
@@ -57,9 +57,9 @@
   int starts(int router) const { return routers_[static_cast<std::size_t>(router)].starts; }
   void cut(int a, int b, Seconds until);  // blocks both directions until a Unix time; 0 unblocks them
   Switch& links() { return switch_; }
-  using Says = standins::Says;
+  using AnnouncedState = fakes::AnnouncedState;
   // Publishes the state of a cache server to one router. `started`: Unix time of its start, 0: long ago.
-  void publish_state(int router, int server, Says state, Seconds started = 0);
+  void publish_state(int router, int server, AnnouncedState state, Seconds started = 0);
 
   int served(int server) const { return servers_[static_cast<std::size_t>(server)]->counts().served; }
   void clients(int router, double rate);  // adds clients
@@ -88,7 +88,7 @@
   void write_files(int n);
   std::string site_of(int n) const;
   void send_event(int router, int kind, const std::string& payload);
-  std::string member_payload(int server, Says state, Seconds started) const;
+  std::string member_payload(int server, AnnouncedState state, Seconds started) const;
   Task serve_discovery(int router);
   Task supervise();
   Task run_clients(int router, double rate);
@@ -96,11 +96,11 @@
   const Setup setup_;
   std::mt19937 chance_;
   const char* program_;
-  standins::Ports ports_;
+  fakes::Ports ports_;
   std::string folder_;
   Scheduler scheduler_;
   Outbox outbox_;
-  std::vector<std::unique_ptr<standins::Server>> servers_;  // the cache servers, then parent and origin
+  std::vector<std::unique_ptr<fakes::Server>> servers_;  // the cache servers, then parent and origin
   std::vector<Router> routers_;
   Switch switch_;
   std::uint64_t requests_ = 0;
--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -38,7 +38,7 @@
 #undef false
 
 using namespace walkpaddle;
-using namespace walkpaddle::standins;
+using namespace walkpaddle::fakes;
 
 namespace {
 
@@ -464,16 +464,17 @@
     } else if (w[1] == "drains") {
       auto& s = servers_[w[2]];
       const auto id = std::stoul(server_id(w[2]).substr(2), nullptr, 16);
-      send_event(2, member_record(id, s.port, Says::draining, 1, 0));
+      send_event(2, endpoint_record(id, s.port, AnnouncedState::draining, 1, 0));
     } else if (w[1] == "purges") {
       const auto now = std::chrono::system_clock::now().time_since_epoch() / std::chrono::milliseconds(1);
-      send_event(3, big_end(std::stoull(w[2], nullptr, 16), 8) + big_end(static_cast<std::uint64_t>(now), 8));
+      send_event(
+          3, big_endian(std::stoull(w[2], nullptr, 16), 8) + big_endian(static_cast<std::uint64_t>(now), 8));
     } else {
       send(discovery_.connections[0], unescape(w[2]));
     }
   }
   void send_event(int kind, const std::string& payload) {
-    send(discovery_.connections[0], frame_text(static_cast<std::uint64_t>(++event_), kind, payload));
+    send(discovery_.connections[0], discovery_frame(static_cast<std::uint64_t>(++event_), kind, payload));
   }
 
   // Opens the listener of a server and returns its entry in the endpoint list.
@@ -587,7 +588,7 @@
   }
 
   pid_t router_ = -1;
-  standins::Ports ports_;
+  fakes::Ports ports_;
   int port_ = 0, dns_port_ = 0, event_ = 1;
   bool has_operator_config_ = false, keeps_log_ = false;
   std::filesystem::path folder_;
