--- a/bench/replication.cpp
+++ b/bench/replication.cpp
@@ -42,7 +42,7 @@
     Event e(s);
     const auto line = fmt::format("s-{:08x}: draining according to the fleet", 0xb0 + box);
     const Seconds told = s.now();
-    fleet.says(from, box, lab::Fleet::Says::draining);
+    fleet.says(from, box, lab::Fleet::AnnouncedState::draining);
     std::vector<Seconds> took(static_cast<std::size_t>(sizes.routers), -1);
     took[static_cast<std::size_t>(from)] = 0;
     while (std::ranges::count(took, -1) > 0 && s.now() < told + 10) {
@@ -144,7 +144,7 @@
     const auto of_none = suspicions();
     fleet.kill(1);
     for (int b = box; b < sizes.servers / 3; ++b)
-      fleet.says(2 + b % (sizes.routers - 2), b, lab::Fleet::Says::draining);
+      fleet.says(2 + b % (sizes.routers - 2), b, lab::Fleet::AnnouncedState::draining);
     co_await pause(sizes.away);
     const int caught = times(1, "caught up");
     const auto bytes = fleet.between_routers();
--- a/standins/world.cpp
+++ b/fakes/servers.cpp
@@ -1,4 +1,4 @@
-#include "standins/world.h"
+#include "fakes/servers.h"
 
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -12,7 +12,7 @@
 #include "base/text.h"
 #include "net/resp_parser.h"
 
-namespace walkpaddle::standins {
+namespace walkpaddle::fakes {
 
 namespace {
 
@@ -49,21 +49,21 @@
   throw std::runtime_error("no port free from 20000 to 32000");
 }
 
-int port_of(int fd) {
+int local_port(int fd) {
   sockaddr_in a{};
   socklen_t size = sizeof a;
   ::getsockname(fd, reinterpret_cast<sockaddr*>(&a), &size);
   return ntohs(a.sin_port);
 }
 
-Server::Server(Scheduler& scheduler, Outbox& outbox, std::string id, Kind kind, const Habits& habits)
+Server::Server(Scheduler& scheduler, Outbox& outbox, std::string id, Kind kind, const Options& habits)
     : scheduler_(scheduler),
       outbox_(outbox),
       id_(std::move(id)),
       kind_(kind),
       habits_(habits),
       listener_(scheduler, listen_on(Address{kLoopback, 0})),
-      port_(port_of(listener_.fd())) {
+      port_(local_port(listener_.fd())) {
   scheduler_.start(accept_all());
 }
 
@@ -249,7 +249,7 @@
   if (const auto* there = from->held(object);
       from->kind_ != Kind::origin && there != nullptr && from->good(object, *there, oldest)) {
     copy = *there, found = true;
-  } else if (from->kind_ != Kind::box) {
+  } else if (from->kind_ != Kind::cache) {
     auto* origin = *std::ranges::find(all_, Kind::origin, &Server::kind_);
     ++origin->counts_.read;
     copy = {origin->version(object), scheduler_.now(),
@@ -278,7 +278,7 @@
     : scheduler_(scheduler),
       outbox_(outbox),
       listener_(scheduler, listen_on(Address{kLoopback, 0})),
-      port_(port_of(listener_.fd())),
+      port_(local_port(listener_.fd())),
       to_(to) {
   scheduler_.start(accept_all());
 }
@@ -322,4 +322,4 @@
   open_.erase(from);
 }
 
-}  // namespace walkpaddle::standins
+}  // namespace walkpaddle::fakes
--- a/standins/world.h
+++ b/fakes/servers.h
@@ -16,9 +16,9 @@
 #include "io/listener.h"
 #include "io/stream.h"
 
-namespace walkpaddle::standins {
+namespace walkpaddle::fakes {
 
-int port_of(int fd);
+int local_port(int fd);
 
 // Ports for processes to listen on, TCP and UDP, below the kernel's range for outgoing connections (32768
 // on), so that no connection of another takes one between two starts. They come in blocks; a test process
@@ -41,8 +41,8 @@
 
 class Server {
  public:
-  enum class Kind { box, parent, origin };
-  struct Habits {
+  enum class Kind { cache, parent, origin };
+  struct Options {
     Seconds hit = 0.001, fill = 0.01;  // to answer; to fetch from a source, each way
     bool lies = false;                 // confirms purges and answers from its copies all the same
     bool takes_purges = true;
@@ -51,16 +51,16 @@
   struct Counts {
     int served = 0, hits = 0, fills = 0, joined = 0, read = 0, confirmed = 0, asked_cursor = 0;
   };
-  Server(Scheduler& scheduler, Outbox& outbox, std::string id, Kind kind, const Habits& habits);
+  Server(Scheduler& scheduler, Outbox& outbox, std::string id, Kind kind, const Options& habits);
 
   const std::string& id() const { return id_; }
   int port() const { return port_; }
-  void know(const std::vector<Server*>& all) { all_ = all; }
+  void set_sources(const std::vector<Server*>& all) { all_ = all; }
   void change(const std::string& object, std::vector<std::string> tags);  // at the origin: a new version
   int version(const std::string& object) const;
   void freeze(Seconds until) { frozen_until_ = until; }
   void restart_cold();  // its connections end, its copies and what it knew of purges are gone
-  void set_lies(bool lies) { habits_.lies = lies; }
+  void set_ignores_purges(bool lies) { habits_.lies = lies; }
   const Counts& counts() const { return counts_; }
 
  private:
@@ -87,7 +87,7 @@
   Outbox& outbox_;
   const std::string id_;
   const Kind kind_;
-  Habits habits_;
+  Options habits_;
   Listener listener_;
   int port_ = 0;
   std::vector<Server*> all_;
@@ -122,4 +122,4 @@
   std::set<std::shared_ptr<Stream>> open_;
 };
 
-}  // namespace walkpaddle::standins
+}  // namespace walkpaddle::fakes
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -39,21 +39,21 @@
   std::filesystem::create_directory(folder_);
   const int servers = setup_.boxes + 2;
   for (int n = 0; n < servers; ++n)
-    boxes_.push_back(std::make_unique<standins::Server>(scheduler_, outbox_, box_id(n),
-                                                        n < setup_.boxes    ? standins::Server::Kind::box
-                                                        : n == setup_.boxes ? standins::Server::Kind::parent
-                                                                            : standins::Server::Kind::origin,
-                                                        setup_.habits));
-  std::vector<standins::Server*> all;
+    boxes_.push_back(std::make_unique<fakes::Server>(scheduler_, outbox_, box_id(n),
+                                                     n < setup_.boxes    ? fakes::Server::Kind::cache
+                                                     : n == setup_.boxes ? fakes::Server::Kind::parent
+                                                                         : fakes::Server::Kind::origin,
+                                                     setup_.habits));
+  std::vector<fakes::Server*> all;
   for (auto& s : boxes_) all.push_back(s.get());
-  for (auto& s : boxes_) s->know(all);
+  for (auto& s : boxes_) s->set_sources(all);
   for (int n = 0; n < setup_.objects; ++n) boxes_.back()->change(object_name(n), {});
   routers_.resize(static_cast<std::size_t>(setup_.routers));
   for (auto& r : routers_) {
     r.port = ports_.take();
     r.fleet_port = ports_.take();
     r.bus.listener = listen_on(Address{kLoopback, 0});
-    r.bus.port = standins::port_of(r.bus.listener.get());
+    r.bus.port = fakes::local_port(r.bus.listener.get());
   }
   for (auto& r : routers_) r.peer_port = switch_.add(r.fleet_port);
   switch_.start();
@@ -67,14 +67,14 @@
   std::filesystem::remove_all(folder_);
 }
 
-std::string Fleet::member(int box, Says state, Seconds started) const {
+std::string Fleet::member(int box, AnnouncedState state, Seconds started) const {
   const auto& s = *boxes_[static_cast<std::size_t>(box)];
   const bool edge = box < setup_.boxes;
-  return standins::member_record(std::stoul(s.id().substr(2), nullptr, 16), s.port(), state, edge ? 1 : 0,
-                                 edge                  ? 0
-                                 : box == setup_.boxes ? 1
-                                                       : 2,
-                                 static_cast<std::uint64_t>(started * 1e3));
+  return fakes::endpoint_record(std::stoul(s.id().substr(2), nullptr, 16), s.port(), state, edge ? 1 : 0,
+                                edge                  ? 0
+                                : box == setup_.boxes ? 1
+                                                      : 2,
+                                static_cast<std::uint64_t>(started * 1e3));
 }
 
 void Fleet::write_files(int n) {
@@ -193,13 +193,13 @@
 
 void Fleet::cut(int a, int b, Seconds until) { switch_.cut(a, b, until), switch_.cut(b, a, until); }
 
-void Fleet::says(int router, int box, Says state, Seconds started) {
+void Fleet::says(int router, int box, AnnouncedState state, Seconds started) {
   frame(router, 2, member(box, state, started));
 }
 
 void Fleet::frame(int n, int kind, const std::string& payload) {
   auto& bus = routers_[static_cast<std::size_t>(n)].bus;
-  bus.events.push_back(standins::frame_text(bus.events.size() + 2, kind, payload));
+  bus.events.push_back(fakes::discovery_frame(bus.events.size() + 2, kind, payload));
   if (bus.stream) bus.stream->write(bus.events.back());
 }
 
@@ -255,7 +255,7 @@
     }
     if (bus.stream) {
       while (bus.stream->read() == Stream::Came::bytes) bus.stream->consume(bus.stream->in().size());
-      bus.stream->write(standins::frame_text(bus.events.size() + 1, 0, ""));
+      bus.stream->write(fakes::discovery_frame(bus.events.size() + 1, 0, ""));
     }
     co_await wait.wait(scheduler_.now() + 0.05);
   }
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
+#include "fakes/discovery_frames.h"
+#include "fakes/servers.h"
 #include "io/stream.h"
 #include "lab/switch.h"
-#include "standins/bus.h"
-#include "standins/world.h"
 
 namespace walkpaddle::lab {
 
@@ -28,7 +28,7 @@
     bool clients = true;
     double rate = 50;    // txns a second that clients bring to each router, over a connection for each 50
     bool store = false;  // each router's facts last on disk
-    standins::Server::Habits habits{};  // of the servers
+    fakes::Server::Options habits{};  // of the servers
     // Rolling changes: documents in a folder of each router; who dies by itself is started again.
     bool changes = false;
     int sites = 1, without = -1;  // without: a router that takes no part
@@ -59,8 +59,8 @@
   void cut(int a, int b, Seconds until);  // both ways between two routers; 0 heals it
   Switch& links() { return switch_; }
   // What one router's bus says: a box drains, is ready, is gone, or started anew at `started` (Unix time).
-  using Says = standins::Says;
-  void says(int router, int box, Says state, Seconds started = 0);
+  using AnnouncedState = fakes::AnnouncedState;
+  void says(int router, int box, AnnouncedState state, Seconds started = 0);
 
   int served(int box) const { return boxes_[static_cast<std::size_t>(box)]->counts().served; }
   void clients(int router, double rate);  // more of them
@@ -89,7 +89,7 @@
   void write_files(int n);
   std::string site_of(int n) const;
   void frame(int router, int kind, const std::string& payload);
-  std::string member(int box, Says state, Seconds started) const;
+  std::string member(int box, AnnouncedState state, Seconds started) const;
   Task follow(int router);
   Task supervise();
   Task clients_of(int router, double rate);
@@ -97,11 +97,11 @@
   const Setup setup_;
   std::mt19937 chance_;
   const char* program_;
-  standins::Ports ports_;
+  fakes::Ports ports_;
   std::string folder_;
   Scheduler scheduler_;
   Outbox outbox_;
-  std::vector<std::unique_ptr<standins::Server>> boxes_;  // the boxes, then parent and origin
+  std::vector<std::unique_ptr<fakes::Server>> boxes_;  // the boxes, then parent and origin
   std::vector<Router> routers_;
   Switch switch_;
   std::uint64_t txns_ = 0;
--- a/lab/switch.cpp
+++ b/lab/switch.cpp
@@ -5,7 +5,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "standins/world.h"
+#include "fakes/servers.h"
 
 namespace walkpaddle::lab {
 
@@ -30,7 +30,7 @@
   routers_.push_back(std::make_unique<Router>(scheduler_, datagrams_on(Address{kLoopback, 0})));
   routers_.back()->port = router_port;
   by_port_[router_port] = n;
-  return standins::port_of(routers_.back()->socket.fd());
+  return fakes::local_port(routers_.back()->socket.fd());
 }
 
 void Switch::start() {
--- a/soak/discovery.cpp
+++ b/soak/discovery.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 Discovery::Discovery(Scheduler& scheduler, Outbox& outbox, Oracle& oracle, PurgeHistory& purges, int routers,
-                     standins::Ports& ports, unsigned seed)
+                     fakes::Ports& ports, unsigned seed)
     : scheduler_(scheduler), outbox_(outbox), oracle_(oracle), purges_(purges), ports_(ports), chance_(seed) {
   for (int n = 0; n < routers; ++n) {
     auto watch = std::make_unique<Watch>();
@@ -38,10 +38,10 @@
   w.link.reset();
 }
 
-void Discovery::member(const Endpoint& e, standins::Says state) {
+void Discovery::member(const Endpoint& e, fakes::AnnouncedState state) {
   events_.push_back({.at = real_now(),
                      .kind = 2,
-                     .payload = standins::member_record(
+                     .payload = fakes::endpoint_record(
                          0xb0 + static_cast<std::uint64_t>(e.number()), e.port(), state, zone_of(e),
                          static_cast<int>(e.role()), static_cast<std::uint64_t>(e.started() * 1e3)),
                      .server = e.number(),
@@ -52,17 +52,17 @@
 
 void Discovery::purge(const std::string& item, int group) {
   const Seconds now = real_now();
-  const auto stamp = standins::big_end(static_cast<std::uint64_t>(now * 1e3), 8);
+  const auto stamp = fakes::big_endian(static_cast<std::uint64_t>(now * 1e3), 8);
   purges_.entries.push_back({now, item, group});
-  const auto payload = item.empty() ? standins::big_end(static_cast<std::uint64_t>(group), 2) + stamp
-                                    : standins::big_end(std::stoull(item, nullptr, 16), 8) + stamp;
+  const auto payload = item.empty() ? fakes::big_endian(static_cast<std::uint64_t>(group), 2) + stamp
+                                    : fakes::big_endian(std::stoull(item, nullptr, 16), 8) + stamp;
   events_.push_back(
       {.at = now, .kind = item.empty() ? 4 : 3, .payload = payload, .item = item, .group = group});
 }
 
 void Discovery::tell(Watch& w, const Change& e, Seconds at) {
   if (e.kind >= 3) return oracle_.told_purge(w.router, w.start, e.group, e.item, e.at, at);
-  if (e.state == standins::Says::ready) {
+  if (e.state == fakes::AnnouncedState::ready) {
     oracle_.told_ready(w.router, w.start, e.server);
     if (e.started > 0) oracle_.told_start(w.router, w.start, e.server, at);
   } else {
@@ -74,18 +74,18 @@
   auto& w = *watches_[static_cast<std::size_t>(router)];
   w.start = start, w.told = 0;
   for (const auto& e : events_) tell(w, e, real_now()), ++w.told;
-  std::map<int, standins::Says> states;
+  std::map<int, fakes::AnnouncedState> states;
   for (const auto& e : events_)
     if (e.kind == 2) states[e.server] = e.state;
   std::string members, purges;
   for (const auto& e : endpoints) {
     const auto it = states.find(e->number());
-    const auto state = it == states.end() ? standins::Says::ready : it->second;
-    if (state == standins::Says::gone) continue;
+    const auto state = it == states.end() ? fakes::AnnouncedState::ready : it->second;
+    if (state == fakes::AnnouncedState::gone) continue;
     members += fmt::format(
         R"({}{{"id":"{}","host_port":"127.0.0.1:{}","locality":"{}","flavor":"{}","cell":0,"phase":"{}","size":1,"up_since_ms":{}}})",
         members.empty() ? "" : ",", e->id(), e->port(), kZones[zone_of(*e)],
-        kModels[static_cast<int>(e->role())], state == standins::Says::draining ? "draining" : "ready",
+        kModels[static_cast<int>(e->role())], state == fakes::AnnouncedState::draining ? "draining" : "ready",
         static_cast<long>(e->started() * 1e3));
   }
   const auto offset = events_.size() + 1;
@@ -160,13 +160,14 @@
     const auto& e = events_[next];
     const Seconds usual = std::uniform_real_distribution<>(0.03, 0.2)(chance_);
     if (real_now() < e.at + usual + (now < w.late.until ? w.late.size * 10 : 0)) break;
-    text += standins::frame_text(next + 2, e.kind, e.payload);
+    text += fakes::discovery_frame(next + 2, e.kind, e.payload);
     w.on_their_way.push_back({w.link->queued() + text.size(), next});
     // Good news counts from its first byte on, bad news from its last.
-    if (e.kind == 2 && e.state == standins::Says::ready) oracle_.told_ready(w.router, w.start, e.server);
+    if (e.kind == 2 && e.state == fakes::AnnouncedState::ready)
+      oracle_.told_ready(w.router, w.start, e.server);
   }
   if (text.empty() && now < w.beat + 0.5) return;
-  if (text.empty()) text = standins::frame_text(events_.size() + 1, 0, "");
+  if (text.empty()) text = fakes::discovery_frame(events_.size() + 1, 0, "");
   w.beat = now;
   if (now < w.trickles.until)
     w.link->trickle(text, std::max<std::size_t>(4, text.size() / 6), 0.05);
--- a/soak/discovery.h
+++ b/soak/discovery.h
@@ -9,20 +9,20 @@
 #include <string>
 #include <vector>
 
+#include "fakes/discovery_frames.h"
 #include "soak/endpoint.h"
 #include "soak/oracle.h"
 #include "soak/plan.h"
-#include "standins/bus.h"
 
 namespace walkpaddle::soak {
 
 class Discovery {
  public:
   Discovery(Scheduler& scheduler, Outbox& outbox, Oracle& oracle, PurgeHistory& purges, int routers,
-            standins::Ports& ports, unsigned seed);
+            fakes::Ports& ports, unsigned seed);
 
   // What happens; all routers hear of it in time.
-  void member(const Endpoint& endpoint, standins::Says state);
+  void member(const Endpoint& endpoint, fakes::AnnouncedState state);
   void purge(const std::string& item, int group);
   // The events up to now as a start of that router is handed them; told to it at once.
   std::string known(int router, int start, const std::vector<std::unique_ptr<Endpoint>>& endpoints);
@@ -36,7 +36,7 @@
     int kind;  // of its frame
     std::string payload;
     int server = -1;
-    standins::Says state = standins::Says::ready;
+    fakes::AnnouncedState state = fakes::AnnouncedState::ready;
     Seconds started = 0;
     std::string item;
     int group = 0;
@@ -71,7 +71,7 @@
   Outbox& outbox_;
   Oracle& oracle_;
   PurgeHistory& purges_;
-  standins::Ports& ports_;
+  fakes::Ports& ports_;
   std::mt19937 chance_;
   std::vector<Change> events_;  // number n is at n - 2: the first event is the whole list
   std::vector<std::unique_ptr<Watch>> watches_;
--- a/soak/endpoint.h
+++ b/soak/endpoint.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
+#include "fakes/servers.h"
 #include "soak/link.h"
 #include "soak/oracle.h"
 #include "soak/plan.h"
-#include "standins/world.h"
 
 namespace walkpaddle::soak {
 
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -196,7 +196,7 @@
   }
 
   Task strike_server(int n, Trouble t, Seconds until) {
-    using standins::Says;
+    using fakes::AnnouncedState;
     auto& s = *servers_[static_cast<std::size_t>(n)];
     const bool lifecycle =
         t.kind == Kind::server_crashes || t.kind == Kind::server_drains || t.kind == Kind::server_replaced;
@@ -210,24 +210,24 @@
     busy_until = until + kNoticed;
     Event wait(scheduler_);
     if (t.kind == Kind::server_drains) {
-      discovery_.member(s, Says::draining);
+      discovery_.member(s, AnnouncedState::draining);
       co_await wait.wait(until);
-      discovery_.member(s, Says::ready);
+      discovery_.member(s, AnnouncedState::ready);
       co_return;
     }
     if (t.kind == Kind::server_replaced) {
-      discovery_.member(s, Says::gone);
+      discovery_.member(s, AnnouncedState::gone);
       co_await wait.wait(until);
       s.crash();
     } else {
       s.crash();
       co_await wait.wait(std::min(until, scheduler_.now() + kNoticed));
-      if (scheduler_.now() < until) discovery_.member(s, Says::gone);
+      if (scheduler_.now() < until) discovery_.member(s, AnnouncedState::gone);
       co_await wait.wait(until);
     }
     s.start_cold();
     oracle_.server_started(n, s.started());
-    discovery_.member(s, Says::ready);
+    discovery_.member(s, AnnouncedState::ready);
   }
 
   static Call call_of(Kind kind) {
@@ -323,7 +323,7 @@
   const Plan plan_;
   const Programs programs_;
   const Rules rules_;
-  standins::Ports ports_;
+  fakes::Ports ports_;
   Scheduler scheduler_;
   Outbox outbox_;
   const Seconds began_, started_ = scheduler_.now() + 0.5;
--- a/tests/crossings.cpp
+++ b/tests/connection_races.cpp
@@ -13,16 +13,16 @@
 
 #include "base/text.h"
 #include "config/platform_config.h"
+#include "fakes/discovery_frames.h"
 #include "net/client_listener.h"
 #include "net/discovery_client.h"
 #include "net/resp_parser.h"
 #include "net/upstream_pool.h"
 #include "platform.h"
-#include "standins/bus.h"
 
 using namespace walkpaddle;
 using namespace walkpaddle::net;
-using namespace walkpaddle::standins;
+using namespace walkpaddle::fakes;
 
 // For what must come, in a story that is a task of `s`.
 #define UNTIL(what)                                                         \
@@ -702,7 +702,9 @@
 
 namespace {
 
-std::string member(int id, Says state) { return member_record(static_cast<unsigned>(id), 9, state, 1, 0); }
+std::string member(int id, AnnouncedState state) {
+  return endpoint_record(static_cast<unsigned>(id), 9, state, 1, 0);
+}
 
 // A list that follows what the story says as a bus.
 struct BusStand : Stand {
@@ -732,10 +734,11 @@
     int held = -1;
     UNTIL((held = s.hello(first)) >= 0);
     CHECK(held == 0);
-    const auto whole = frame_text(1, 1, member(1, Says::ready) + member(2, Says::ready));
-    const auto drain = frame_text(2, 2, member(1, Says::draining)),
-               back = frame_text(3, 2, member(1, Says::ready)),
-               gone = frame_text(4, 2, member(2, Says::gone));
+    const auto whole =
+        discovery_frame(1, 1, member(1, AnnouncedState::ready) + member(2, AnnouncedState::ready));
+    const auto drain = discovery_frame(2, 2, member(1, AnnouncedState::draining)),
+               back = discovery_frame(3, 2, member(1, AnnouncedState::ready)),
+               gone = discovery_frame(4, 2, member(2, AnnouncedState::gone));
     say(first, whole + drain.substr(0, 20));
     UNTIL(s.ready(1));
     first = Fd();
@@ -756,7 +759,9 @@
   BusStand s;
   const Ear full(0), old, passed, now;
   const Fd fills = dial(full.address);
-  const auto frames = [&](Says one) { return frame_text(1, 1, member(1, one) + member(2, Says::ready)); };
+  const auto frames = [&](AnnouncedState one) {
+    return discovery_frame(1, 1, member(1, one) + member(2, AnnouncedState::ready));
+  };
   // From a dial that does not come up, from a pause between dials, or from a bus that talks on.
   const int from = GENERATE(0, 1, 2);
   CAPTURE(from);
@@ -769,13 +774,13 @@
     co_await s.look.wait(s.scheduler.now() + 0.05);
     const Seconds told = s.scheduler.now();
     // The old one's word lies unread when the list is told to move, twice in a row.
-    if (talking) say(talking, frames(Says::draining));
+    if (talking) say(talking, frames(AnnouncedState::draining));
     s.list.follow(passed.address);
     s.list.follow(now.address);
     UNTIL(followed = now.accept());
     CHECK(s.scheduler.now() < told + 0.3);
     CHECK_FALSE(passed.called());
-    say(followed, frames(Says::ready));
+    say(followed, frames(AnnouncedState::ready));
     UNTIL(s.ready(2));
     CHECK(s.ready(1));
     if (talking)  // it talks on; nobody listens
--- a/tests/fleet_sockets.cpp
+++ b/tests/fleet_sockets.cpp
@@ -23,12 +23,12 @@
 
 #include "base/error.h"
 #include "base/text.h"
+#include "fakes/servers.h"
 #include "net/resp_parser.h"
 #include "platform.h"
-#include "standins/world.h"
 
 using namespace walkpaddle;
-using standins::Relay, standins::Server;
+using fakes::Relay, fakes::Server;
 
 namespace {
 
@@ -69,13 +69,13 @@
     std::filesystem::create_directory(folder_);
     for (int n = 0; n < kBoxes + 2; ++n)
       servers_.push_back(std::make_unique<Server>(scheduler_, outbox_, fmt::format("s-{:08x}", 0xc0 + n),
-                                                  n < kBoxes    ? Server::Kind::box
+                                                  n < kBoxes    ? Server::Kind::cache
                                                   : n == kBoxes ? Server::Kind::parent
                                                                 : Server::Kind::origin,
-                                                  Server::Habits{}));
+                                                  Server::Options{}));
     std::vector<Server*> all;
     for (auto& s : servers_) all.push_back(s.get());
-    for (auto& s : servers_) s->know(all);
+    for (auto& s : servers_) s->set_sources(all);
     for (int n = 0; n < kObjects; ++n) origin().change(object_name(n), tags_of(n));
     routers_.resize(kRouters);
     for (auto& r : routers_) r.port = ports_.take(), r.fleet_port = ports_.take();
@@ -329,7 +329,7 @@
       look();
       if (now >= next_fault) fault(), next_fault = now + 0.6 * roll();
       if (now >= next_purge) issue(), next_purge = now + 0.8 * roll();
-      servers_[0]->set_lies(now > began_ + length_ * 0.3 && now < began_ + length_ * 0.6);
+      servers_[0]->set_ignores_purges(now > began_ + length_ * 0.3 && now < began_ + length_ * 0.6);
       co_await wait.wait(now + 0.01);
     }
     // Healed: what is down returns, and the last purge must be held and confirmed by all.
@@ -457,7 +457,7 @@
   Scheduler scheduler_;
   Outbox outbox_;
   const char* program_ = nullptr;
-  standins::Ports ports_;
+  fakes::Ports ports_;
   std::string folder_;
   std::vector<std::unique_ptr<Server>> servers_;
   std::vector<Router> routers_;
--- a/tests/starts.cpp
+++ b/tests/process_lifecycle.cpp
@@ -20,9 +20,9 @@
 #include <vector>
 
 #include "base/text.h"
+#include "fakes/servers.h"
 #include "net/resp_parser.h"
 #include "platform.h"
-#include "standins/world.h"
 
 using namespace walkpaddle;
 
@@ -36,7 +36,7 @@
 
 // Its backlog takes the first callers, and nobody ever accepts them.
 struct Deaf {
-  Deaf() : fd(listen_on(Address{INADDR_LOOPBACK, 0})), port(standins::port_of(fd.get())) {}
+  Deaf() : fd(listen_on(Address{INADDR_LOOPBACK, 0})), port(fakes::local_port(fd.get())) {}
   Fd fd;
   int port;
 };
@@ -126,7 +126,7 @@
 TEST_CASE(
     "given discovery that is down and much that is known, when forty start at once, then all are ready") {
   const Deaf bus;
-  standins::Ports ports;
+  fakes::Ports ports;
   std::string members, events;
   for (int n = 0; n < 200; ++n)
     members += fmt::format("{}{}", n > 0 ? "," : "",
@@ -162,7 +162,7 @@
   CAPTURE(limit_ms);
   const Seconds kill_after = std::min(3.0, limit_ms / 1e3) + 0.7;
   const Deaf bus, cache;
-  standins::Ports ports;
+  fakes::Ports ports;
   const int port = ports.take();
   auto config = config_text("n0", port, bus.port,
                             member_text("s-00000001", cache.port, "edge", "cache") + "," +
@@ -198,7 +198,7 @@
 TEST_CASE(
     "given a start that reads its configuration, when it is told to reload, then it starts and reloads") {
   const Deaf before, after;
-  standins::Ports ports;
+  fakes::Ports ports;
   const int port = ports.take();
   Program p("word", "", port);
   const auto path = p.folder / "config.json";
@@ -222,7 +222,7 @@
   const bool goes = GENERATE(true, false);
   CAPTURE(goes);
   const Deaf bus;
-  standins::Ports ports;
+  fakes::Ports ports;
   int ends[2];
   const int port = ports.take();
   REQUIRE(::pipe2(ends, O_CLOEXEC) == 0);
--- a/tests/hunt.cpp
+++ b/tests/regressions.cpp
@@ -17,6 +17,8 @@
 #include <vector>
 
 #include "config/platform_config.h"
+#include "fakes/discovery_frames.h"
+#include "fakes/servers.h"
 #include "guard/guard.h"
 #include "net/discovery_client.h"
 #include "net/discovery_clock.h"
@@ -24,8 +26,6 @@
 #include "platform.h"
 #include "purge/purge_registry.h"
 #include "routing/endpoint_order.h"
-#include "standins/bus.h"
-#include "standins/world.h"
 #include "store/store.h"
 
 using namespace walkpaddle;
@@ -143,7 +143,7 @@
   const Fd ear = listen_on(Address{0x7f000001, 0});
   net::UpstreamPool caches(scheduler, outbox, log, {8, 1000, 5, 60, true});
   const int server = caches.endpoint_index("s-1");
-  caches.update_endpoint(server, {0x7f000001, static_cast<std::uint16_t>(standins::port_of(ear.get()))},
+  caches.update_endpoint(server, {0x7f000001, static_cast<std::uint16_t>(fakes::local_port(ear.get()))},
                          EndpointState::ready);
   const std::string body(kBody, 'x'), id = "00000000000000a0";
   std::vector<std::unique_ptr<net::Attempt>> attempts;
@@ -221,7 +221,7 @@
   Scheduler scheduler;
   Outbox outbox(scheduler, 64 << 20);
   const Fd ear = listen_on(Address{0x7f000001, 0});
-  const Address address{0x7f000001, static_cast<std::uint16_t>(standins::port_of(ear.get()))};
+  const Address address{0x7f000001, static_cast<std::uint16_t>(fakes::local_port(ear.get()))};
   const auto config = config::parse_platform_config(config_text("n0", 1, address.port, "", "{}"));
   purge::PurgeRegistry purges({}, scheduler.now());
   net::RequestDispatcher dispatcher(scheduler, 7, config.settings, purges);
@@ -229,8 +229,8 @@
   net::DiscoveryClient list(scheduler, outbox, log, dispatcher, caches);
   std::string records;
   for (int n = 0; n < kMembers; ++n)
-    records += standins::member_record(static_cast<std::uint64_t>(n), 9, standins::Says::ready, 1, 0);
-  const auto frame = standins::frame_text(1, 1, records);
+    records += fakes::endpoint_record(static_cast<std::uint64_t>(n), 9, fakes::AnnouncedState::ready, 1, 0);
+  const auto frame = fakes::discovery_frame(1, 1, records);
   int watches = 0;
   const auto story = [&]() -> Task {
     Event pause(scheduler);
@@ -264,7 +264,7 @@
   const Fd ear = listen_on(Address{0x7f000001, 0});
   net::UpstreamPool caches(scheduler, outbox, log, {8, 32, 5, 60, true});
   const int server = caches.endpoint_index("s-1");
-  caches.update_endpoint(server, {0x7f000001, static_cast<std::uint16_t>(standins::port_of(ear.get()))},
+  caches.update_endpoint(server, {0x7f000001, static_cast<std::uint16_t>(fakes::local_port(ear.get()))},
                          EndpointState::ready);
   const std::string id = "00000000000000a0";
   bool ended = false;
--- a/tests/replica_sockets.cpp
+++ b/tests/replica_sockets.cpp
@@ -25,7 +25,7 @@
 // Each check waits past the 2 s that a router may take to heed what it was told, then counts for 2 s.
 constexpr Seconds kHeed = 2.5, kCount = 2, kAtLast = 15;
 constexpr int kRouters = 8, kBoxes = 4;
-using Says = lab::Fleet::Says;
+using AnnouncedState = lab::Fleet::AnnouncedState;
 
 struct Play {
   Play(bool share, unsigned seed)
@@ -66,7 +66,7 @@
     // heard by r1 alone.
     fleet.links().faults({.lost = 0.1, .twice = 0.1, .delay = 0.03});
     for (int n = 2; n < kRouters; ++n) fleet.cut(0, n, 1e15);
-    fleet.says(0, 0, Says::draining);
+    fleet.says(0, 0, AnnouncedState::draining);
     co_await pause(kHeed);
     s.start(count(0));
     co_await done.wait();
@@ -98,8 +98,8 @@
     // Both sides of a cut, each told of another box; then one again.
     for (int a = 0; a < 4; ++a)
       for (int b = 4; b < kRouters; ++b) fleet.cut(a, b, 1e15);
-    fleet.says(3, 1, Says::draining);
-    fleet.says(5, 2, Says::draining);
+    fleet.says(3, 1, AnnouncedState::draining);
+    fleet.says(5, 2, AnnouncedState::draining);
     co_await pause(1);
     const auto line = [](int b) { return box(b) + ": draining according to the fleet"; };
     const bool apart = logged(2, line(1)) && logged(6, line(2)) && !logged(6, line(1)) && !logged(2, line(2));
@@ -111,8 +111,8 @@
       healed = healed && (n == 3 || logged(n, line(1))) && (n == 5 || logged(n, line(2)));
     say("two sides of a cut know their own, and both once it heals", apart && healed);
 
-    fleet.says(3, 1, Says::ready), fleet.says(5, 2, Says::ready);
-    fleet.says(4, 3, Says::ready, s.now());
+    fleet.says(3, 1, AnnouncedState::ready), fleet.says(5, 2, AnnouncedState::ready);
+    fleet.says(4, 3, AnnouncedState::ready, s.now());
     co_await pause(2);
     bool anew = true;
     for (int n = 0; n < kRouters; ++n)
@@ -145,7 +145,7 @@
     auto& s = fleet.scheduler();
     Event e(s);
     co_await e.wait(s.now() + 2);
-    fleet.says(0, 0, Says::draining);
+    fleet.says(0, 0, AnnouncedState::draining);
     co_await e.wait(s.now() + kHeed);
     s.start(count(0));
     co_await done.wait();
--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -23,14 +23,14 @@
 
 #include "base/text.h"
 #include "config/platform_config.h"
+#include "fakes/discovery_frames.h"
+#include "fakes/servers.h"
 #include "io/fd.h"
 #include "net/discovery_codec.h"
 #include "net/resp_parser.h"
 #include "platform.h"
 #include "purge/purge_index.h"
 #include "routing/policy.h"
-#include "standins/bus.h"
-#include "standins/world.h"
 
 // Last: it makes macros of "true" and "false".
 #include <ldns/ldns.h>
@@ -38,7 +38,7 @@
 #undef false
 
 using namespace walkpaddle;
-using namespace walkpaddle::standins;
+using namespace walkpaddle::fakes;
 
 namespace {
 
@@ -447,16 +447,17 @@
     } else if (w[1] == "drains") {
       auto& s = servers_[w[2]];
       const auto id = std::stoul(server_id(w[2]).substr(2), nullptr, 16);
-      frame(2, member_record(id, s.port, Says::draining, 1, 0));
+      frame(2, endpoint_record(id, s.port, AnnouncedState::draining, 1, 0));
     } else if (w[1] == "purges") {
       const auto now = std::chrono::system_clock::now().time_since_epoch() / std::chrono::milliseconds(1);
-      frame(3, big_end(std::stoull(w[2], nullptr, 16), 8) + big_end(static_cast<std::uint64_t>(now), 8));
+      frame(3,
+            big_endian(std::stoull(w[2], nullptr, 16), 8) + big_endian(static_cast<std::uint64_t>(now), 8));
     } else {
       send(bus_.conns[0], unescaped(w[2]));
     }
   }
   void frame(int kind, const std::string& payload) {
-    send(bus_.conns[0], frame_text(static_cast<std::uint64_t>(++event_), kind, payload));
+    send(bus_.conns[0], discovery_frame(static_cast<std::uint64_t>(++event_), kind, payload));
   }
 
   std::string listed(const std::string& name, const char* where, const char* kind) {
@@ -566,7 +567,7 @@
   }
 
   pid_t router_ = -1;
-  standins::Ports ports_;
+  fakes::Ports ports_;
   int port_ = 0, dns_port_ = 0, event_ = 1;
   bool with_file_ = false, log_kept_ = false;
   std::filesystem::path folder_;
