--- a/fakes/servers.h
+++ b/fakes/servers.h
@@ -1,6 +1,7 @@
-// Stand-ins for boxes, parents and the origin that speak the platform's protocol, with ages, tags and purges
-// told, and for the links between routers; with the failures that the tests need. Real sockets on loopback,
-// the project's own scheduler, one process for all. An answer's body is its version in digits.
+// Fake cache servers, parents and origins for tests, which speak the platform's protocol, report ages and
+// tags and support purges; and a relay for the links between routers. Both can fail on demand. They run on
+// loopback sockets and the project's scheduler, all in the process of the test. The body of an answer is the
+// version of the object in decimal.
 #pragma once
 
 #include <re2/re2.h>
@@ -18,49 +19,58 @@
 
 namespace walkpaddle::fakes {
 
+// The local port of a socket.
 int local_port(int fd);
 
-// Ports for processes to listen on, TCP and UDP, below the kernel's range for outgoing connections (32768
-// on), so that no connection of another takes one between two starts. They come in blocks; a test process
-// owns its blocks by listening on their first port for as long as it lives, so that two tests side by side
-// share none.
+// Assigns ports, free for TCP and UDP, on which processes can listen. They are below the kernel's range for
+// outgoing connections (from 32768), so that no outgoing connection of another process occupies one while a
+// process restarts. A test process reserves blocks of ports by listening on the first port of each for its
+// lifetime, so that tests that run at the same time share no port.
 class Ports {
  public:
   int take();
 
  private:
-  std::vector<Fd> claims_;
+  std::vector<Fd> block_sockets_;
   int next_ = 0, end_ = 0;
 };
 
+// One version of an object.
 struct Copy {
   int version = 0;
-  Seconds made = 0;
+  Seconds made_at = 0;  // when it was read from the origin
   std::vector<std::string> tags;
 };
 
+// A fake cache server, parent or origin.
 class Server {
  public:
   enum class Kind { cache, parent, origin };
   struct Options {
-    Seconds hit = 0.001, fill = 0.01;  // to answer; to fetch from a source, each way
-    bool lies = false;                 // confirms purges and answers from its copies all the same
-    bool takes_purges = true;
-    bool tells_tags = true;
+    Seconds hit = 0.001,
+            fill = 0.01;          // time before an answer or a fill; time to the source of a fill, each way
+    bool ignores_purges = false;  // confirms purges, but serves purged and expired copies
+    bool supports_purges = true;
+    bool reports_tags = true;
   };
   struct Counts {
-    int served = 0, hits = 0, fills = 0, joined = 0, read = 0, confirmed = 0, asked_cursor = 0;
+    int served = 0, hits = 0, fills = 0, joined = 0, origin_reads = 0, purges_confirmed = 0,
+        cursor_requests = 0;
   };
-  Server(Scheduler& scheduler, Outbox& outbox, std::string id, Kind kind, const Options& habits);
+  Server(Scheduler& scheduler, Outbox& outbox, std::string id, Kind kind, const Options& options);
 
   const std::string& id() const { return id_; }
   int port() const { return port_; }
+  // The servers that fills can come from, found by the id that a request names.
   void set_sources(const std::vector<Server*>& all) { all_ = all; }
-  void change(const std::string& object, std::vector<std::string> tags);  // at the origin: a new version
+  // Creates a new version of an object. Called on the origin.
+  void change(const std::string& object, std::vector<std::string> tags);
   int version(const std::string& object) const;
+  // Suspends reading and answering until a time on the scheduler's clock.
   void freeze(Seconds until) { frozen_until_ = until; }
-  void restart_cold();  // its connections end, its copies and what it knew of purges are gone
-  void set_ignores_purges(bool lies) { habits_.lies = lies; }
+  // Simulates a restart: connections end; purges and, except at the origin, copies are forgotten.
+  void restart_cold();
+  void set_ignores_purges(bool ignores) { options_.ignores_purges = ignores; }
   const Counts& counts() const { return counts_; }
 
  private:
@@ -68,57 +78,57 @@
     explicit Connection(Scheduler& s, Outbox& o, Fd fd) : stream(s, o, std::move(fd)) {}
     Stream stream;
   };
-  // What it was told to drop; it takes no older copy from a source either.
-  struct Drops {
+  // Copies made before these times are purged, whether cached here or received from a source.
+  struct PurgeBounds {
     std::map<std::string, Seconds> objects, tags;
     std::vector<std::pair<std::unique_ptr<RE2>, Seconds>> patterns;
     Seconds all = 0;
-    std::map<std::string, std::string> cursors;  // by router's run
+    std::map<std::string, std::string> cursors;  // last confirmed purge, by the router's run
   };
   Task accept_all();
   Task connection(Fd fd);
   Task serve(std::shared_ptr<Connection> c, std::string id, std::string fields);
-  void purges(Connection& c, const std::vector<std::string_view>& words);
-  bool dropped(const std::string& object, const Copy& copy) const;
-  bool good(const std::string& object, const Copy& copy, Seconds oldest) const;
-  const Copy* held(const std::string& object) const;
+  void handle_purges(Connection& c, const std::vector<std::string_view>& words);
+  bool is_purged(const std::string& object, const Copy& copy) const;
+  bool is_fresh(const std::string& object, const Copy& copy, Seconds max_age) const;
+  const Copy* find_copy(const std::string& object) const;
 
   Scheduler& scheduler_;
   Outbox& outbox_;
   const std::string id_;
   const Kind kind_;
-  Options habits_;
+  Options options_;
   Listener listener_;
   int port_ = 0;
   std::vector<Server*> all_;
   std::map<std::string, Copy> copies_;
-  std::map<std::string, std::shared_ptr<Copy>> filling_;  // by object; version 0 until it is there
-  Drops drops_;
+  std::map<std::string, std::shared_ptr<Copy>> fills_in_progress_;  // by object; version 0 until filled
+  PurgeBounds purge_bounds_;
   Seconds frozen_until_ = 0;
-  std::uint64_t starts_ = 0;
+  std::uint64_t incarnation_ = 0;
   std::set<std::shared_ptr<Connection>> open_;
   Counts counts_;
 };
 
-// Passes bytes on between a port of its own and another; can be cut, which ends what is open and refuses
-// more.
+// Relays TCP connections from a port of its own to another port.
 class Relay {
  public:
-  Relay(Scheduler& scheduler, Outbox& outbox, int to);
+  Relay(Scheduler& scheduler, Outbox& outbox, int target_port);
   int port() const { return port_; }
+  // Closes all connections and accepts none until a time on the scheduler's clock.
   void cut(Seconds until);
-  std::uint64_t passed() const { return passed_; }
+  std::uint64_t bytes_passed() const { return bytes_passed_; }
 
  private:
   Task accept_all();
-  Task pass(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to);
+  Task forward(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to);
 
   Scheduler& scheduler_;
   Outbox& outbox_;
   Listener listener_;
-  int port_ = 0, to_ = 0;
+  int port_ = 0, target_port_ = 0;
   Seconds cut_until_ = 0;
-  std::uint64_t passed_ = 0;
+  std::uint64_t bytes_passed_ = 0;
   std::set<std::shared_ptr<Stream>> open_;
 };
 
--- a/tests/fleet_sockets.cpp
+++ b/tests/fleet_sockets.cpp
@@ -113,7 +113,7 @@
       return 1e3 * spread_[static_cast<std::size_t>(share * double(spread_.size() - 1))];
     };
     std::uint64_t bytes = 0;
-    for (const auto& [pair, relay] : relays_) bytes += relay->passed();
+    for (const auto& [pair, relay] : relays_) bytes += relay->bytes_passed();
     std::printf(
         "%zu purges, issue to held by all three: median %.1f ms, 99th %.1f, worst %.1f; %.0f bytes between "
         "routers a second\n",
@@ -414,12 +414,12 @@
         for (const auto& s : servers_) count += s->counts().fills;
         return count;
       };
-      const int fills_before = fills(), read_before = origin().counts().read, answers = answers_,
+      const int fills_before = fills(), read_before = origin().counts().origin_reads, answers = answers_,
                 refused = refused_;
       co_await wait.wait(scheduler_.now() + kLong);
       std::printf("%s: %.0f answers a second, %d refused, %.1f fills and %.1f reads of the origin a second\n",
                   cut ? "every router alone" : "calm", (answers_ - answers) / kLong, refused_ - refused,
-                  (fills() - fills_before) / kLong, (origin().counts().read - read_before) / kLong);
+                  (fills() - fills_before) / kLong, (origin().counts().origin_reads - read_before) / kLong);
     }
     over_ = true;
     co_await wait.wait(scheduler_.now() + 0.1);
