--- a/tests/connection_races.cpp
+++ b/tests/connection_races.cpp
@@ -1,4 +1,5 @@
-// Two events that cross: each story forces the bad order over real connections, in one thread.
+// Races between two events on a connection. Each test forces the unfavourable order over loopback sockets, in
+// one thread.
 #define CATCH_CONFIG_MAIN
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -24,28 +25,31 @@
 using namespace walkpaddle::net;
 using namespace walkpaddle::fakes;
 
-// For what must come, in a story that is a task of `s`.
-#define UNTIL(what)                                                         \
-  for (const Seconds since = s.scheduler.now(); s.going(since) && !(what);) \
-  co_await s.look.wait(s.scheduler.now() + 0.01)
+// Waits until `what` holds, up to the limit of within_limit(). For scenarios that run as a task of `s`.
+#define WAIT_UNTIL(what)                                                           \
+  for (const Seconds since = s.scheduler.now(); s.within_limit(since) && !(what);) \
+  co_await s.timer.wait(s.scheduler.now() + 0.01)
 
 namespace {
 
 constexpr std::uint32_t kLoopback = 0x7f000001;
 
-struct Ear {  // what listens
-  explicit Ear(int backlog = 64, int room = 0) : fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
+// A listening socket that stands for an endpoint or for discovery.
+struct TestListener {
+  explicit TestListener(int backlog = 64, int receive_buffer = 0)
+      : fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
     sockaddr_in a{};
     a.sin_family = AF_INET, a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof a;
-    if (room > 0) ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
+    if (receive_buffer > 0)
+      ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
     REQUIRE(::bind(fd.get(), reinterpret_cast<sockaddr*>(&a), size) == 0);
     REQUIRE(::listen(fd.get(), backlog) == 0);
     ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&a), &size);
     address = {kLoopback, ntohs(a.sin_port)};
   }
   Fd accept() const { return Fd(::accept4(fd.get(), nullptr, nullptr, SOCK_NONBLOCK)); }
-  bool called() const {
+  bool has_pending() const {
     pollfd p{fd.get(), POLLIN, 0};
     return ::poll(&p, 1, 0) > 0;
   }
@@ -53,258 +57,273 @@
   Address address;
 };
 
-// All that has come; "|" at its end where the other side has closed.
-std::string taken(const Fd& fd) {
+// All bytes that have arrived, followed by "|" if the other side has closed the connection.
+std::string read_available(const Fd& fd) {
   std::string all;
-  char room[65536];
+  char receive_buffer[65536];
   for (;;) {
-    const auto got = ::recv(fd.get(), room, sizeof room, 0);
-    if (got > 0) all.append(room, static_cast<std::size_t>(got));
+    const auto got = ::recv(fd.get(), receive_buffer, sizeof receive_buffer, 0);
+    if (got > 0) all.append(receive_buffer, static_cast<std::size_t>(got));
     if (got == 0) return all += "|";
     if (got < 0) return all;
   }
 }
 
-void say(const Fd& fd, const std::string& bytes) {
+void send_all(const Fd& fd, const std::string& bytes) {
   REQUIRE(::send(fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
 }
 
-std::string id_of(int n) { return fmt::format("{:016x}", 0xa0 + n); }
+std::string request_id(int n) { return fmt::format("{:016x}", 0xa0 + n); }
 
-// What stands round a play: it runs as one task, whose end ends the scheduler.
-struct Stand {
-  Log log{"crossing"};
+// The scheduler of one test and what the router's parts need besides.
+struct TestLoop {
+  Log log{"races"};
   Scheduler scheduler;
   Outbox outbox{scheduler, 64 << 20};
-  Event look{scheduler};
+  Event timer{scheduler};
 
-  // A story is one task, which stops the scheduler at its end.
+  // Runs a scenario: one task, which stops the scheduler at its end.
   template <class F>
-  void play(F&& story) {
-    scheduler.start(story());
+  void run_scenario(F&& scenario) {
+    scheduler.start(scenario());
     scheduler.run();
     scheduler.drop_tasks();
   }
-  bool going(Seconds since) const { return scheduler.now() < since + 10; }  // for what must come
+  // Time limit of waits for events that must happen.
+  bool within_limit(Seconds since) const { return scheduler.now() < since + 10; }
 };
 
-struct CachesStand : Stand {
-  explicit CachesStand(std::size_t most = 64, int hops_a_connection = 32, Seconds dial_within = 5)
-      : caches(scheduler, outbox, log, {most, hops_a_connection, dial_within, 60, true}) {}
-  int member(const std::string& name, const Address& at, EndpointState state = EndpointState::ready) {
-    const int m = caches.endpoint_index(name);
-    caches.update_endpoint(m, at, state);
+struct UpstreamFixture : TestLoop {
+  explicit UpstreamFixture(std::size_t max_connections = 64, int attempts_per_connection = 32,
+                           Seconds dial_timeout = 5)
+      : upstream(scheduler, outbox, log, {max_connections, attempts_per_connection, dial_timeout, 60, true}) {
+  }
+  int update_endpoint(const std::string& name, const Address& at,
+                      EndpointState state = EndpointState::ready) {
+    const int m = upstream.endpoint_index(name);
+    upstream.update_endpoint(m, at, state);
     return m;
   }
-  std::unique_ptr<Attempt> hop(int m, int n, Seconds by = kNoTime, std::string_view body = {}) {
-    ids.push_back(id_of(n));
+  std::unique_ptr<Attempt> start_attempt(int m, int n, Seconds start_by = kNoTime,
+                                         std::string_view body = {}) {
+    ids.push_back(request_id(n));
     return std::make_unique<Attempt>(
-        scheduler, caches,
+        scheduler, upstream,
         Attempt::Spec{m, m, static_cast<std::uint64_t>(0xa0 + n), ids.back(), body,
-                      "cls=page,item=7f3a9c21e0b4d655,chunk=0", scheduler.now() + 30, by, true, true});
+                      "cls=page,item=7f3a9c21e0b4d655,chunk=0", scheduler.now() + 30, start_by, true, true});
   }
-  UpstreamPool caches;
+  UpstreamPool upstream;
   std::deque<std::string> ids;
 };
 
-// So many hops with large bodies that the last of them cannot have left: the peer reads nothing.
-struct Jam : CachesStand {
-  static constexpr int kHops = 300;
-  Jam() : CachesStand(64, 1000) {}
-  void fill() {
-    m = member("s-1", ear.address);
-    for (int n = 0; n < kHops; ++n) hops.push_back(hop(m, n, kNoTime, body));
+// A server that reads nothing, and so many attempts with large bodies for it that the last of them cannot
+// have been written to the socket.
+struct BackpressureFixture : UpstreamFixture {
+  static constexpr int kAttempts = 300;
+  BackpressureFixture() : UpstreamFixture(64, 1000) {}
+  void queue_attempts() {
+    m = update_endpoint("s-1", listener.address);
+    for (int n = 0; n < kAttempts; ++n) attempts.push_back(start_attempt(m, n, kNoTime, body));
   }
-  // What reaches the peer once it reads again, until a while after nothing more comes.
-  std::string reads() {
+  // Reads what the server is sent, until nothing more is available, for at most 0.05 s.
+  std::string read_remaining() {
     std::string all;
     const Seconds until = scheduler.now() + 0.05;
     while (scheduler.now() < until) {
-      const auto more = taken(peer);
+      const auto more = read_available(peer);
       if (more.empty()) break;
       all += more;
     }
     return all;
   }
-  static bool asked(const std::string& all, int n) {
-    return all.find("serve\r\n$16\r\n" + id_of(n)) != std::string::npos;
+  static bool was_sent(const std::string& all, int n) {
+    return all.find("serve\r\n$16\r\n" + request_id(n)) != std::string::npos;
   }
   const std::string body = std::string(48'000, 'x');
-  Ear ear{64, 4096};
+  TestListener listener{64, 4096};
   Fd peer;
   int m = -1;
-  std::vector<std::unique_ptr<Attempt>> hops;
+  std::vector<std::unique_ptr<Attempt>> attempts;
 };
 
-struct ClientsStand : Stand {
-  ClientsStand()
+struct ClientFixture : TestLoop {
+  ClientFixture()
       : clients(
-            scheduler, outbox, log, std::move(ear.fd), 8, {{.name = "page"}},
+            scheduler, outbox, log, std::move(listener.fd), 8, {{.name = "page"}},
             [this](std::shared_ptr<ClientConnection> c, Request o) { serve(std::move(c), std::move(o)); }) {}
   Fd connect(Fd fd = Fd(::socket(AF_INET, SOCK_STREAM, 0))) {
-    const int room = 4096;
-    ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
+    const int receive_buffer = 4096;
+    ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
     sockaddr_in a{};
-    a.sin_family = AF_INET, a.sin_addr.s_addr = htonl(INADDR_LOOPBACK), a.sin_port = htons(ear.address.port);
+    a.sin_family = AF_INET, a.sin_addr.s_addr = htonl(INADDR_LOOPBACK),
+    a.sin_port = htons(listener.address.port);
     REQUIRE(::connect(fd.get(), reinterpret_cast<sockaddr*>(&a), sizeof a) == 0);
     ::fcntl(fd.get(), F_SETFL, O_NONBLOCK);
     return fd;
   }
-  static std::string exec(int n) {
+  static std::string exec_command(int n) {
     return resp_array_text({"EXEC", std::to_string(n), "page",
-                            "txn=" + id_of(n) + ",limit=9000,item=7f3a9c21e0b4d655,seg=0,bucket=1"});
+                            "txn=" + request_id(n) + ",limit=9000,item=7f3a9c21e0b4d655,seg=0,bucket=1"});
   }
   std::function<void(std::shared_ptr<ClientConnection>, Request)> serve = [this](auto, auto) { ++served; };
   int served = 0;
-  Ear ear;
+  TestListener listener;
   net::ClientListener clients;
 };
 
 }  // namespace
 
-TEST_CASE("given a peer that reads nothing, when a hop's client leaves, then the hop is never sent") {
-  Jam s;
-  s.play([&]() -> Task {
-    s.fill();
-    UNTIL(s.peer = s.ear.accept());
-    co_await s.look.wait(s.scheduler.now() + 0.2);
-    s.hops.back()->abandon();
-    CHECK(s.hops.back()->result().outcome == AttemptOutcome::not_sent);
+TEST_CASE("given a server that reads nothing, when a client leaves, then its queued attempt is never sent") {
+  BackpressureFixture s;
+  s.run_scenario([&]() -> Task {
+    s.queue_attempts();
+    WAIT_UNTIL(s.peer = s.listener.accept());
+    co_await s.timer.wait(s.scheduler.now() + 0.2);
+    s.attempts.back()->abandon();
+    CHECK(s.attempts.back()->result().outcome == AttemptOutcome::not_sent);
     std::string all;
-    for (const Seconds since = s.scheduler.now(); s.going(since) && !s.asked(all, s.kHops - 2);) {
-      all += s.reads();
-      co_await s.look.wait(s.scheduler.now() + 0.01);
+    for (const Seconds since = s.scheduler.now();
+         s.within_limit(since) && !s.was_sent(all, s.kAttempts - 2);) {
+      all += s.read_remaining();
+      co_await s.timer.wait(s.scheduler.now() + 0.01);
     }
-    co_await s.look.wait(s.scheduler.now() + 0.1);
-    all += s.reads();
-    CHECK(s.asked(all, s.kHops - 2));  // those round it are whole
-    CHECK_FALSE(s.asked(all, s.kHops - 1));
+    co_await s.timer.wait(s.scheduler.now() + 0.1);
+    all += s.read_remaining();
+    CHECK(s.was_sent(all, s.kAttempts - 2));  // the attempts before it are sent
+    CHECK_FALSE(s.was_sent(all, s.kAttempts - 1));
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given a peer that reads nothing, when it drains, then what has not left for it never does") {
-  Jam s;
-  s.play([&]() -> Task {
-    s.fill();
-    UNTIL(s.peer = s.ear.accept());
-    co_await s.look.wait(s.scheduler.now() + 0.2);
-    s.member("s-1", s.ear.address, EndpointState::draining);
+TEST_CASE(
+    "given a server that reads nothing, when it drains, then exactly the unsent attempts end as not sent") {
+  BackpressureFixture s;
+  s.run_scenario([&]() -> Task {
+    s.queue_attempts();
+    WAIT_UNTIL(s.peer = s.listener.accept());
+    co_await s.timer.wait(s.scheduler.now() + 0.2);
+    s.update_endpoint("s-1", s.listener.address, EndpointState::draining);
     int unsent = 0;
-    for (const auto& h : s.hops) unsent += h->ended() && h->result().outcome == AttemptOutcome::not_sent;
+    for (const auto& h : s.attempts) unsent += h->ended() && h->result().outcome == AttemptOutcome::not_sent;
     CHECK(unsent > 0);
     std::string all;
     for (const Seconds since = s.scheduler.now(); s.scheduler.now() < since + 1;) {
-      all += s.reads();
-      co_await s.look.wait(s.scheduler.now() + 0.01);
+      all += s.read_remaining();
+      co_await s.timer.wait(s.scheduler.now() + 0.01);
     }
-    for (int n = 0; n < s.kHops; ++n) {
-      auto& h = *s.hops[static_cast<std::size_t>(n)];
-      if (s.asked(all, n) == (h.ended() && h.result().outcome == AttemptOutcome::not_sent)) FAIL("hop " << n);
+    for (int n = 0; n < s.kAttempts; ++n) {
+      auto& h = *s.attempts[static_cast<std::size_t>(n)];
+      if (s.was_sent(all, n) == (h.ended() && h.result().outcome == AttemptOutcome::not_sent))
+        FAIL("attempt " << n);
     }
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given a connection that comes up late, when a hop's time to begin is over, then it is not sent") {
-  CachesStand s;
-  const Ear full(0);
-  s.play([&]() -> Task {
-    // A queue of none that one connection fills: the next comes up once that is accepted, and asks again.
-    const Fd first = dial(full.address);
-    co_await s.look.wait(s.scheduler.now() + 0.1);
-    const int m = s.member("s-1", full.address);
-    const Seconds by = s.scheduler.now() + 0.3;
-    const auto hop = s.hop(m, 1, by);
-    while (!hop->ended() && s.scheduler.now() < by + 0.2) {
-      const bool told = co_await hop->wait();
-      if (!told) hop->on_timer();
+TEST_CASE(
+    "given a connection that is established late, when an attempt's start time has passed, then it is not "
+    "sent") {
+  UpstreamFixture s;
+  const TestListener full_listener(0);
+  s.run_scenario([&]() -> Task {
+    // `first` fills the listen queue. The next connection is established once `first` has been accepted and
+    // its SYN is sent again.
+    const Fd first = dial(full_listener.address);
+    co_await s.timer.wait(s.scheduler.now() + 0.1);
+    const int m = s.update_endpoint("s-1", full_listener.address);
+    const Seconds start_by = s.scheduler.now() + 0.3;
+    const auto attempt = s.start_attempt(m, 1, start_by);
+    while (!attempt->ended() && s.scheduler.now() < start_by + 0.2) {
+      const bool changed = co_await attempt->wait();
+      if (!changed) attempt->on_timer();
     }
-    CHECK(hop->ended());
-    CHECK(hop->result().outcome == AttemptOutcome::not_sent);
+    CHECK(attempt->ended());
+    CHECK(attempt->result().outcome == AttemptOutcome::not_sent);
     std::string all;
     std::vector<Fd> accepted;
     for (const Seconds since = s.scheduler.now(); s.scheduler.now() < since + 2;) {
-      if (Fd fd = full.accept()) accepted.push_back(std::move(fd));
-      for (const auto& fd : accepted) all += taken(fd);
-      co_await s.look.wait(s.scheduler.now() + 0.01);
+      if (Fd fd = full_listener.accept()) accepted.push_back(std::move(fd));
+      for (const auto& fd : accepted) all += read_available(fd);
+      co_await s.timer.wait(s.scheduler.now() + 0.01);
     }
-    CHECK(accepted.size() == 2);  // it did come up
-    CHECK(all.find(id_of(1)) == std::string::npos);
+    CHECK(accepted.size() == 2);  // the connection was established
+    CHECK(all.find(request_id(1)) == std::string::npos);
     s.scheduler.stop();
   });
 }
 
 TEST_CASE(
-    "given an answer that comes twice, when its txn has a further hop, then the copy is not that hop's") {
-  CachesStand s;
-  const Ear ear;
-  s.play([&]() -> Task {
-    const int m = s.member("s-1", ear.address);
-    auto hop = s.hop(m, 1);
+    "given an answer that is sent twice, when its request is retried, then the copy does not answer the "
+    "retry") {
+  UpstreamFixture s;
+  const TestListener listener;
+  s.run_scenario([&]() -> Task {
+    const int m = s.update_endpoint("s-1", listener.address);
+    auto attempt = s.start_attempt(m, 1);
     Fd first, second;
-    UNTIL(first = ear.accept());
-    const auto overload = resp_array_text({id_of(1), "overload", "-", ""});
-    std::string asked;
-    UNTIL(!(asked = taken(first)).empty());
-    say(first, overload);
-    UNTIL(hop->ended());
-    CHECK(hop->result().outcome == AttemptOutcome::rejected);
-    hop = s.hop(m, 1);
-    co_await s.look.wait(s.scheduler.now() + 0.05);
-    say(first, overload);
-    co_await s.look.wait(s.scheduler.now() + 0.1);
-    CHECK_FALSE(hop->ended());
-    UNTIL(second = ear.accept());
+    WAIT_UNTIL(first = listener.accept());
+    const auto overload = resp_array_text({request_id(1), "overload", "-", ""});
+    std::string received;
+    WAIT_UNTIL(!(received = read_available(first)).empty());
+    send_all(first, overload);
+    WAIT_UNTIL(attempt->ended());
+    CHECK(attempt->result().outcome == AttemptOutcome::rejected);
+    attempt = s.start_attempt(m, 1);
+    co_await s.timer.wait(s.scheduler.now() + 0.05);
+    send_all(first, overload);
+    co_await s.timer.wait(s.scheduler.now() + 0.1);
+    CHECK_FALSE(attempt->ended());
+    WAIT_UNTIL(second = listener.accept());
     CHECK(second);
     if (!second) co_return s.scheduler.stop();
-    say(second, resp_array_text({id_of(1), "served", "etag=1", "one"}));
-    UNTIL(hop->ended());
-    CHECK(hop->result().outcome == AttemptOutcome::served);
+    send_all(second, resp_array_text({request_id(1), "served", "etag=1", "one"}));
+    WAIT_UNTIL(attempt->ended());
+    CHECK(attempt->result().outcome == AttemptOutcome::served);
     s.scheduler.stop();
   });
 }
 
 TEST_CASE(
-    "given an answer and a close in one, when another hop waits for room, then it is no sign of a death") {
-  CachesStand s(1, 1);
-  const Ear ear;
-  s.play([&]() -> Task {
-    const int m = s.member("s-1", ear.address);
-    const auto hop = s.hop(m, 1), next = s.hop(m, 2);
+    "given an answer and a close at once, when another attempt is queued, then that attempt does not fail") {
+  UpstreamFixture s(1, 1);
+  const TestListener listener;
+  s.run_scenario([&]() -> Task {
+    const int m = s.update_endpoint("s-1", listener.address);
+    const auto attempt = s.start_attempt(m, 1), next = s.start_attempt(m, 2);
     Fd first, second;
-    UNTIL(first = ear.accept());
-    std::string asked;
-    UNTIL(!(asked = taken(first)).empty());
-    say(first, resp_array_text({id_of(1), "served", "etag=1", "one"}));
+    WAIT_UNTIL(first = listener.accept());
+    std::string received;
+    WAIT_UNTIL(!(received = read_available(first)).empty());
+    send_all(first, resp_array_text({request_id(1), "served", "etag=1", "one"}));
     first = Fd();
-    UNTIL(second = ear.accept());
-    CHECK(hop->result().outcome == AttemptOutcome::served);
+    WAIT_UNTIL(second = listener.accept());
+    CHECK(attempt->result().outcome == AttemptOutcome::served);
     CHECK_FALSE(next->ended());
     CHECK(second);
     if (!second) co_return s.scheduler.stop();
-    asked.clear();
-    UNTIL(!(asked = taken(second)).empty());
-    CHECK(asked.find(id_of(2)) != std::string::npos);
+    received.clear();
+    WAIT_UNTIL(!(received = read_available(second)).empty());
+    CHECK(received.find(request_id(2)) != std::string::npos);
     s.scheduler.stop();
   });
 }
 
 TEST_CASE(
-    "given a resting connection that its peer has closed, when a hop follows, then it is not written there") {
-  CachesStand s;
-  const Ear ear;
-  s.play([&]() -> Task {
-    const int m = s.member("s-1", ear.address);
-    const auto hop = s.hop(m, 1);
+    "given an idle connection that the server has closed, when an attempt starts, then it is not written to "
+    "it") {
+  UpstreamFixture s;
+  const TestListener listener;
+  s.run_scenario([&]() -> Task {
+    const int m = s.update_endpoint("s-1", listener.address);
+    const auto attempt = s.start_attempt(m, 1);
     Fd first, second;
-    UNTIL(first = ear.accept());
-    say(first, resp_array_text({id_of(1), "served", "etag=1", "one"}));
-    UNTIL(hop->ended());
-    taken(first);  // else the close would be a reset
+    WAIT_UNTIL(first = listener.accept());
+    send_all(first, resp_array_text({request_id(1), "served", "etag=1", "one"}));
+    WAIT_UNTIL(attempt->ended());
+    read_available(first);  // unread bytes would turn the close into a reset
     first = Fd();
-    const auto next = s.hop(m, 2);  // in the same turn: no word of the close has been read
-    UNTIL(second = ear.accept());
+    const auto next = s.start_attempt(m, 2);  // in the same turn: the close has not been read yet
+    WAIT_UNTIL(second = listener.accept());
     CHECK_FALSE(next->ended());
     CHECK(second);
     s.scheduler.stop();
@@ -312,154 +331,160 @@
 }
 
 TEST_CASE(
-    "given a resting connection with half a line and its end unread, when a hop follows, then it is not "
-    "written there") {
-  CachesStand s;
-  const Ear ear;
-  s.play([&]() -> Task {
-    const int m = s.member("s-1", ear.address);
-    const auto hop = s.hop(m, 1);
+    "given an idle connection with half a line and its end unread, when an attempt starts, then it is not "
+    "written to it") {
+  UpstreamFixture s;
+  const TestListener listener;
+  s.run_scenario([&]() -> Task {
+    const int m = s.update_endpoint("s-1", listener.address);
+    const auto attempt = s.start_attempt(m, 1);
     Fd first, second;
-    UNTIL(first = ear.accept());
-    say(first, resp_array_text({id_of(1), "served", "etag=1", "one"}));
-    UNTIL(hop->ended());
-    taken(first);
-    say(first, "*4\r\n$16");
+    WAIT_UNTIL(first = listener.accept());
+    send_all(first, resp_array_text({request_id(1), "served", "etag=1", "one"}));
+    WAIT_UNTIL(attempt->ended());
+    read_available(first);
+    send_all(first, "*4\r\n$16");
     first = Fd();
-    const auto next = s.hop(m, 2);  // in the same turn
-    UNTIL(next->ended() || (second = ear.accept()));
+    const auto next = s.start_attempt(m, 2);  // in the same turn
+    WAIT_UNTIL(next->ended() || (second = listener.accept()));
     CHECK_FALSE(next->ended());
     CHECK(second);
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given an answer that trickles, then its connection ends") {
-  CachesStand s;
-  const Ear ear;
-  s.play([&]() -> Task {
-    const auto hop = s.hop(s.member("s-1", ear.address), 1);
+TEST_CASE("given an answer that arrives a byte at a time, then its connection is closed") {
+  UpstreamFixture s;
+  const TestListener listener;
+  s.run_scenario([&]() -> Task {
+    const auto attempt = s.start_attempt(s.update_endpoint("s-1", listener.address), 1);
     Fd peer;
-    UNTIL(peer = ear.accept());
-    say(peer, "*4\r\n$16\r\n" + id_of(1) + "\r\n$6\r\nserved\r\n$6\r\netag=1\r\n$90000\r\n");
-    for (int n = 0; n < 60 && !hop->ended(); ++n) {  // a byte each 50 ms, for three seconds
+    WAIT_UNTIL(peer = listener.accept());
+    send_all(peer, "*4\r\n$16\r\n" + request_id(1) + "\r\n$6\r\nserved\r\n$6\r\netag=1\r\n$90000\r\n");
+    for (int n = 0; n < 60 && !attempt->ended(); ++n) {  // a byte every 50 ms, for 3 s
       if (::send(peer.get(), "x", 1, MSG_NOSIGNAL) < 0) break;
-      co_await s.look.wait(s.scheduler.now() + 0.05);
+      co_await s.timer.wait(s.scheduler.now() + 0.05);
     }
-    CHECK(hop->ended());
-    CHECK(hop->result().outcome == AttemptOutcome::connection_broken);
+    CHECK(attempt->ended());
+    CHECK(attempt->result().outcome == AttemptOutcome::connection_broken);
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given an answer whose age cannot be read, then its hop ends with its connection") {
-  CachesStand s;
-  const Ear ear;
-  s.play([&]() -> Task {
-    const auto hop = s.hop(s.member("s-1", ear.address), 1);
+TEST_CASE("given an answer with a malformed age, then its attempt ends") {
+  UpstreamFixture s;
+  const TestListener listener;
+  s.run_scenario([&]() -> Task {
+    const auto attempt = s.start_attempt(s.update_endpoint("s-1", listener.address), 1);
     Fd peer;
-    UNTIL(peer = ear.accept());
-    co_await s.look.wait(s.scheduler.now() + 0.05);
-    say(peer, resp_array_text({id_of(1), "served", "age=x", "one"}));
-    for (const Seconds since = s.scheduler.now(); s.scheduler.now() < since + 2 && !hop->ended();)
-      co_await s.look.wait(s.scheduler.now() + 0.01);
-    CHECK(hop->ended());
+    WAIT_UNTIL(peer = listener.accept());
+    co_await s.timer.wait(s.scheduler.now() + 0.05);
+    send_all(peer, resp_array_text({request_id(1), "served", "age=x", "one"}));
+    for (const Seconds since = s.scheduler.now(); s.scheduler.now() < since + 2 && !attempt->ended();)
+      co_await s.timer.wait(s.scheduler.now() + 0.01);
+    CHECK(attempt->ended());
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given all connections in use, when more is asked, then no descriptor of others is taken") {
-  CachesStand s(2);
-  const Ear ears[3];
-  s.play([&]() -> Task {
-    std::vector<std::unique_ptr<Attempt>> hops;
-    for (int n = 0; n < 3; ++n) hops.push_back(s.hop(s.member("s-" + std::to_string(n), ears[n].address), n));
-    UNTIL(ears[0].called() && ears[1].called());
-    co_await s.look.wait(s.scheduler.now() + 0.2);
-    CHECK_FALSE(ears[2].called());
-    hops[0]->abandon();  // its connection is idle now, and makes room
-    UNTIL(ears[2].called());
-    CHECK(ears[2].called());
+TEST_CASE(
+    "given the connection limit reached, when another attempt starts, then it dials only after one is idle") {
+  UpstreamFixture s(2);
+  const TestListener listeners[3];
+  s.run_scenario([&]() -> Task {
+    std::vector<std::unique_ptr<Attempt>> attempts;
+    for (int n = 0; n < 3; ++n)
+      attempts.push_back(
+          s.start_attempt(s.update_endpoint("s-" + std::to_string(n), listeners[n].address), n));
+    WAIT_UNTIL(listeners[0].has_pending() && listeners[1].has_pending());
+    co_await s.timer.wait(s.scheduler.now() + 0.2);
+    CHECK_FALSE(listeners[2].has_pending());
+    attempts[0]->abandon();  // its connection is idle now and can be closed for another
+    WAIT_UNTIL(listeners[2].has_pending());
+    CHECK(listeners[2].has_pending());
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given a dial under way, when its member moves, then its hops go where it is now") {
-  CachesStand s;
-  const Ear full(0), now;
-  s.play([&]() -> Task {
-    const Fd first = dial(full.address);
-    co_await s.look.wait(s.scheduler.now() + 0.1);
-    const auto hop = s.hop(s.member("s-1", full.address), 1);
-    co_await s.look.wait(s.scheduler.now() + 0.05);
-    s.member("s-1", now.address);
-    const Fd accepted = full.accept();
-    for (const Seconds since = s.scheduler.now(); s.scheduler.now() < since + 4 && !now.called();)
-      co_await s.look.wait(s.scheduler.now() + 0.01);
-    CHECK(now.called());
+TEST_CASE("given a dial in progress, when its endpoint moves, then its attempts go to the new address") {
+  UpstreamFixture s;
+  const TestListener full_listener(0), new_listener;
+  s.run_scenario([&]() -> Task {
+    const Fd first = dial(full_listener.address);
+    co_await s.timer.wait(s.scheduler.now() + 0.1);
+    const auto attempt = s.start_attempt(s.update_endpoint("s-1", full_listener.address), 1);
+    co_await s.timer.wait(s.scheduler.now() + 0.05);
+    s.update_endpoint("s-1", new_listener.address);
+    const Fd accepted = full_listener.accept();
+    for (const Seconds since = s.scheduler.now();
+         s.scheduler.now() < since + 4 && !new_listener.has_pending();)
+      co_await s.timer.wait(s.scheduler.now() + 0.01);
+    CHECK(new_listener.has_pending());
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given all descriptors taken when the bus breaks, then the list is followed all the same") {
-  Stand s;
-  const Ear bus;
-  const auto config = config::parse_platform_config(config_text("n0", 1, bus.address.port, "", "{}"));
+TEST_CASE("given no free descriptor, when the connection to discovery breaks, then it is dialled again") {
+  TestLoop s;
+  const TestListener server;
+  const auto config = config::parse_platform_config(config_text("n0", 1, server.address.port, "", "{}"));
   purge::PurgeRegistry purges({}, s.scheduler.now());
   RequestDispatcher dispatcher(s.scheduler, 7, config.settings, purges);
-  UpstreamPool caches(s.scheduler, s.outbox, s.log, {8, 32, 1, 60, true});
-  DiscoveryClient list(s.scheduler, s.outbox, s.log, dispatcher, caches);
+  UpstreamPool upstream(s.scheduler, s.outbox, s.log, {8, 32, 1, 60, true});
+  DiscoveryClient discovery(s.scheduler, s.outbox, s.log, dispatcher, upstream);
   rlimit before{};
   ::getrlimit(RLIMIT_NOFILE, &before);
-  s.play([&]() -> Task {
-    list.follow(bus.address);
+  s.run_scenario([&]() -> Task {
+    discovery.follow(server.address);
     Fd stream;
-    UNTIL(stream = bus.accept());
+    WAIT_UNTIL(stream = server.accept());
     const rlimit tight{64, before.rlim_max};
     ::setrlimit(RLIMIT_NOFILE, &tight);
     std::vector<Fd> idle;
-    const auto take_all = [&] {
+    const auto occupy_all = [&] {
       while (Fd fd{::open("/dev/null", O_RDONLY)}) idle.push_back(std::move(fd));
     };
-    take_all();
+    occupy_all();
     ::shutdown(stream.get(), SHUT_RDWR);
-    // As soon as its end is free somebody takes it: this task runs in each turn.
-    for (const Seconds since = s.scheduler.now(); s.scheduler.now() < since + 2 && !bus.called();) {
-      co_await s.look.wait(s.scheduler.now());
-      take_all();
+    // This task runs in every turn and occupies each descriptor as soon as it is free.
+    for (const Seconds since = s.scheduler.now(); s.scheduler.now() < since + 2 && !server.has_pending();) {
+      co_await s.timer.wait(s.scheduler.now());
+      occupy_all();
     }
-    CHECK(bus.called());
+    CHECK(server.has_pending());
     s.scheduler.stop();
   });
   ::setrlimit(RLIMIT_NOFILE, &before);
 }
 
-TEST_CASE("given an idle client, when its request crosses the end of its answers, then it is not sent on") {
-  ClientsStand s;
-  s.play([&]() -> Task {
+TEST_CASE(
+    "given an idle client, when its request crosses the half-close of its connection, then it is not "
+    "served") {
+  ClientFixture s;
+  s.run_scenario([&]() -> Task {
     const Fd c = s.connect();
-    say(c, resp_array_text({"ALIVE", "1", ""}));
+    send_all(c, resp_array_text({"ALIVE", "1", ""}));
     std::string got;
-    UNTIL(!(got = taken(c)).empty());
+    WAIT_UNTIL(!(got = read_available(c)).empty());
     s.clients.close_idle();
-    UNTIL((got += taken(c)).ends_with("|"));
-    say(c, s.exec(2));
-    co_await s.look.wait(s.scheduler.now() + 0.2);
+    WAIT_UNTIL((got += read_available(c)).ends_with("|"));
+    send_all(c, s.exec_command(2));
+    co_await s.timer.wait(s.scheduler.now() + 0.2);
     CHECK(s.served == 0);
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given a program that ends, when a request comes before the close, then it is turned away") {
-  ClientsStand s;
-  s.play([&]() -> Task {
+TEST_CASE("given a shutdown, when a request arrives before the connection is closed, then it is rejected") {
+  ClientFixture s;
+  s.run_scenario([&]() -> Task {
     const Fd c = s.connect();
-    say(c, s.exec(1));
-    UNTIL(s.served > 0);
+    send_all(c, s.exec_command(1));
+    WAIT_UNTIL(s.served > 0);
     s.clients.abort_open();
-    say(c, s.exec(2));
+    send_all(c, s.exec_command(2));
     std::string got;
-    UNTIL(!(got = taken(c)).empty());
+    WAIT_UNTIL(!(got = read_available(c)).empty());
     CHECK(got == resp_array_text({"2", "REJECT"}));
     CHECK(s.served == 1);
     s.scheduler.stop();
@@ -467,107 +492,109 @@
 }
 
 TEST_CASE(
-    "given a client that has not read its answers, when it gives up what it asked, then that is heard") {
-  ClientsStand s;
+    "given a client that does not read its answers, when it cancels a later request, then that is not "
+    "served") {
+  ClientFixture s;
   const std::string large(240'000, 'x');
-  s.serve = [&](std::shared_ptr<ClientConnection> client, Request order) {
+  s.serve = [&](std::shared_ptr<ClientConnection> client, Request request) {
     ++s.served;
-    client->answer(order.tag, "RESULT", "etag=1", large);
+    client->answer(request.tag, "RESULT", "etag=1", large);
   };
-  s.play([&]() -> Task {
+  s.run_scenario([&]() -> Task {
     const Fd c = s.connect();
     std::string all;
-    for (int n = 1; n <= 8; ++n) all += s.exec(n);
-    say(c, all);
-    co_await s.look.wait(s.scheduler.now() + 0.3);
-    say(c, s.exec(9) + resp_array_text({"FORGET", "9", ""}));
-    co_await s.look.wait(s.scheduler.now() + 0.3);
+    for (int n = 1; n <= 8; ++n) all += s.exec_command(n);
+    send_all(c, all);
+    co_await s.timer.wait(s.scheduler.now() + 0.3);
+    send_all(c, s.exec_command(9) + resp_array_text({"FORGET", "9", ""}));
+    co_await s.timer.wait(s.scheduler.now() + 0.3);
     std::size_t got = 0;
-    for (const Seconds since = s.scheduler.now(); s.going(since) && got < 8 * large.size();) {
-      got += taken(c).size();
-      co_await s.look.wait(s.scheduler.now() + 0.01);
+    for (const Seconds since = s.scheduler.now(); s.within_limit(since) && got < 8 * large.size();) {
+      got += read_available(c).size();
+      co_await s.timer.wait(s.scheduler.now() + 0.01);
     }
-    co_await s.look.wait(s.scheduler.now() + 0.2);
+    co_await s.timer.wait(s.scheduler.now() + 0.2);
     CHECK(s.served == 8);
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given a client that sends at full speed, then others have their turns") {
-  ClientsStand s;
-  s.play([&]() -> Task {
+TEST_CASE("given a client that sends at full speed, then other tasks have their turns") {
+  ClientFixture s;
+  s.run_scenario([&]() -> Task {
     const Fd c = s.connect();
     ::fcntl(c.get(), F_SETFL, 0);
     std::atomic<bool> over = false;
     std::string flood;
     for (int n = 1; n <= 2000; ++n) flood += resp_array_text({"FORGET", std::to_string(n), ""});
-    std::thread sends([&] {
+    std::thread sender([&] {
       while (!over && ::send(c.get(), flood.data(), flood.size(), MSG_NOSIGNAL) > 0) {
       }
     });
     int turns = 0;
-    std::thread ends([&] {  // a task that never gives the turn back ends with the flood
+    std::thread stopper([&] {  // ends the flood, so that a task that never yields fails the test
       std::this_thread::sleep_for(std::chrono::seconds(2));
       over = true;
       ::shutdown(c.get(), SHUT_RDWR);
     });
     while (!over && turns < 20) {
-      co_await s.look.wait(s.scheduler.now() + 0.01);
+      co_await s.timer.wait(s.scheduler.now() + 0.01);
       ++turns;
     }
     CHECK(turns == 20);
-    ends.join();
-    sends.join();
+    stopper.join();
+    sender.join();
     s.scheduler.stop();
   });
 }
 
 TEST_CASE(
-    "given a hop that waits for its connection, when a whole list leaves its member out, then it is not "
-    "sent") {
-  CachesStand s;
-  const Ear full(0);
+    "given an attempt that waits for a dial, when a whole list lacks its endpoint, then it is not sent") {
+  UpstreamFixture s;
+  const TestListener full_listener(0);
   const auto config = config::parse_platform_config(config_text("n0", 1, 1, "", "{}"));
   purge::PurgeRegistry purges({}, s.scheduler.now());
   RequestDispatcher dispatcher(s.scheduler, 7, config.settings, purges);
-  DiscoveryClient list(s.scheduler, s.outbox, s.log, dispatcher, s.caches);
-  s.play([&]() -> Task {
-    const Fd first = dial(full.address);
-    co_await s.look.wait(s.scheduler.now() + 0.1);
-    list.begin_endpoint_list(true);
-    list.update_endpoint("s-1", full.address, 1, 0, 0, EndpointState::ready, 1, 0);
-    list.end_endpoint_list();
-    const auto hop = s.hop(s.caches.endpoint_index("s-1"), 1);
-    list.begin_endpoint_list(true);
-    list.end_endpoint_list();
-    CHECK(hop->ended());
-    CHECK(hop->result().outcome == AttemptOutcome::not_sent);
+  DiscoveryClient discovery(s.scheduler, s.outbox, s.log, dispatcher, s.upstream);
+  s.run_scenario([&]() -> Task {
+    const Fd first = dial(full_listener.address);
+    co_await s.timer.wait(s.scheduler.now() + 0.1);
+    discovery.begin_endpoint_list(true);
+    discovery.update_endpoint("s-1", full_listener.address, 1, 0, 0, EndpointState::ready, 1, 0);
+    discovery.end_endpoint_list();
+    const auto attempt = s.start_attempt(s.upstream.endpoint_index("s-1"), 1);
+    discovery.begin_endpoint_list(true);
+    discovery.end_endpoint_list();
+    CHECK(attempt->ended());
+    CHECK(attempt->result().outcome == AttemptOutcome::not_sent);
     s.scheduler.stop();
   });
 }
 
 TEST_CASE(
-    "given a client whose answer is on its way, when it made room and writes on, then its answer comes "
-    "whole") {
-  ClientsStand s;
+    "given a client with an unread answer, when it is evicted and sends more, then it still gets the whole "
+    "answer") {
+  ClientFixture s;
   const std::string large(200'000, 'x');
-  s.serve = [&](std::shared_ptr<ClientConnection> client, Request order) {
+  s.serve = [&](std::shared_ptr<ClientConnection> client, Request request) {
     ++s.served;
-    client->answer(order.tag, "RESULT", "etag=1", large);
+    client->answer(request.tag, "RESULT", "etag=1", large);
   };
-  s.play([&]() -> Task {
+  s.run_scenario([&]() -> Task {
     const Fd c = s.connect();
-    say(c, s.exec(1));
-    UNTIL(s.served > 0);
-    co_await s.look.wait(s.scheduler.now() + 0.3);  // the kernel has the answer, the client reads nothing
+    send_all(c, s.exec_command(1));
+    WAIT_UNTIL(s.served > 0);
+    co_await s.timer.wait(s.scheduler.now() +
+                          0.3);  // the answer is in the kernel's buffers; the client reads nothing
     std::vector<Fd> others;
     for (int n = 0; n < 8; ++n) others.push_back(s.connect());
-    co_await s.look.wait(s.scheduler.now() + 0.02);  // its answers have ended for the last of them
-    say(c, s.exec(2));                               // crosses that
+    co_await s.timer.wait(s.scheduler.now() +
+                          0.02);     // the last of them evicts `c`: its connection is half-closed
+    send_all(c, s.exec_command(2));  // crosses the half-close
     std::string got;
-    for (const Seconds since = s.scheduler.now(); s.going(since) && !got.ends_with("|");) {
-      co_await s.look.wait(s.scheduler.now() + 0.01);
-      const auto more = taken(c);
+    for (const Seconds since = s.scheduler.now(); s.within_limit(since) && !got.ends_with("|");) {
+      co_await s.timer.wait(s.scheduler.now() + 0.01);
+      const auto more = read_available(c);
       got += more;
       if (more.empty() && got.size() > large.size()) break;
     }
@@ -577,25 +604,24 @@
   });
 }
 
-TEST_CASE(
-    "given a client whose request lies unread, when another has to make room, then it is not this one") {
-  ClientsStand s;
-  s.serve = [&](std::shared_ptr<ClientConnection> client, Request order) {
+TEST_CASE("given a client with an unread request, when a client has to be evicted, then it is another one") {
+  ClientFixture s;
+  s.serve = [&](std::shared_ptr<ClientConnection> client, Request request) {
     ++s.served;
-    client->answer(order.tag, "RESULT", "etag=1", "one");
+    client->answer(request.tag, "RESULT", "etag=1", "one");
   };
-  s.play([&]() -> Task {
+  s.run_scenario([&]() -> Task {
     const Fd c = s.connect();
-    say(c, s.exec(1));
-    UNTIL(s.served > 0);
-    co_await s.look.wait(s.scheduler.now() + 0.3);
+    send_all(c, s.exec_command(1));
+    WAIT_UNTIL(s.served > 0);
+    co_await s.timer.wait(s.scheduler.now() + 0.3);
     std::vector<Fd> others;
     for (int n = 0; n < 8; ++n) others.push_back(s.connect());
-    say(c, s.exec(2));  // before the router has seen any of the others
+    send_all(c, s.exec_command(2));  // before the listener has accepted any of the others
     std::string got;
     const auto both =
         resp_array_text({"1", "RESULT", "etag=1", "one"}) + resp_array_text({"2", "RESULT", "etag=1", "one"});
-    UNTIL((got += taken(c)).size() >= both.size());
+    WAIT_UNTIL((got += read_available(c)).size() >= both.size());
     CHECK(got == both);
     CHECK(s.served == 2);
     s.scheduler.stop();
@@ -604,21 +630,21 @@
 
 namespace {
 
-// Clients whose txns stay open until the story answers them.
-struct OpenStand : ClientsStand {
-  OpenStand() {
-    serve = [this](std::shared_ptr<ClientConnection> client, Request order) {
+// Holds a request open until the scenario answers it.
+struct OpenRequestFixture : ClientFixture {
+  OpenRequestFixture() {
+    serve = [this](std::shared_ptr<ClientConnection> client, Request request) {
       ++served;
-      tag = order.tag;
-      handle.emplace(dispatcher, 0, 1, order.object_text, 0, 0, scheduler.now() + 9);
+      tag = request.tag;
+      handle.emplace(dispatcher, 0, 1, request.object_text, 0, 0, scheduler.now() + 9);
       client->add_request(tag, *handle);
-      asked = std::move(client);
+      client_connection = std::move(client);
     };
   }
   void answer() {
-    asked->answer(tag, "RESULT", "etag=1", "one");
-    asked->remove_request(tag);
-    asked.reset(), handle.reset();
+    client_connection->answer(tag, "RESULT", "etag=1", "one");
+    client_connection->remove_request(tag);
+    client_connection.reset(), handle.reset();
   }
   const std::string answered = resp_array_text({"1", "RESULT", "etag=1", "one"});
   config::PlatformConfig config = config::parse_platform_config(config_text("n0", 1, 1, "", "{}"));
@@ -626,73 +652,76 @@
   RequestDispatcher dispatcher{scheduler, 7, config.settings, purges};
   std::string tag;
   std::optional<RequestHandle> handle;
-  std::shared_ptr<ClientConnection> asked;
+  std::shared_ptr<ClientConnection> client_connection;
 };
 
 }  // namespace
 
 TEST_CASE(
-    "given a client that sent nonsense behind a request, then that request is answered before the end") {
-  OpenStand s;
-  s.play([&]() -> Task {
+    "given malformed input after a request, then the request is answered before the connection is closed") {
+  OpenRequestFixture s;
+  s.run_scenario([&]() -> Task {
     const Fd c = s.connect();
-    say(c, s.exec(1) + "GET / HTTP/1.1\r\n\r\n" + s.exec(2));
-    UNTIL(s.asked);
-    co_await s.look.wait(s.scheduler.now() + 0.2);
+    send_all(c, s.exec_command(1) + "GET / HTTP/1.1\r\n\r\n" + s.exec_command(2));
+    WAIT_UNTIL(s.client_connection);
+    co_await s.timer.wait(s.scheduler.now() + 0.2);
     CHECK_FALSE(s.handle->has_client_left());
     s.answer();
     std::string got;
-    UNTIL((got += taken(c)).ends_with("|"));
+    WAIT_UNTIL((got += read_available(c)).ends_with("|"));
     CHECK(got == s.answered + "|");
     CHECK(s.served == 1);
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given a client that asked too much, when it gives up what was taken, then that is heard") {
-  OpenStand s;
-  s.play([&]() -> Task {
+TEST_CASE(
+    "given a client that reused a tag, when it cancels the accepted request, then the request is cancelled") {
+  OpenRequestFixture s;
+  s.run_scenario([&]() -> Task {
     const Fd c = s.connect();
-    say(c, s.exec(1) + s.exec(1));  // one tag twice: its connection comes to its end
-    UNTIL(s.asked);
-    co_await s.look.wait(s.scheduler.now() + 0.1);
-    say(c, resp_array_text({"FORGET", "1", ""}));
-    UNTIL(s.handle->has_client_left());
+    send_all(c, s.exec_command(1) +
+                    s.exec_command(1));  // a tag in use is a protocol error: the connection is ending
+    WAIT_UNTIL(s.client_connection);
+    co_await s.timer.wait(s.scheduler.now() + 0.1);
+    send_all(c, resp_array_text({"FORGET", "1", ""}));
+    WAIT_UNTIL(s.handle->has_client_left());
     CHECK(s.handle->has_client_left());
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given a client that writes slowly, when it has a txn open, then that is answered") {
-  OpenStand s;
-  s.play([&]() -> Task {
+TEST_CASE("given a client that writes slowly, when it has an open request, then that request is answered") {
+  OpenRequestFixture s;
+  s.run_scenario([&]() -> Task {
     const Fd c = s.connect();
-    const auto next = s.exec(2);
-    say(c, s.exec(1) + next.substr(0, 20));
-    co_await s.look.wait(s.scheduler.now() + 2.4);  // past the time for a whole message
+    const auto next = s.exec_command(2);
+    send_all(c, s.exec_command(1) + next.substr(0, 20));
+    co_await s.timer.wait(s.scheduler.now() + 2.4);  // longer than the time limit for a whole message
     CHECK_FALSE(s.handle->has_client_left());
     s.answer();
-    say(c, next.substr(20));
+    send_all(c, next.substr(20));
     std::string got;
-    for (const Seconds since = s.scheduler.now(); s.going(since) && (got.empty() || s.served < 2);
-         got += taken(c))
-      co_await s.look.wait(s.scheduler.now() + 0.01);
+    for (const Seconds since = s.scheduler.now(); s.within_limit(since) && (got.empty() || s.served < 2);
+         got += read_available(c))
+      co_await s.timer.wait(s.scheduler.now() + 0.01);
     CHECK(got == s.answered);
     CHECK(s.served == 2);
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given a client that sends nonsense without end, then its connection ends within a bound") {
-  ClientsStand s;
-  s.play([&]() -> Task {
+TEST_CASE(
+    "given a client that sends malformed input endlessly, then its connection is closed in bounded time") {
+  ClientFixture s;
+  s.run_scenario([&]() -> Task {
     const Fd c = s.connect();
-    const std::string nonsense(4096, 'x');
+    const std::string malformed(4096, 'x');
     bool refused = false;
     const Seconds since = s.scheduler.now();
-    while (s.going(since) && !refused) {
-      refused = ::send(c.get(), nonsense.data(), nonsense.size(), MSG_NOSIGNAL) < 0 && errno != EAGAIN;
-      co_await s.look.wait(s.scheduler.now() + 0.005);
+    while (s.within_limit(since) && !refused) {
+      refused = ::send(c.get(), malformed.data(), malformed.size(), MSG_NOSIGNAL) < 0 && errno != EAGAIN;
+      co_await s.timer.wait(s.scheduler.now() + 0.005);
     }
     CHECK(refused);
     CHECK(s.clients.count() == 0);
@@ -702,114 +731,118 @@
 
 namespace {
 
-std::string member(int id, AnnouncedState state) {
+std::string endpoint(int id, AnnouncedState state) {
   return endpoint_record(static_cast<unsigned>(id), 9, state, 1, 0);
 }
 
-// A list that follows what the story says as a bus.
-struct BusStand : Stand {
-  bool ready(int id) { return caches.is_ready(caches.endpoint_index(fmt::format("s-{:08x}", id))); }
-  // The number in the hello of a connection; -1 while it has not come.
-  static int hello(const Fd& fd) {
-    const auto got = taken(fd);
+// A discovery client; the scenario plays the server.
+struct DiscoveryFixture : TestLoop {
+  bool ready(int id) { return upstream.is_ready(upstream.endpoint_index(fmt::format("s-{:08x}", id))); }
+  // The event number in the first message of a connection, -1 before it arrives.
+  static int hello_number(const Fd& fd) {
+    const auto got = read_available(fd);
     return got.size() < 8 ? -1 : got[7];
   }
 
   config::PlatformConfig config = config::parse_platform_config(config_text("n0", 1, 1, "", "{}"));
   purge::PurgeRegistry purges{{}, scheduler.now()};
   RequestDispatcher dispatcher{scheduler, 7, config.settings, purges};
-  UpstreamPool caches{scheduler, outbox, log, {8, 32, 1, 60, true}};
-  DiscoveryClient list{scheduler, outbox, log, dispatcher, caches};
+  UpstreamPool upstream{scheduler, outbox, log, {8, 32, 1, 60, true}};
+  DiscoveryClient discovery{scheduler, outbox, log, dispatcher, upstream};
 };
 
 }  // namespace
 
-TEST_CASE("given a bus that breaks inside a frame, then what it told is taken once, in its order") {
-  BusStand s;
-  const Ear bus;
-  s.play([&]() -> Task {
-    s.list.follow(bus.address);
+TEST_CASE("given a connection that breaks inside a frame, then each event is applied once and in order") {
+  DiscoveryFixture s;
+  const TestListener server;
+  s.run_scenario([&]() -> Task {
+    s.discovery.follow(server.address);
     Fd first, second;
-    UNTIL(first = bus.accept());
-    int held = -1;
-    UNTIL((held = s.hello(first)) >= 0);
-    CHECK(held == 0);
+    WAIT_UNTIL(first = server.accept());
+    int last_event = -1;
+    WAIT_UNTIL((last_event = s.hello_number(first)) >= 0);
+    CHECK(last_event == 0);
     const auto whole =
-        discovery_frame(1, 1, member(1, AnnouncedState::ready) + member(2, AnnouncedState::ready));
-    const auto drain = discovery_frame(2, 2, member(1, AnnouncedState::draining)),
-               back = discovery_frame(3, 2, member(1, AnnouncedState::ready)),
-               gone = discovery_frame(4, 2, member(2, AnnouncedState::gone));
-    say(first, whole + drain.substr(0, 20));
-    UNTIL(s.ready(1));
+        discovery_frame(1, 1, endpoint(1, AnnouncedState::ready) + endpoint(2, AnnouncedState::ready));
+    const auto drain = discovery_frame(2, 2, endpoint(1, AnnouncedState::draining)),
+               back = discovery_frame(3, 2, endpoint(1, AnnouncedState::ready)),
+               gone = discovery_frame(4, 2, endpoint(2, AnnouncedState::gone));
+    send_all(first, whole + drain.substr(0, 20));
+    WAIT_UNTIL(s.ready(1));
     first = Fd();
-    UNTIL(second = bus.accept());
-    UNTIL((held = s.hello(second)) >= 0);
-    CHECK(held == 1);
-    CHECK(s.ready(1));  // half a frame tells nothing
-    // Those of before once more, behind what followed them too.
-    say(second, whole + drain + back + drain + whole + gone + drain);
-    UNTIL(!s.ready(2));
+    WAIT_UNTIL(second = server.accept());
+    WAIT_UNTIL((last_event = s.hello_number(second)) >= 0);
+    CHECK(last_event == 1);
+    CHECK(s.ready(1));  // half a frame has no effect
+    // Frames are repeated, also after the frames that follow them.
+    send_all(second, whole + drain + back + drain + whole + gone + drain);
+    WAIT_UNTIL(!s.ready(2));
     CHECK(s.ready(1));
     CHECK_FALSE(s.ready(2));
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given a list that is told to move, then only the last bus that it was sent to is heeded") {
-  BusStand s;
-  const Ear full(0), old, passed, now;
-  const Fd fills = dial(full.address);
+TEST_CASE("given a discovery client that is moved twice, then it follows only the last address") {
+  DiscoveryFixture s;
+  const TestListener full_listener(0), previous, skipped, latest;
+  const Fd occupant = dial(full_listener.address);
   const auto frames = [&](AnnouncedState one) {
-    return discovery_frame(1, 1, member(1, one) + member(2, AnnouncedState::ready));
+    return discovery_frame(1, 1, endpoint(1, one) + endpoint(2, AnnouncedState::ready));
   };
-  // From a dial that does not come up, from a pause between dials, or from a bus that talks on.
+  // It moves during a dial that is never established, during a pause between dials, or from a server that
+  // keeps sending.
   const int from = GENERATE(0, 1, 2);
   CAPTURE(from);
-  s.play([&]() -> Task {
-    co_await s.look.wait(s.scheduler.now() + 0.1);
-    Fd talking, followed;
-    s.list.follow(from == 0 ? full.address : from == 1 ? Address{kLoopback, 1} : old.address);
-    if (from == 1) co_await s.look.wait(s.scheduler.now() + 0.9);  // its pauses have grown by then
-    if (from == 2) UNTIL(talking = old.accept());
-    co_await s.look.wait(s.scheduler.now() + 0.05);
-    const Seconds told = s.scheduler.now();
-    // The old one's word lies unread when the list is told to move, twice in a row.
-    if (talking) say(talking, frames(AnnouncedState::draining));
-    s.list.follow(passed.address);
-    s.list.follow(now.address);
-    UNTIL(followed = now.accept());
-    CHECK(s.scheduler.now() < told + 0.3);
-    CHECK_FALSE(passed.called());
-    say(followed, frames(AnnouncedState::ready));
-    UNTIL(s.ready(2));
+  s.run_scenario([&]() -> Task {
+    co_await s.timer.wait(s.scheduler.now() + 0.1);
+    Fd previous_connection, new_connection;
+    s.discovery.follow(from == 0   ? full_listener.address
+                       : from == 1 ? Address{kLoopback, 1}
+                                   : previous.address);
+    if (from == 1)
+      co_await s.timer.wait(s.scheduler.now() + 0.9);  // the pauses between dials have grown by then
+    if (from == 2) WAIT_UNTIL(previous_connection = previous.accept());
+    co_await s.timer.wait(s.scheduler.now() + 0.05);
+    const Seconds moved_at = s.scheduler.now();
+    // A frame from the previous server is unread while the client is moved twice in a row.
+    if (previous_connection) send_all(previous_connection, frames(AnnouncedState::draining));
+    s.discovery.follow(skipped.address);
+    s.discovery.follow(latest.address);
+    WAIT_UNTIL(new_connection = latest.accept());
+    CHECK(s.scheduler.now() < moved_at + 0.3);
+    CHECK_FALSE(skipped.has_pending());
+    send_all(new_connection, frames(AnnouncedState::ready));
+    WAIT_UNTIL(s.ready(2));
     CHECK(s.ready(1));
-    if (talking)  // it talks on; nobody listens
-      for (int n = 0; n < 20 && ::send(talking.get(), "x", 1, MSG_NOSIGNAL) > 0; ++n)
-        co_await s.look.wait(s.scheduler.now() + 0.01);
+    if (previous_connection)  // the previous server keeps sending, and the client ignores it
+      for (int n = 0; n < 20 && ::send(previous_connection.get(), "x", 1, MSG_NOSIGNAL) > 0; ++n)
+        co_await s.timer.wait(s.scheduler.now() + 0.01);
     CHECK(s.ready(1));
     s.scheduler.stop();
   });
 }
 
-TEST_CASE("given no descriptor for who comes, then an idle client makes room for it") {
-  ClientsStand s;
+TEST_CASE("given no free descriptor for a new client, then an idle client is evicted") {
+  ClientFixture s;
   rlimit before{};
   ::getrlimit(RLIMIT_NOFILE, &before);
-  s.play([&]() -> Task {
+  s.run_scenario([&]() -> Task {
     const Fd idle = s.connect();
-    say(idle, resp_array_text({"ALIVE", "1", ""}));
+    send_all(idle, resp_array_text({"ALIVE", "1", ""}));
     std::string got;
-    UNTIL(!(got = taken(idle)).empty());
-    Fd comes(::socket(AF_INET, SOCK_STREAM, 0));
+    WAIT_UNTIL(!(got = read_available(idle)).empty());
+    Fd newcomer(::socket(AF_INET, SOCK_STREAM, 0));
     const rlimit tight{64, before.rlim_max};
     ::setrlimit(RLIMIT_NOFILE, &tight);
     std::vector<Fd> all;
     while (Fd fd{::open("/dev/null", O_RDONLY)}) all.push_back(std::move(fd));
-    comes = s.connect(std::move(comes));
-    say(comes, resp_array_text({"ALIVE", "2", ""}));
-    UNTIL(!(got = taken(comes)).empty());
+    newcomer = s.connect(std::move(newcomer));
+    send_all(newcomer, resp_array_text({"ALIVE", "2", ""}));
+    WAIT_UNTIL(!(got = read_available(newcomer)).empty());
     CHECK(got == resp_array_text({"2", "UNREADY"}));
-    CHECK(taken(idle) == "|");
+    CHECK(read_available(idle) == "|");
     s.scheduler.stop();
   });
   ::setrlimit(RLIMIT_NOFILE, &before);
