--- a/tests/process_lifecycle.cpp
+++ b/tests/process_lifecycle.cpp
@@ -1,4 +1,4 @@
-// Starts and planned ends of the program as processes; WALKPADDLE names the program.
+// Starts, reloads and graceful shutdowns of the program as a process. WALKPADDLE is the path of the program.
 #define CATCH_CONFIG_MAIN
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -28,23 +28,25 @@
 
 namespace {
 
-constexpr Seconds kBusy = 1;  // beyond the platform's times: what a busy machine may take to run a process
+// Added to the platform's time limits: the delay with which a busy machine may run a process.
+constexpr Seconds kProcessDelay = 1;
 
 Seconds now() {
   return std::chrono::duration<Seconds>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// Its backlog takes the first callers, and nobody ever accepts them.
-struct Deaf {
-  Deaf() : fd(listen_on(Address{INADDR_LOOPBACK, 0})), port(fakes::local_port(fd.get())) {}
+// A listener whose connections are established by the kernel, but never accepted.
+struct SilentListener {
+  SilentListener() : fd(listen_on(Address{INADDR_LOOPBACK, 0})), port(fakes::local_port(fd.get())) {}
   Fd fd;
   int port;
 };
 
 struct Program {
-  // Without a configuration its file is a pipe, in which the start waits.
-  // log: where its lines go, a file if none is given.
-  Program(const std::string& name, const std::string& config, int listens, int log = -1) : port(listens) {
+  // If `config` is empty, the configuration file is a named pipe, and the program waits for it to be written.
+  // `log`: a descriptor for standard error; by default that goes to a file.
+  Program(const std::string& name, const std::string& config, int listen_port, int log = -1)
+      : port(listen_port) {
     folder = std::filesystem::temp_directory_path() / fmt::format("walkpaddle-{}-{}", name, ::getpid());
     std::filesystem::create_directory(folder);
     if (config.empty())
@@ -68,8 +70,8 @@
     if (pid > 0) ::kill(pid, SIGKILL), ::waitpid(pid, nullptr, 0);
     std::filesystem::remove_all(folder);
   }
-  // Connected, or nothing while nobody listens.
-  Fd call() const {
+  // A new connection to the program, empty while it does not listen.
+  Fd connect_client() const {
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in a{};
     a.sin_family = AF_INET, a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -78,29 +80,30 @@
     return fd;
   }
   bool ready() const {
-    const Fd fd = call();
-    return fd &&
-           said(fd, net::resp_array_text({"ALIVE", "1", ""}), 1).find("\r\nREADY\r\n") != std::string::npos;
+    const Fd fd = connect_client();
+    return fd && read_answers(fd, net::resp_array_text({"ALIVE", "1", ""}), 1).find("\r\nREADY\r\n") !=
+                     std::string::npos;
   }
-  // All that comes for a message until its end, or that many answers.
-  static std::string said(const Fd& fd, const std::string& message, int answers, Seconds most = 10) {
+  // Sends a message and reads until `answers` answers are complete, the connection ends or `timeout` passes.
+  static std::string read_answers(const Fd& fd, const std::string& message, int answers,
+                                  Seconds timeout = 10) {
     std::string all;
     if (!message.empty() && ::send(fd.get(), message.data(), message.size(), MSG_NOSIGNAL) < 0) return all;
     net::RespArray words;
-    for (const Seconds until = now() + most; now() < until;) {
-      int whole = 0;
-      for (std::string_view rest = all;; ++whole) {
+    for (const Seconds until = now() + timeout; now() < until;) {
+      int complete = 0;
+      for (std::string_view rest = all;; ++complete) {
         net::read_resp_array(rest, 8, 1 << 20, words);
         if (words.used == 0) break;
         rest.remove_prefix(words.used);
       }
-      if (whole >= answers) break;
+      if (complete >= answers) break;
       pollfd p{fd.get(), POLLIN, 0};
       if (::poll(&p, 1, 50) <= 0) continue;
-      char room[4096];
-      const auto got = ::recv(fd.get(), room, sizeof room, 0);
+      char buffer[4096];
+      const auto got = ::recv(fd.get(), buffer, sizeof buffer, 0);
       if (got <= 0) break;
-      all.append(room, static_cast<std::size_t>(got));
+      all.append(buffer, static_cast<std::size_t>(got));
     }
     return all;
   }
@@ -109,13 +112,13 @@
   pid_t pid = -1;
 };
 
-std::string exec(int n) {
+std::string exec_command(int n) {
   return net::resp_array_text(
       {"EXEC", std::to_string(n), "page",
        fmt::format("txn={:016x},limit=60000,item=7f3a9c21e0b4d655,seg=0,bucket=17", n)});
 }
 
-void put(std::string& text, const std::string& from, const std::string& to) {
+void replace_text(std::string& text, const std::string& from, const std::string& to) {
   const auto at = text.find(from);
   REQUIRE(at != std::string::npos);
   text.replace(at, from.size(), to);
@@ -124,8 +127,9 @@
 }  // namespace
 
 TEST_CASE(
-    "given discovery that is down and much that is known, when forty start at once, then all are ready") {
-  const Deaf bus;
+    "given a large configuration and no discovery, when forty routers start at once, then they become "
+    "ready") {
+  const SilentListener bus;
   fakes::Ports ports;
   std::string members, events;
   for (int n = 0; n < 200; ++n)
@@ -143,8 +147,8 @@
     const int port = ports.take();
     auto config =
         config_text(fmt::format("n{}", n), port, bus.port, members, R"({"sockets":512,"memory_mb":48})");
-    put(config, R"(]}}]})", R"(]}})" + events + "]}");
-    put(config, R"("known":{"offset":1)", R"("known":{"offset":2001)");
+    replace_text(config, R"(]}}]})", R"(]}})" + events + "]}");
+    replace_text(config, R"("known":{"offset":1)", R"("known":{"offset":2001)");
     programs.push_back(std::make_unique<Program>(fmt::format("start{}", n), config, port));
   }
   int ready = 0;
@@ -152,16 +156,17 @@
     while (!p->ready() && now() < started + 30) ::usleep(10'000);
     ready += now() < started + 10;
   }
-  CHECK(ready >= 36);  // nine in ten
+  CHECK(ready >= 36);  // nine in ten are ready within 10 s
 }
 
 TEST_CASE(
-    "given a site's longest time limit, when the program is told to end, then all is answered before the "
-    "kill") {
+    "given a deadline of the site, when the program is terminated, then all requests are answered before it "
+    "would "
+    "be killed") {
   const int limit_ms = GENERATE(400, 2000, 20000);
   CAPTURE(limit_ms);
   const Seconds kill_after = std::min(3.0, limit_ms / 1e3) + 0.7;
-  const Deaf bus, cache;
+  const SilentListener bus, cache;
   fakes::Ports ports;
   const int port = ports.take();
   auto config = config_text("n0", port, bus.port,
@@ -169,43 +174,45 @@
                                 member_text("s-00000002", cache.port, "hub", "parent") + "," +
                                 member_text("s-00000003", cache.port, "hub", "origin"),
                             R"({"sockets":128,"memory_mb":32})");
-  put(config, R"("deadline":2000)", fmt::format(R"("deadline":{})", limit_ms));
-  put(config, R"("deadline":4000)", fmt::format(R"("deadline":{})", limit_ms));
+  replace_text(config, R"("deadline":2000)", fmt::format(R"("deadline":{})", limit_ms));
+  replace_text(config, R"("deadline":4000)", fmt::format(R"("deadline":{})", limit_ms));
   Program p("end", config, port);
   for (const Seconds since = now(); !p.ready() && now() < since + 30;) ::usleep(10'000);
-  const Fd old = p.call(), fresh = p.call();
-  REQUIRE(::send(old.get(), exec(1).data(), exec(1).size(), MSG_NOSIGNAL) > 0);
-  pollfd asked{cache.fd.get(), POLLIN, 0};
-  REQUIRE(::poll(&asked, 1, 10'000) > 0);  // its hop is on its way, and nobody will answer it
-  const Seconds told = now();
+  const Fd old = p.connect_client(), idle = p.connect_client();
+  REQUIRE(::send(old.get(), exec_command(1).data(), exec_command(1).size(), MSG_NOSIGNAL) > 0);
+  pollfd pending{cache.fd.get(), POLLIN, 0};
+  REQUIRE(::poll(&pending, 1, 10'000) > 0);  // its attempt was dialled, and no endpoint will answer it
+  const Seconds stopped_at = now();
   REQUIRE(::kill(p.pid, SIGTERM) == 0);
-  // As the front does: new connections for 0.4 s more, requests on them 0.2 s after that.
+  // Clients open connections for 0.4 s more, and send requests on them for 0.2 s after that.
   ::usleep(400'000);
-  const Fd late = p.call();
-  REQUIRE(late);
+  const Fd new_client = p.connect_client();
+  REQUIRE(new_client);
   ::usleep(150'000);
-  REQUIRE(::send(late.get(), exec(2).data(), exec(2).size(), MSG_NOSIGNAL) > 0);
-  const auto first = p.said(old, "", 1), second = p.said(late, "", 1);
+  REQUIRE(::send(new_client.get(), exec_command(2).data(), exec_command(2).size(), MSG_NOSIGNAL) > 0);
+  const auto first = p.read_answers(old, "", 1), second = p.read_answers(new_client, "", 1);
   CHECK(first.find("$1\r\n1\r\n") != std::string::npos);
   CHECK(second.find("$1\r\n2\r\n") != std::string::npos);
-  CHECK(now() < told + kill_after + kBusy);
+  CHECK(now() < stopped_at + kill_after + kProcessDelay);
   int status = -1;
-  while (::waitpid(p.pid, &status, WNOHANG) == 0 && now() < told + kill_after + kBusy) ::usleep(5'000);
+  while (::waitpid(p.pid, &status, WNOHANG) == 0 && now() < stopped_at + kill_after + kProcessDelay)
+    ::usleep(5'000);
   CHECK((WIFEXITED(status) && WEXITSTATUS(status) == 0));
   if (WIFEXITED(status)) p.pid = -1;
 }
 
 TEST_CASE(
-    "given a start that reads its configuration, when it is told to reload, then it starts and reloads") {
-  const Deaf before, after;
+    "given a program that is reading its configuration, when it is told to reload, then it starts and "
+    "reloads") {
+  const SilentListener before, after;
   fakes::Ports ports;
   const int port = ports.take();
-  Program p("word", "", port);
+  Program p("reload", "", port);
   const auto path = p.folder / "config.json";
-  Fd pipe(::open(path.c_str(), O_WRONLY | O_CLOEXEC));  // until the program reads
+  Fd pipe(::open(path.c_str(), O_WRONLY | O_CLOEXEC));  // blocks until the program opens it
   REQUIRE(pipe);
   REQUIRE(::kill(p.pid, SIGHUP) == 0);
-  // What stands in the file from now on names another bus.
+  // The file that replaces the pipe names another address of discovery.
   std::ofstream(p.folder / "new") << config_text("n0", port, after.port, "",
                                                  R"({"sockets":64,"memory_mb":16})");
   std::filesystem::rename(p.folder / "new", path);
@@ -214,14 +221,14 @@
   pipe = Fd();
   for (const Seconds since = now(); !p.ready() && now() < since + 10;) ::usleep(10'000);
   CHECK(p.ready());
-  pollfd called{after.fd.get(), POLLIN, 0};
-  CHECK(::poll(&called, 1, 10'000) > 0);
+  pollfd pending{after.fd.get(), POLLIN, 0};
+  CHECK(::poll(&pending, 1, 10'000) > 0);
 }
 
-TEST_CASE("given a reader of the log that goes, or stands still, then the program goes on") {
-  const bool goes = GENERATE(true, false);
-  CAPTURE(goes);
-  const Deaf bus;
+TEST_CASE("given a reader of the log that closes or stops reading, then the program keeps running") {
+  const bool reader_closes = GENERATE(true, false);
+  CAPTURE(reader_closes);
+  const SilentListener bus;
   fakes::Ports ports;
   int ends[2];
   const int port = ports.take();
@@ -232,17 +239,18 @@
             writer.get());
   for (const Seconds since = now(); !p.ready() && now() < since + 10;) ::usleep(10'000);
   writer = Fd();
-  if (goes) reader = Fd();
-  // Each is answered and logged, five lines a second: some seconds fill what nobody reads.
-  const Fd c = p.call();
+  if (reader_closes) reader = Fd();
+  // Each request is answered and logged, at most five lines a second: after some seconds the unread pipe is
+  // full.
+  const Fd c = p.connect_client();
   std::string got;
   for (int n = 1; n <= 16 && (n == 1 || !got.empty()); ++n) {
     std::string all;
     for (int m = 0; m < 5; ++m)
       all +=
           net::resp_array_text({"EXEC", std::to_string(10 * n + m), "page", "txn=" + std::string(200, 'x')});
-    got = p.said(c, all, 5, 5);
-    if (!goes) ::usleep(500'000);
+    got = p.read_answers(c, all, 5, 5);
+    if (!reader_closes) ::usleep(500'000);
   }
   CHECK_FALSE(got.empty());
   CHECK(p.ready());
