--- a/models/catchup.pml
+++ b/models/catchup.pml
@@ -1,75 +1,77 @@
-/* Facts of servers between three routers, as src/gossip/exchange.cpp carries them: a router compares its digests with
- * another's; that one sends what it holds where they differ, with its digests; the first takes it and sends back
- * what the other lacked by them. Router r sees fact r on its own list, at any time, and again after a crash, since
- * its list says it still. Fact 0 is past its time at some moment, a different one at each router, whose clocks
- * differ: then it is dropped there. Faults, each at any moment: a message lost (once), a router that crashes
- * and loses all it held (once). A router that is stalled or cut off is one that takes no step: any step may wait.
- * A fact that was dropped never comes back; once nothing can happen any more, after the last fault, every router
- * holds every fact that is not past.
+/* Anti-entropy of observations among three routers, as src/gossip/exchange.cpp implements it. A router compares its
+ * digests with those of a peer; the peer sends the observations that it holds in ranges that differ, and its digests;
+ * the router applies them and sends back what the peer lacks. Router r can observe observation r at any time, and
+ * again after a crash, since its discovery still reports it. Observation 0 expires at some time, a different one at
+ * each router, as their clocks differ; the router then removes it. Faults, each at any time: one message is lost; one
+ * router crashes and loses all observations. A router that is stalled or cut off is one that takes no step: any step
+ * may wait. An expired observation must never return at a router. In the end, when no step is possible any more,
+ * every router must hold every observation that has not expired.
  *
- * MISTAKE 1: a router compares until it has caught up once after its start, and then relies on pushes.
- * MISTAKE 2: a fact past its time here is taken from another whose clock is behind.
- * MISTAKE 3: an answer is counted as taken when it was sent, whether it arrived or not, and so is the catch-up.
+ * MISTAKE 1: a router compares only until its first catch-up has finished, and then relies on rumours.
+ * MISTAKE 2: a router applies an observation that has expired on its own clock, from a peer whose clock is behind.
+ * MISTAKE 3: the catch-up is counted as finished when an answer is sent, whether it arrives or not.
  */
 #ifndef MISTAKE
 #define MISTAKE 0
 #endif
 #define N 3
-#define HERE 8 /* marks a message: its facts may be none */
+#define PRESENT 8 /* marks a message in transit, as it may carry no observations */
 
-byte has[N];         /* facts held, one bit each */
-byte answer[N];      /* on its way to a, what its peer held when a's digests came; one comparison at a time */
-byte back[N];        /* on its way from a to its peer, what that one lacked */
+byte held[N];        /* observations held, a bit for each */
+/* In transit to router a: what its peer held when a's digests arrived; one comparison at a time. */
+byte answer[N];
+byte reply[N];       /* in transit from router a to its peer: what the peer lacks */
 byte peer[N];
-bool past[N], caught[N];
+bool expired[N], caught_up[N];
 byte losses = 1, crashes = 1;
 
 #if MISTAKE == 2
-#define TAKE(r, what) has[r] = has[r] | (what & 7); assert(!past[r] || (has[r] & 1) == 0)
+#define APPLY(r, what) held[r] = held[r] | (what & 7); assert(!expired[r] || (held[r] & 1) == 0)
 #else
-#define TAKE(r, what) has[r] = has[r] | (what & (past[r] -> 6 : 7)); assert(!past[r] || (has[r] & 1) == 0)
+#define APPLY(r, what) held[r] = held[r] | (what & (expired[r] -> 6 : 7)); assert(!expired[r] || (held[r] & 1) == 0)
 #endif
 
 #if MISTAKE == 1 || MISTAKE == 3
-#define COMPARES(a) !caught[a]
+#define MAY_COMPARE(a) !caught_up[a]
 #else
-#define COMPARES(a) true
+#define MAY_COMPARE(a) true
 #endif
 
 #if MISTAKE == 3
-#define SENT(a) caught[a] = true
-#define TAKEN(a) skip
+#define ON_ANSWER_SENT(a) caught_up[a] = true
+#define ON_ANSWER_APPLIED(a) skip
 #elif MISTAKE == 1
-#define SENT(a) skip
-#define TAKEN(a) caught[a] = true
+#define ON_ANSWER_SENT(a) skip
+#define ON_ANSWER_APPLIED(a) caught_up[a] = true
 #else
-#define SENT(a) skip
-#define TAKEN(a) skip
+#define ON_ANSWER_SENT(a) skip
+#define ON_ANSWER_APPLIED(a) skip
 #endif
 
-#define SEE(r) :: atomic { (has[r] & (1 << r)) == 0 && !(r == 0 && past[0]) -> has[r] = has[r] | (1 << r) }
-#define PAST(r) :: atomic { !past[r] -> past[r] = true; has[r] = has[r] & 6 }
-#define COMPARE(a, b) :: atomic { COMPARES(a) && has[a] != has[b] && answer[a] == 0 && back[a] == 0 -> \
-    answer[a] = has[b] | HERE; peer[a] = b; SENT(a) }
-#define ANSWERED(a) :: atomic { answer[a] != 0 -> TAKE(a, answer[a]); TAKEN(a); \
-    if :: (has[a] & ~answer[a] & 7) != 0 -> back[a] = has[a] | HERE :: else -> peer[a] = 0 fi; answer[a] = 0 }
-#define BACK(a) :: atomic { back[a] != 0 -> TAKE(peer[a], back[a]); back[a] = 0; peer[a] = 0 }
-#define LOSE(a) :: atomic { losses > 0 && (answer[a] != 0 || back[a] != 0) -> \
-    losses--; answer[a] = 0; back[a] = 0; peer[a] = 0 }
-#define MESSAGES(a) ANSWERED(a) BACK(a) LOSE(a)
-/* It starts again with nothing; what was on its way to it finds another start. */
-#define CRASH(r) :: atomic { crashes > 0 -> crashes--; has[r] = 0; caught[r] = false; \
-    answer[r] = 0; if :: back[r] == 0 -> peer[r] = 0 :: else fi }
+#define OBSERVE(r) :: atomic { (held[r] & (1 << r)) == 0 && !(r == 0 && expired[0]) -> held[r] = held[r] | (1 << r) }
+#define EXPIRE(r) :: atomic { !expired[r] -> expired[r] = true; held[r] = held[r] & 6 }
+#define COMPARE(a, b) :: atomic { MAY_COMPARE(a) && held[a] != held[b] && answer[a] == 0 && reply[a] == 0 -> \
+    answer[a] = held[b] | PRESENT; peer[a] = b; ON_ANSWER_SENT(a) }
+#define RECEIVE_ANSWER(a) :: atomic { answer[a] != 0 -> APPLY(a, answer[a]); ON_ANSWER_APPLIED(a); \
+    if :: (held[a] & ~answer[a] & 7) != 0 -> reply[a] = held[a] | PRESENT :: else -> peer[a] = 0 fi; answer[a] = 0 }
+#define RECEIVE_REPLY(a) :: atomic { reply[a] != 0 -> APPLY(peer[a], reply[a]); reply[a] = 0; peer[a] = 0 }
+#define LOSE(a) :: atomic { losses > 0 && (answer[a] != 0 || reply[a] != 0) -> \
+    losses--; answer[a] = 0; reply[a] = 0; peer[a] = 0 }
+#define MESSAGES(a) RECEIVE_ANSWER(a) RECEIVE_REPLY(a) LOSE(a)
+/* The router starts again without observations. An answer in transit to it belongs to the earlier start and is
+ * discarded. */
+#define CRASH(r) :: atomic { crashes > 0 -> crashes--; held[r] = 0; caught_up[r] = false; \
+    answer[r] = 0; if :: reply[r] == 0 -> peer[r] = 0 :: else fi }
 
-active proctype world() {
+active proctype fleet() {
   byte r;
   do
-  SEE(0) SEE(1) SEE(2)
-  PAST(0) PAST(1) PAST(2)
+  OBSERVE(0) OBSERVE(1) OBSERVE(2)
+  EXPIRE(0) EXPIRE(1) EXPIRE(2)
   COMPARE(0, 1) COMPARE(0, 2) COMPARE(1, 0) COMPARE(1, 2) COMPARE(2, 0) COMPARE(2, 1)
   MESSAGES(0) MESSAGES(1) MESSAGES(2)
   CRASH(0) CRASH(1)
   :: timeout -> break
   od;
-  for (r : 0 .. N - 1) { assert(has[r] == 6) }
+  for (r : 0 .. N - 1) { assert(held[r] == 6) }
 }
--- a/models/check.sh
+++ b/models/check.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# check.sh SPIN MODEL: the model must hold, and each of its mistakes must be found.
+# check.sh SPIN MODEL: verifies that the model holds, and that each mistake that it can be built with is found.
 set -eu
 spin=$1 model=$2
 work=$(mktemp -d)
@@ -9,7 +9,7 @@
   "$spin" -DMISTAKE="$1" -a "$model" >/dev/null
   cc -O2 -DSAFETY -DMEMLIM=3000 -w -o pan pan.c
   ./pan -m1000000 >out 2>&1 || true
-  # A search that ran out of memory or depth has shown nothing.
+  # A search that ran out of memory or depth proves nothing.
   if grep -qE 'Search not completed|too small|MEMLIM bound' out && grep -q 'errors: 0' out; then
     cat out
     echo "the search was not completed"
