--- a/tests/connection_races.cpp
+++ b/tests/connection_races.cpp
@@ -440,9 +440,9 @@
     WAIT_UNTIL(stream = server.accept());
     const rlimit tight{64, before.rlim_max};
     ::setrlimit(RLIMIT_NOFILE, &tight);
-    std::vector<Fd> idle;
+    std::vector<Fd> occupied;
     const auto occupy_all = [&] {
-      while (Fd fd{::open("/dev/null", O_RDONLY)}) idle.push_back(std::move(fd));
+      while (Fd fd{::open("/dev/null", O_RDONLY)}) occupied.push_back(std::move(fd));
     };
     occupy_all();
     ::shutdown(stream.get(), SHUT_RDWR);
@@ -584,12 +584,12 @@
     const Fd c = s.connect();
     send_all(c, s.exec_command(1));
     WAIT_UNTIL(s.served > 0);
-    co_await s.timer.wait(s.scheduler.now() +
-                          0.3);  // the answer is in the kernel's buffers; the client reads nothing
+    // The answer is in the kernel's buffers; the client reads nothing.
+    co_await s.timer.wait(s.scheduler.now() + 0.3);
     std::vector<Fd> others;
     for (int n = 0; n < 8; ++n) others.push_back(s.connect());
-    co_await s.timer.wait(s.scheduler.now() +
-                          0.02);     // the last of them evicts `c`: its connection is half-closed
+    // The last of them evicts `c`: its connection is half-closed.
+    co_await s.timer.wait(s.scheduler.now() + 0.02);
     send_all(c, s.exec_command(2));  // crosses the half-close
     std::string got;
     for (const Seconds since = s.scheduler.now(); s.within_limit(since) && !got.ends_with("|");) {
@@ -680,8 +680,8 @@
   OpenRequestFixture s;
   s.run_scenario([&]() -> Task {
     const Fd c = s.connect();
-    send_all(c, s.exec_command(1) +
-                    s.exec_command(1));  // a tag in use is a protocol error: the connection is ending
+    // A second request with a tag in use is a protocol error: the connection is ending.
+    send_all(c, s.exec_command(1) + s.exec_command(1));
     WAIT_UNTIL(s.client_connection);
     co_await s.timer.wait(s.scheduler.now() + 0.1);
     send_all(c, resp_array_text({"FORGET", "1", ""}));
--- a/tests/process_lifecycle.cpp
+++ b/tests/process_lifecycle.cpp
@@ -129,7 +129,7 @@
 TEST_CASE(
     "given a large configuration and no discovery, when forty routers start at once, then they become "
     "ready") {
-  const SilentListener bus;
+  const SilentListener discovery;
   fakes::Ports ports;
   std::string members, events;
   for (int n = 0; n < 200; ++n)
@@ -145,8 +145,8 @@
   const Seconds started = now();
   for (int n = 0; n < 40; ++n) {
     const int port = ports.take();
-    auto config =
-        config_text(fmt::format("n{}", n), port, bus.port, members, R"({"sockets":512,"memory_mb":48})");
+    auto config = config_text(fmt::format("n{}", n), port, discovery.port, members,
+                              R"({"sockets":512,"memory_mb":48})");
     replace_text(config, R"(]}}]})", R"(]}})" + events + "]}");
     replace_text(config, R"("known":{"offset":1)", R"("known":{"offset":2001)");
     programs.push_back(std::make_unique<Program>(fmt::format("start{}", n), config, port));
@@ -160,16 +160,15 @@
 }
 
 TEST_CASE(
-    "given a deadline of the site, when the program is terminated, then all requests are answered before it "
-    "would "
-    "be killed") {
+    "given a site's deadline, when the program is terminated, then it answers all requests before it is "
+    "killed") {
   const int limit_ms = GENERATE(400, 2000, 20000);
   CAPTURE(limit_ms);
   const Seconds kill_after = std::min(3.0, limit_ms / 1e3) + 0.7;
-  const SilentListener bus, cache;
+  const SilentListener discovery, cache;
   fakes::Ports ports;
   const int port = ports.take();
-  auto config = config_text("n0", port, bus.port,
+  auto config = config_text("n0", port, discovery.port,
                             member_text("s-00000001", cache.port, "edge", "cache") + "," +
                                 member_text("s-00000002", cache.port, "hub", "parent") + "," +
                                 member_text("s-00000003", cache.port, "hub", "origin"),
@@ -228,14 +227,14 @@
 TEST_CASE("given a reader of the log that closes or stops reading, then the program keeps running") {
   const bool reader_closes = GENERATE(true, false);
   CAPTURE(reader_closes);
-  const SilentListener bus;
+  const SilentListener discovery;
   fakes::Ports ports;
   int ends[2];
   const int port = ports.take();
   REQUIRE(::pipe2(ends, O_CLOEXEC) == 0);
   Fd reader(ends[0]), writer(ends[1]);
   ::fcntl(writer.get(), F_SETPIPE_SZ, 4096);
-  Program p("log", config_text("n0", port, bus.port, "", R"({"sockets":64,"memory_mb":16})"), port,
+  Program p("log", config_text("n0", port, discovery.port, "", R"({"sockets":64,"memory_mb":16})"), port,
             writer.get());
   for (const Seconds since = now(); !p.ready() && now() < since + 10;) ::usleep(10'000);
   writer = Fd();
