--- a/fakes/servers.cpp
+++ b/fakes/servers.cpp
@@ -30,7 +30,7 @@
   const auto free = [](int port) {
     try {
       const Address at{kLoopback, static_cast<std::uint16_t>(port)};
-      listen_on(at), datagrams_on(at);
+      listen_on(at), bind_udp(at);
       return true;
     } catch (const SystemError&) {
       return false;
@@ -91,7 +91,7 @@
     if (fd)
       scheduler_.start(connection(std::move(fd)));
     else
-      co_await listener_.came.wait(out_of_descriptors() ? scheduler_.now() + kRetryInterval : kNoTime);
+      co_await listener_.input_ready.wait(out_of_descriptors() ? scheduler_.now() + kRetryInterval : kNoTime);
   }
 }
 
@@ -101,8 +101,8 @@
   net::RespArray words;
   for (bool more = true; more;) {
     const auto came = c->stream.read();
-    if (came == Stream::Came::end) break;
-    if (came == Stream::Came::nothing) {
+    if (came == Stream::ReadResult::end) break;
+    if (came == Stream::ReadResult::nothing) {
       co_await c->stream.readable();
       continue;
     }
@@ -298,7 +298,7 @@
   while (listener_.open()) {
     Fd fd = listener_.accept();
     if (!fd) {
-      co_await listener_.came.wait(out_of_descriptors() ? scheduler_.now() + kRetryInterval : kNoTime);
+      co_await listener_.input_ready.wait(out_of_descriptors() ? scheduler_.now() + kRetryInterval : kNoTime);
       continue;
     }
     if (scheduler_.now() < cut_until_) continue;
@@ -315,8 +315,8 @@
   open_.insert(from);
   for (;;) {
     const auto came = from->read();
-    if (came == Stream::Came::end) break;
-    if (came == Stream::Came::nothing) {
+    if (came == Stream::ReadResult::end) break;
+    if (came == Stream::ReadResult::nothing) {
       co_await from->readable();
       continue;
     }
--- a/tests/fleet_sockets.cpp
+++ b/tests/fleet_sockets.cpp
@@ -136,13 +136,13 @@
     std::string members;
     for (int s = 0; s < kCacheServers + 2; ++s) {
       if (s > 0) members += ",";
-      members += member_text(servers_[s]->id(), servers_[s]->port(), s < kCacheServers ? "edge" : "hub",
-                             s < kCacheServers    ? "cache"
-                             : s == kCacheServers ? "parent"
-                                                  : "origin");
+      members += endpoint_json(servers_[s]->id(), servers_[s]->port(), s < kCacheServers ? "edge" : "hub",
+                               s < kCacheServers    ? "cache"
+                               : s == kCacheServers ? "parent"
+                                                    : "origin");
     }
-    std::ofstream(r.folder + "/config.json")
-        << config_text(fmt::format("r{}", n), r.port, 0, members, R"({"sockets":128,"memory_mb":32})");
+    std::ofstream(r.folder + "/config.json") << platform_config_json(
+        fmt::format("r{}", n), r.port, 0, members, R"({"sockets":128,"memory_mb":32})");
     std::ofstream file(r.folder + "/walkpaddle.conf");
     file << fmt::format(
         "fleet {{\n name = \"r{}\"\n listen = \"127.0.0.1:{}\"\n lease = {}\n copy_life = 1000\n", n,
@@ -193,8 +193,8 @@
         int tag = 0;
         for (Seconds next = scheduler_.now(); !finished_;) {
           const auto result = stream.read();
-          if (result == Stream::Came::end) break;
-          if (result == Stream::Came::bytes) {
+          if (result == Stream::ReadResult::end) break;
+          if (result == Stream::ReadResult::bytes) {
             read_answers(stream, open);
             continue;
           }
@@ -390,7 +390,7 @@
       for (int r = at; !held;) {
         std::string line;
         while ((line = line_of(*sockets[r])).empty()) {
-          if (sockets[r]->read() == Stream::Came::nothing) co_await sockets[r]->readable();
+          if (sockets[r]->read() == Stream::ReadResult::nothing) co_await sockets[r]->readable();
         }
         const bool there = line.find("\"ok\":true") != std::string::npos;
         if (number.empty()) {
--- a/tests/replica_sockets.cpp
+++ b/tests/replica_sockets.cpp
@@ -27,12 +27,12 @@
 // A router may take 2 s to apply what it was told. Each check waits longer, and then counts served requests.
 constexpr Seconds kConvergence = 2.5, kCountTime = 2, kMaxWait = 15;
 constexpr int kRouters = 8, kCacheServers = 4;
-using AnnouncedState = lab::Fleet::AnnouncedState;
+using AnnouncedState = testbed::Fleet::AnnouncedState;
 
 struct Scenario {
   Scenario(bool share, unsigned seed)
       : fleet({.routers = kRouters,
-               .boxes = kCacheServers,
+               .cache_servers = kCacheServers,
                .objects = 60,
                .share = share,
                .seed = seed,
@@ -45,7 +45,7 @@
   // Whether the output of `walkpaddle fleet` at every running router contains `words`.
   bool all_report(const std::string& words) const {
     for (int n = 0; n < kRouters; ++n)
-      if (fleet.running(n) && fleet.word_of(n).find(words) == std::string::npos) return false;
+      if (fleet.running(n) && fleet.fleet_status(n).find(words) == std::string::npos) return false;
     return true;
   }
   // Counts the requests that a cache server serves during kCountTime.
@@ -68,7 +68,7 @@
     // from all routers except r1.
     fleet.links().faults({.lost = 0.1, .twice = 0.1, .delay = 0.03});
     for (int n = 2; n < kRouters; ++n) fleet.cut(0, n, 1e15);
-    fleet.says(0, 0, AnnouncedState::draining);
+    fleet.publish_state(0, 0, AnnouncedState::draining);
     co_await pause(kConvergence);
     s.start(count_served(0));
     co_await done.wait();
@@ -85,7 +85,7 @@
 
     // As datagrams are lost, the time at which a suspicion is raised and spreads is random; the test waits
     // for it.
-    const auto alive = [&] { return fleet.word_of(3).find("router r2: alive") != std::string::npos; };
+    const auto alive = [&] { return fleet.fleet_status(3).find("router r2: alive") != std::string::npos; };
     fleet.stall(2, true);
     for (const Seconds until = s.now() + kMaxWait; s.now() < until && alive();) co_await pause(0.2);
     const bool suspected = !alive();
@@ -101,8 +101,8 @@
     // A partition: each side is told of the drain of another cache server. Then it heals.
     for (int a = 0; a < 4; ++a)
       for (int b = 4; b < kRouters; ++b) fleet.cut(a, b, 1e15);
-    fleet.says(3, 1, AnnouncedState::draining);
-    fleet.says(5, 2, AnnouncedState::draining);
+    fleet.publish_state(3, 1, AnnouncedState::draining);
+    fleet.publish_state(5, 2, AnnouncedState::draining);
     co_await pause(1);
     const auto line = [](int b) { return server_id(b) + ": draining according to the fleet"; };
     const bool separate =
@@ -116,8 +116,8 @@
     report("two sides of a partition apply their own drains, and both drains once it heals",
            separate && merged);
 
-    fleet.says(3, 1, AnnouncedState::ready), fleet.says(5, 2, AnnouncedState::ready);
-    fleet.says(4, 3, AnnouncedState::ready, s.now());
+    fleet.publish_state(3, 1, AnnouncedState::ready), fleet.publish_state(5, 2, AnnouncedState::ready);
+    fleet.publish_state(4, 3, AnnouncedState::ready, s.now());
     co_await pause(2);
     bool restarted = true;
     for (int n = 0; n < kRouters; ++n)
@@ -150,7 +150,7 @@
     auto& s = fleet.scheduler();
     Event e(s);
     co_await e.wait(s.now() + 2);
-    fleet.says(0, 0, AnnouncedState::draining);
+    fleet.publish_state(0, 0, AnnouncedState::draining);
     co_await e.wait(s.now() + kConvergence);
     s.start(count_served(0));
     co_await done.wait();
@@ -168,7 +168,7 @@
     std::fprintf(stderr, "\n");
   }
 
-  lab::Fleet fleet;
+  testbed::Fleet fleet;
   Event done{fleet.scheduler()};
   int served = 0;
 };
