--- a/soak/discovery.h
+++ b/soak/discovery.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
+#include "fakes/discovery_frames.h"
 #include "soak/endpoint.h"
 #include "soak/oracle.h"
 #include "soak/plan.h"
-#include "standins/bus.h"
 
 namespace walkpaddle::soak {
 
--- a/testbed/fleet.cpp
+++ b/testbed/fleet.cpp
@@ -48,7 +48,7 @@
                                                        setup_.habits));
   std::vector<fakes::Server*> all;
   for (auto& s : servers_) all.push_back(s.get());
-  for (auto& s : servers_) s->know(all);
+  for (auto& s : servers_) s->set_sources(all);
   for (int n = 0; n < setup_.objects; ++n) servers_.back()->change(object_name(n), {});
   routers_.resize(static_cast<std::size_t>(setup_.routers));
   for (auto& r : routers_) {
--- a/testbed/fleet.h
+++ b/testbed/fleet.h
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
+#include "fakes/discovery_frames.h"
+#include "fakes/servers.h"
 #include "io/stream.h"
-#include "standins/bus.h"
-#include "standins/world.h"
 #include "testbed/switch.h"
 
 namespace walkpaddle::testbed {
--- a/testbed/switch.cpp
+++ b/testbed/switch.cpp
@@ -5,7 +5,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "standins/world.h"
+#include "fakes/servers.h"
 
 namespace walkpaddle::testbed {
 
@@ -46,7 +46,7 @@
 Task Switch::wait_for_stop() {
   std::uint64_t count = 0;
   while (::read(stop_listener_->fd(), &count, sizeof count) != sizeof count)
-    co_await stop_listener_->came.wait();
+    co_await stop_listener_->input_ready.wait();
   scheduler_.stop();
 }
 
--- a/tests/trace.cpp
+++ b/tests/trace.cpp
@@ -23,14 +23,14 @@
 
 #include "base/text.h"
 #include "config/platform_config.h"
+#include "fakes/discovery_frames.h"
+#include "fakes/servers.h"
 #include "io/fd.h"
 #include "net/discovery_codec.h"
 #include "net/resp_parser.h"
 #include "platform.h"
 #include "purge/purge_index.h"
 #include "routing/policy.h"
-#include "standins/bus.h"
-#include "standins/world.h"
 
 // Must be the last include, as it defines "true" and "false" as macros.
 #include <ldns/ldns.h>
