--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -15,7 +15,7 @@
 
 int fail(long line_number, std::string_view line, const char* what) {
   const std::string name(line.substr(0, line.find(' ')).substr(0, 40));
-  std::fprintf(stderr, "walkpaddle_wirehost: line %ld: %s: %s\n", line_number, name.c_str(), what);
+  std::fprintf(stderr, "walkpaddle_simulator: line %ld: %s: %s\n", line_number, name.c_str(), what);
   return 1;
 }
 
